--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -26,6 +26,10 @@
     return f"tests/test_one.py::test_{name} | the cause | issue 40"
 
 
+def at_times(name):
+    return line(name) + " | at times"
+
+
 @pytest.fixture
 def run(pytester):
     """Runs pytest in a scratch folder that has these tests, these lines listed."""
@@ -144,6 +148,8 @@
         "tests/test_one.py::test_red |  | issue 40",
         "test_red | cause | issue 40",
         line("red") + "\n" + line("red"),
+        line("red") + "\n" + at_times("red"),
+        "tests/test_one.py::test_red | cause | at times",
     ],
 )
 def test_a_line_of_another_form_and_one_twice_fail_the_run(run, row):
@@ -170,11 +176,64 @@
     assert run("red green second", line("red"), args=args).ret == code
 
 
+@pytest.mark.parametrize(
+    ("tests", "listed", "says"),
+    [
+        ("green red", "red", "KNOWN RED tests/test_one.py::test_red | the cause | issue 40"),
+        ("green red", "red", "*AssertionError: the fault itself"),
+        ("green", "green", "KNOWN RED *::test_green | the cause | issue 40 | at times: passed in this run"),
+        ("green parts", "parts", "KNOWN RED tests/test_one.py::test_parts | the cause | issue 40"),
+    ],
+)
+@pytest.mark.parametrize("parallel", [False, True])
+def test_a_test_listed_at_times_may_fail_or_pass_and_either_is_printed(
+    run, pytester, tests, listed, says, parallel
+):
+    args, how = ["--numprocesses=2"] if parallel else [], pytester.runpytest_subprocess
+    result = run(tests, at_times(listed), args=args, how=how)
+    assert result.ret == 0
+    result.stdout.fnmatch_lines([says])
+
+
+@pytest.mark.parametrize(
+    ("name", "says"),
+    [
+        ("skipped", "*test_skipped is listed 'at times', and it neither passed nor failed"),
+        ("expected", "*test_expected is listed 'at times', and it neither passed nor failed"),
+        ("gone", "*test_gone is listed, and there is no such test"),
+        ("setup", "*1 passed, 1 error*"),
+        ("end", "*1 error*"),
+    ],
+)
+def test_no_other_outcome_of_a_test_listed_at_times_is_passed_over(run, name, says):
+    tests = "green" if name == "gone" else f"green {name}"
+    result = run(tests, at_times(name))
+    assert result.ret == 1
+    result.stdout.fnmatch_lines([says])
+
+
+def test_another_failure_beside_a_test_listed_at_times_fails_the_run(run):
+    assert run("green second", at_times("green")).ret == 1
+
+
+def test_a_line_without_the_mark_stays_strict_beside_one_with_it(run):
+    result = run("green red", at_times("red"), line("green"))
+    assert result.ret == 1
+    result.stdout.fnmatch_lines(["*test_green is listed, and it did not fail: take its line out"])
+
+
+@pytest.mark.parametrize("row", [line("red") + " | sometimes | at times", at_times("red") + " | at times"])
+def test_a_column_too_many_names_a_test_that_is_not_there(run, row):
+    assert run("green red", row).ret == 1
+
+
 def test_lines_are_read_with_their_cause_and_issue(tmp_path):
     path = tmp_path / "KNOWN-RED.txt"
     assert read(path) == []
     path.write_text("# none\n\ntests/test_a.py::test_b[x|y] | late by 1 ms | issue 7\n")
     assert read(path) == [Line("tests/test_a.py::test_b[x|y]", "late by 1 ms", "issue 7")]
+    path.write_text("tests/test_a.py::test_b[x|y] | late by 1 ms | issue 7 | at times\n")
+    assert read(path) == [Line("tests/test_a.py::test_b[x|y]", "late by 1 ms", "issue 7", at_times=True)]
 
 
 def test_this_run_has_the_plugin(pytestconfig):
