--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -20,9 +20,31 @@
 from math import sqrt
 
 from limelatch.chance import Chance
-from limelatch.interface import (MS, SECOND, Action, CloseIdle, Effect, Forget, Health, HostEntry, HostId,
-                                 Listing, LogLine, Nack, Past, Product, Result, Submit, SubmitReport, Terms,
-                                 Text, TextId, Undeliverable, Wake, Watch)
+from limelatch.interface import (
+    MS,
+    SECOND,
+    Action,
+    CloseIdle,
+    Effect,
+    Forget,
+    Health,
+    HostEntry,
+    HostId,
+    Listing,
+    LogLine,
+    Nack,
+    Past,
+    Product,
+    Result,
+    Submit,
+    SubmitReport,
+    Terms,
+    Text,
+    TextId,
+    Undeliverable,
+    Wake,
+    Watch,
+)
 from limelatch.key_order import KeyOrder, Place
 
 # The design's figures; tokens are counted in tenths.
@@ -104,7 +126,7 @@
     def saved_after(self) -> int:
         """Until a call is saved up, as the pace grows: one saved up unseen would go with the next text."""
         missing = max(0.0, 1.0 - self.credit) if self.pace else 0.0
-        root = missing and sqrt(self.pace ** 2 + 2 * self.growth * missing * (self.pace < self.limit))
+        root = missing and sqrt(self.pace**2 + 2 * self.growth * missing * (self.pace < self.limit))
         return 1 + int(2 * missing * SECOND / (self.pace + root)) if missing else 0
 
     def grow(self, share: float) -> None:
@@ -127,7 +149,7 @@
         self.seen += 1
         step = abs(took - self.usual) // self.seen if self.seen <= 8 else self.usual >> 6
         self.usual += step if took > self.usual else -step
-        self.recent = self.recent[1 - RECENT_CALLS:] + [took]
+        self.recent = self.recent[1 - RECENT_CALLS :] + [took]
         slow = len(self.recent) == RECENT_CALLS and sorted(self.recent)[RECENT_CALLS // 2] > 2 * self.usual
         self.recent = [] if slow else self.recent
         return slow
@@ -382,8 +404,13 @@
         if several and result not in (Result.CONNECT, Result.RESET):
             host.sour[product] = now
         others = [each for each in host.route.hosts if each is not host and each.listing is Listing.READY]
-        return bool(others) and host.sour.get(product) == now and not host.sick and not any(
-            each.sick or self._sour(now, each) for each in others) and len(self._sour(now, host)) == 1
+        return (
+            bool(others)
+            and host.sour.get(product) == now
+            and not host.sick
+            and not any(each.sick or self._sour(now, each) for each in others)
+            and len(self._sour(now, host)) == 1
+        )
 
     def _sour(self, now: int, host: Host) -> list[int]:
         return [product for product, at in host.sour.items() if at > now - SERVED_SPAN]
@@ -419,7 +446,7 @@
             route.refill(now, self.terms.relays)
             own, weight = route.flow * SECOND / FLOW_SPAN, 1 / (route.flow + (1 if left is None else 2))
             if route.limit:
-                mixed = (2 * own) ** (1 - weight) * even ** weight
+                mixed = (2 * own) ** (1 - weight) * even**weight
                 fair = min(route.pace, even if room and now - host.last_ok > GOOD_LATELY else mixed)
                 deeper = route.cuts * weight if self.terms.relays > KEEPERS else 0.0  # few relays push less
                 route.pace = max(PACE_CUT * fair / (1 + deeper), PACE_LEAST * even)
@@ -461,15 +488,17 @@
     def _come_back(self, now: int, route: Route) -> None:
         for host in [each for each in route.hosts if each.sick]:
             self._warm_up(now, host, now)
-            self.log.append(LogLine(f"back after {route.tries} trials, warming", host.id,
-                                    Health.WARMING))
+            self.log.append(LogLine(f"back after {route.tries} trials, warming", host.id, Health.WARMING))
         route.tries = 0
 
     def _plan(self, now: int) -> None:
         """Set the wanted state: for each destination in the order of what is at stake, its best texts out."""
         looked = [each for each in self.active.items() if each[1].waiting and each[1].look_at <= now]
-        queue = sorted((self._rank(now, best[0]), number, best) for number, dest in looked
-                       if self.slots_used < self.terms.slots and (best := self._ready(now, dest)))
+        queue = sorted(
+            (self._rank(now, best[0]), number, best)
+            for number, dest in looked
+            if self.slots_used < self.terms.slots and (best := self._ready(now, dest))
+        )
         while queue and self.slots_used < self.terms.slots:
             _, number, ready = heapq.heappop(queue)
             if ready := self._fill_call(now, self.dests[number], ready):
@@ -483,8 +512,11 @@
             self._advance(now, host)
         dest.look_at = min((self._opens_at(now, host) for host in dest.hosts), default=NEVER)
         if dest.look_at > now:
-            found = sorted(h.until - LAST_MOMENT - now for h in dest.waiting.values()
-                           if h.found and not h.submits and h.until > now + SECOND)
+            found = sorted(
+                h.until - LAST_MOMENT - now
+                for h in dest.waiting.values()
+                if h.found and not h.submits and h.until > now + SECOND
+            )
             for host in dest.hosts if found else ():
                 route, batch = host.route, self.terms.kinds[host.kind].texts_per_call
                 calls = [(at // batch + 2 - route.credit) / left for at, left in enumerate(found)]
@@ -495,8 +527,10 @@
             return []
         if not (due := [held for held in dest.waiting.values() if held.due <= now]):
             dest.look_at = min(held.due for held in dest.waiting.values())
-        return sorted([h for h in due if self._has_turn(now, h)],
-                      key=lambda held: (not held.found or held.submits > 0, self._rank(now, held)))
+        return sorted(
+            [h for h in due if self._has_turn(now, h)],
+            key=lambda held: (not held.found or held.submits > 0, self._rank(now, held)),
+        )
 
     def _rank(self, now: int, held: Held) -> tuple:
         """Texts that can still make their SLA time, the nearest first; then the late ones by revenue."""
@@ -530,8 +564,16 @@
         able = [h for h in dest.hosts if self._opens_at(now, h) <= now and self._gate(now, held, h)]
         able = [h for h in able if held.text.product not in self._sour(now, h)] or able
         drawn = [able.pop(self.chance.below(len(able))) for _ in range(min(2, len(able)))]
-        return min(drawn, key=lambda host: (len(host.out), host.failing > FAIL_STEP / 2, not host.kept
-                                            or now - host.used_at > self.keep, host.failing), default=None)
+        return min(
+            drawn,
+            key=lambda host: (
+                len(host.out),
+                host.failing > FAIL_STEP / 2,
+                not host.kept or now - host.used_at > self.keep,
+                host.failing,
+            ),
+            default=None,
+        )
 
     def _gate(self, now: int, held: Held, host: Host) -> bool:
         """The rules, for every send: no text twice out, no effect twice, drains, waits and order kept."""
