--- a/limelatch/benchlink/wire.py
+++ b/limelatch/benchlink/wire.py
@@ -30,7 +30,7 @@
     li.Result.CONNECT,
     li.Result.RESET,
     li.Result.CANCELLED,
-    li.Result.MOOT,
+    li.Result.NOT_SENT,
 )
 LISTINGS = {3: li.Listing.READY, 2: li.Listing.DRAINING, 0: li.Listing.GONE}
 HANDED_IN_AGAIN = 2
--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -27,13 +27,13 @@
 
     DELIVERED = "delivered"
     ERROR = "error"
-    SPOILT = "spoilt"  # its answer can't be read: it may have run, and may still be running
+    MALFORMED = "spoilt"  # its answer can't be read: it may have run, and may still be running
     FULL = "full"
     TIMEOUT = "timeout"
     CONNECT = "connect"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
 class Listing(Enum):
@@ -221,7 +221,7 @@
 class Health(Enum):
     """What the module has come to hold of a host."""
 
-    SICK = "sick"  # in an outage: it gets trials alone
+    OUTAGE = "sick"  # in an outage: it gets trials alone
     WARMING = "warming"  # back from one, and cold
 
 
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -30,12 +30,12 @@
     Fate.FAILED: Result.ERROR,
     Fate.REFUSED: Result.FULL,
     Fate.RESET: Result.RESET,
-    Fate.GARBLED: Result.SPOILT,
-    Fate.OVER: Result.MOOT,
-    Fate.SPENT: Result.MOOT,
+    Fate.GARBLED: Result.MALFORMED,
+    Fate.OVER: Result.NOT_SENT,
+    Fate.SPENT: Result.NOT_SENT,
 }
-RAN = (Result.ERROR, Result.SPOILT, Result.TIMEOUT, Result.RESET, Result.CANCELLED)
-FAILED = (Result.ERROR, Result.SPOILT, Result.TIMEOUT, Result.RESET, Result.CONNECT, Result.FULL)
+RAN = (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+FAILED = (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET, Result.CONNECT, Result.FULL)
 PLATFORM = 2 * MS  # from a notice to its answer
 FRONT = 5 * MS  # until a client that found a relay dead asks another
 NOBODY = 200 * MS  # and if none serves
@@ -293,7 +293,7 @@
         if held:
             call.texts = [each for each in call.texts if each not in held]
             for each in held:
-                self._ended(now, call, each, Result.MOOT)
+                self._ended(now, call, each, Result.NOT_SENT)
             self.touch()
             if not call.texts:
                 self._finish(call, True)
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -104,7 +104,7 @@
             self.texts.pop(report.text)
             self._out_of_line(text)
             return
-        if report.result in (Result.ERROR, Result.SPOILT, Result.TIMEOUT, Result.RESET):
+        if report.result in (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET):
             if held.ran_at is None:
                 held.ran_at = now - report.took
                 held.floor = self.hosts[report.host].zone if report.host in self.hosts else None
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -67,7 +67,7 @@
 HELD_UP = 150 * MS  # what a relay may lose between its clock and a repeat's last byte, within the window
 SCARCE, ROOM_LEFT = 0.9, 0.92  # share of the slots for shorter time-outs, of the room for nacks of held texts
 NEW = Past()  # of a text that no process had before
-ANSWERED, UNANSWERED = (Result.ERROR, Result.SPOILT), (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+ANSWERED, UNANSWERED = (Result.ERROR, Result.MALFORMED), (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
 
 class Call:
@@ -302,7 +302,7 @@
         known.sibling_told_at, route = at, known.route
         if known.sick and route.down_at > at:
             return
-        if health is Health.SICK and not known.sick and known.last_ok < at:
+        if health is Health.OUTAGE and not known.sick and known.last_ok < at:
             self._fall_sick(at, known)
             self._next_trial(now, route)
         elif health is Health.WARMING and now - at < self.terms.cold_time and known.back_at is None:
@@ -375,7 +375,7 @@
             used_up = report.limit_left is not None and report.limit_left < LIMIT_USED_UP
             spread = TOLD_JITTER if used_up else max(TOLD_JITTER, report.told_wait)
             route.wait_until = max(route.wait_until, now + report.told_wait + self.chance.below(spread))
-        if result is Result.DELIVERED or result is Result.SPOILT and report.over:
+        if result is Result.DELIVERED or result is Result.MALFORMED and report.over:
             host.dest.tokens = min(BUCKET, host.dest.tokens + REFILL)
             host.sour.pop(product, None)
             route.served = route.served * max(0.0, 1 - (now - route.served_at) / SERVED_SPAN) + 1.0
@@ -391,7 +391,7 @@
                 self._come_back(now, route)
         elif result is Result.FULL and counts:
             self._refused(now, host, report.told_wait, report.limit_left)
-        elif result not in (Result.FULL, Result.MOOT, Result.CANCELLED) and counts and not spared:
+        elif result not in (Result.FULL, Result.NOT_SENT, Result.CANCELLED) and counts and not spared:
             self._halve(now, route, call)
             ok = host.last_ok > call.sent - (0 if result is Result.TIMEOUT else GOOD_LATELY)
             step = FAIL_STEP if ok or lost or table or result in ANSWERED else SILENT_STEP
@@ -425,7 +425,7 @@
         host.failing += (1 - host.failing) * step
         if sound and host.failing > SICK_SHARE:
             self._fall_sick(now, host)
-            self.log.append(LogLine(f"sick: {why}, failing {host.failing:.2f}", host.id, Health.SICK))
+            self.log.append(LogLine(f"sick: {why}, failing {host.failing:.2f}", host.id, Health.OUTAGE))
         if host.sick:
             self._next_trial(now, route)
 
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -34,7 +34,7 @@
 from limelatch.relay.wall_watch import WallWatch
 
 log, policy_log = logger("driver"), logger("policy")
-NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.MOOT)
+NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.NOT_SENT)
 PORT_WAIT, PORT_LOOK = li.SECOND, li.SECOND // 20  # for a port that is in use at the start
 SHORTAGE_WAIT = 20 * li.SECOND  # for a machine without buffers or descriptors at the start
 LAST_LOOK = 20 * li.MS  # between two looks whether clients still ask, before an early end
@@ -552,7 +552,9 @@
         for action in actions:
             match action:
                 case li.Submit(text, host) if text not in self.owed:  # it could not be taken on
-                    self.policy.submit_ended(now, li.SubmitReport(text, host, li.Result.MOOT, 0, over=True))
+                    self.policy.submit_ended(
+                        now, li.SubmitReport(text, host, li.Result.NOT_SENT, 0, over=True)
+                    )
                     self.soon()
                 case li.Submit(text, host, time_out):
                     self._pack(calls, host, text, now + time_out, action.keep)
--- a/limelatch/relay/ending.py
+++ b/limelatch/relay/ending.py
@@ -31,8 +31,8 @@
     Ending.CUT_SHORT: Result.CONNECT,
     Ending.BROKEN: Result.RESET,
     Ending.SILENT: Result.TIMEOUT,
-    Ending.GARBLED: Result.SPOILT,
-    Ending.HELD_BACK: Result.MOOT,
+    Ending.GARBLED: Result.MALFORMED,
+    Ending.HELD_BACK: Result.NOT_SENT,
     Ending.CLOSED_BY_PEER: Result.RESET,
     Ending.IDLE: Result.CONNECT,
     Ending.CROWDED: Result.CONNECT,
@@ -46,15 +46,15 @@
     429: Result.FULL,
     500: Result.ERROR,
     503: Result.FULL,
-    504: Result.MOOT,
-    410: Result.MOOT,
-    413: Result.MOOT,
+    504: Result.NOT_SENT,
+    410: Result.NOT_SENT,
+    413: Result.NOT_SENT,
 }
 RESULT_OF_STATE = {
     "delivered": Result.DELIVERED,
     "failed": Result.ERROR,
     "refused": Result.FULL,
-    "over": Result.MOOT,
-    "spent": Result.MOOT,
+    "over": Result.NOT_SENT,
+    "spent": Result.NOT_SENT,
 }
 OVER_STATUS, OVER_STATE = (200, 410), ("delivered", "over")
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -100,11 +100,11 @@
     if call.batched and answer.status in (410, 504):  # these speak of one text
         result = Result.ERROR
     if answer.status == 503 and answer.headers.get(b"x-no-slot") == b"1":
-        result = Result.MOOT
+        result = Result.NOT_SENT
     elif answer.status == 503 and not (call.idle or answer.keeps or report or wait):
         result = Result.CONNECT  # a new connection, turned away and closed: the host holds no more of them
     if call.batched and answer.status == 400:
-        result = Result.MOOT  # a batch that was not read
+        result = Result.NOT_SENT  # a batch that was not read
     over = answer.status in OVER_STATUS and result is not Result.ERROR
     return [Outcome(result, over, wait, report) for _ in call.parcels]
 
@@ -373,7 +373,7 @@
         self._finish(call)
         result, over, answer = RESULT_OF_ENDING[ending], False, connection.answer
         if answer is not None and answer.status == 200 and not call.batched and not call.late(call.begun):
-            result, over = Result.SPOILT, True  # its first line is true; the call may run on
+            result, over = Result.MALFORMED, True  # its first line is true; the call may run on
         if not call.parcels:
             self.driver.probed(call, result, {})
         for each in call.parcels:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -118,7 +118,7 @@
     return bench
 
 
-FAILURES = (Result.ERROR, Result.SPOILT, Result.TIMEOUT, Result.RESET)
+FAILURES = (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET)
 
 # What follows is for tests that start the program: stand-ins on sockets and a client of the relay.
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -293,11 +293,11 @@
     """From the module's word to the ledger, and from the other process's ledger to the module."""
     driver.handover.start()
     driver._tell(clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, TWIN)])
-    driver.policy.log.append(LogLine("sick", TWIN, Health.SICK))
+    driver.policy.log.append(LogLine("sick", TWIN, Health.OUTAGE))
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it, and has turned
-    assert driver.ledger.book.healths[TWIN].health is Health.SICK
-    beside.found_health(HOST, Health.SICK, clock.now())
+    assert driver.ledger.book.healths[TWIN].health is Health.OUTAGE
+    beside.found_health(HOST, Health.OUTAGE, clock.now())
     clock.advance(0.2)
     assert driver.policy.hosts[HOST].sick and driver.policy.processes == 2
     beside.close()
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -294,12 +294,12 @@
     old.take(b"a", 5)
     old.ledger.ended(b"a", True, 0, 900)
     old.ledger.told_wait(b"h", 700, 0)
-    old.ledger.found_health(b"h", Health.SICK, 3)
+    old.ledger.found_health(b"h", Health.OUTAGE, 3)
     live = old.ledger.book.live
     old.ledger.compact()
     new.handover.look()
     assert new.handover.waits == {b"h": 700} and new.order.rests[KEY].until == 900
-    assert new.handover.healths == {b"h": HostHealth(Health.SICK, 3)}
+    assert new.handover.healths == {b"h": HostHealth(Health.OUTAGE, 3)}
     again = ledger_in_place_of(old)
     assert again.book.live == live
     again.over(b"a")
@@ -311,7 +311,7 @@
 
 def test_how_hosts_were_is_heard_and_outlasts_the_other_process(pair):
     old, new = pair
-    old.ledger.found_health(b"h", Health.SICK, 7)
+    old.ledger.found_health(b"h", Health.OUTAGE, 7)
     old.ledger.found_health(b"h", Health.WARMING, 9)
     new.handover.look()
     assert new.handover.healths == {b"h": HostHealth(Health.WARMING, 9)}
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -348,9 +348,9 @@
         (500, {}, Outcome(Result.ERROR)),
         (429, {"retry_after": b"0.25"}, Outcome(Result.FULL, False, 2500)),
         (503, {}, Outcome(Result.FULL)),
-        (503, {"x_no_slot": b"1"}, Outcome(Result.MOOT)),
-        (504, {}, Outcome(Result.MOOT)),
-        (410, {}, Outcome(Result.MOOT, True)),
+        (503, {"x_no_slot": b"1"}, Outcome(Result.NOT_SENT)),
+        (504, {}, Outcome(Result.NOT_SENT)),
+        (410, {}, Outcome(Result.NOT_SENT, True)),
         (418, {}, Outcome(Result.ERROR)),
         (
             200,
@@ -386,7 +386,7 @@
         Outcome(Result.DELIVERED, True, SECOND),
         Outcome(Result.FULL, False, SECOND),
     ]
-    assert outcomes(413, b"", (b"a", b"b")) == [Outcome(Result.MOOT)] * 2
+    assert outcomes(413, b"", (b"a", b"b")) == [Outcome(Result.NOT_SENT)] * 2
     assert outcomes(410, b"", (b"a", b"b")) == [Outcome(Result.ERROR)] * 2  # this speaks of one text
     with pytest.raises(KeyError):
         outcomes(200, body, (b"a", b"c"))
@@ -432,7 +432,7 @@
 def test_a_text_held_back_as_the_connection_comes_up_writes_nothing(deadlines):
     driver = Ears(goes=False)
     pool, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", 9 * SECOND, SECOND))
-    assert driver.ends == [(b"a", Result.MOOT)] and connection.transport.value() == b""
+    assert driver.ends == [(b"a", Result.NOT_SENT)] and connection.transport.value() == b""
     assert pool.idle[b"s-1"] == [connection] and pool.calls_out == 0
     deadlines[1].advance(1)
     assert connection.ending is Ending.IDLE
@@ -455,7 +455,7 @@
     _, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Le")
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.SPOILT)] and driver.over == [b"a"]
+    assert driver.ends == [(b"a", Result.MALFORMED)] and driver.over == [b"a"]
 
 
 def test_a_text_in_order_never_ends_while_its_call_stays_out(deadlines):
@@ -476,7 +476,7 @@
     _, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 " + line + b"\r\nContent-Length: 3000000000\r\n\r\nxx")
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.SPOILT)] and driver.over == over
+    assert driver.ends == [(b"a", Result.MALFORMED)] and driver.over == over
 
 
 @pytest.mark.parametrize("raw, later", [(b"no more", b""), (b"", b"HTTP/1.1 200 OK\r\n\r\n"), (b"", b"")])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -103,7 +103,7 @@
     assert len(relay.sent(NOW + 12 * S)) == 1 and host.back_at is None
 
 
-@pytest.mark.parametrize("result", [Result.TIMEOUT, Result.SPOILT])
+@pytest.mark.parametrize("result", [Result.TIMEOUT, Result.MALFORMED])
 def test_texts_of_a_key_go_in_turn_and_rest_after_what_may_still_run(relay, result):
     first, second = relay.take(CHARGE, key=5), relay.take(CHARGE, key=5)
     relay.host().last_ok = NOW + 1
@@ -116,7 +116,7 @@
 def test_the_next_text_of_a_key_rests_after_an_answer_of_which_only_the_first_line_came(relay):
     """The text is delivered, but nobody knows whether its call still runs."""
     first, second = relay.take(CHARGE, key=5), relay.take(CHARGE, key=5)
-    relay.out(first, Result.SPOILT, over=True)
+    relay.out(first, Result.MALFORMED, over=True)
     assert relay.sent(NOW + 2990) == {} and relay.sent(NOW + 3200) == {second: HOST}
     assert not relay.host().failing
 
@@ -203,7 +203,7 @@
     relay.policy.terms.max_submits = 1
     text = relay.take(REPORT)
     tokens = relay.policy.dests[1].tokens
-    relay.out(text, Result.MOOT, unsent=True)
+    relay.out(text, Result.NOT_SENT, unsent=True)
     assert relay.held(text).submits == 0 and relay.policy.dests[1].tokens == tokens
     assert relay.sent(NOW + S) == {text: HOST}
     relay.end(text, Result.FULL, NOW + S)
@@ -267,7 +267,7 @@
 def test_an_outage_that_the_other_process_found_is_known_here(relay):
     """In an upgrade: a returning host is not pushed over by a process that has seen nothing of its outage."""
     relay.list(TWIN)
-    relay.policy.health_told_to_sibling(NOW, HOST, Health.SICK, NOW - S)
+    relay.policy.health_told_to_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
     texts = [relay.take(REPORT) for _ in range(8)]
     assert relay.host().sick and relay.host(TWIN).sick  # one outage takes the hosts of a route
     assert len(relay.sent(NOW + S // 10)) <= 1  # trials alone
@@ -278,11 +278,11 @@
 
 def test_what_this_process_has_seen_since_counts_more_than_the_other_s_news(relay):
     relay.out(relay.take(REPORT), Result.DELIVERED, over=True)
-    relay.policy.health_told_to_sibling(NOW, HOST, Health.SICK, NOW - S)
+    relay.policy.health_told_to_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
     assert not relay.host().sick
     relay.policy.health_told_to_sibling(NOW, HOST, Health.WARMING, NOW - 30 * S)  # long warm again
     assert relay.host().back_at is None
-    relay.policy.health_told_to_sibling(NOW, b"unknown", Health.SICK, NOW)
+    relay.policy.health_told_to_sibling(NOW, b"unknown", Health.OUTAGE, NOW)
 
 
 def test_two_processes_together_send_a_returning_host_what_one_relay_may(relay):
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -87,7 +87,7 @@
         now = self.clock.now()
         for each in parcels:
             if not self.driver.may_go(now, each.text, host):
-                self.driver.ended(call, each, Outcome(Result.MOOT))
+                self.driver.ended(call, each, Outcome(Result.NOT_SENT))
         for each in [one for one in parcels if self.driver.may_go(now, one.text, host)]:
             assert self.driver.going(call, each)
             self.sent.append((now, each.text, host))
