--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -95,7 +95,7 @@
     discovery: Address
     state: str
     log: Log
-    terms: li.Terms
+    settings: li.PolicySettings
     names: Names
     known: dict
     disk_bytes: int
@@ -136,10 +136,10 @@
     )
 
 
-def terms_of(installation: Installation, seed: int) -> li.Terms:
+def terms_of(installation: Installation, seed: int) -> li.PolicySettings:
     """What the module is told when it starts."""
     limits, rules = installation.limits, installation.rules
-    return li.Terms(
+    return li.PolicySettings(
         seed=seed,
         relays=installation.relay.relays,
         slots=limits.slots,
@@ -161,7 +161,7 @@
     )
 
 
-def bench_terms(seed: int, settings: object) -> li.Terms:
+def bench_terms(seed: int, settings: object) -> li.PolicySettings:
     """The terms of an instance that is told nothing but the platform's settings."""
     anywhere = "0.0.0.0:0"
     raw = {"listen": anywhere, "discovery": anywhere, "state": ".", "settings": settings}
@@ -207,7 +207,7 @@
         discovery=address_of(catalog.address),
         state=relay.state,
         log=installation.log,
-        terms=replace(terms_of(installation, seed), hosts_on_demand=True),
+        settings=replace(terms_of(installation, seed), hosts_on_demand=True),
         names=names_of(installation),
         known=installation.known,
         disk_bytes=limits.disk,
--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class Terms:
+class PolicySettings:
     """All that a relay is told when it starts."""
 
     seed: int
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -42,7 +42,7 @@
 STOP_LEAST, STOP_MOST = 500 * MS, 3300 * MS
 LISTED = {Listing.READY: 0, Listing.DRAINING: 1, Listing.GONE: 2}
 HANDED_ON = (500 * MS, 1800 * MS)  # until what a lost machine held is handed in again
-Subject = Callable[[li.Terms, int], Policy]
+Subject = Callable[[li.PolicySettings, int], Policy]
 
 
 @dataclass(slots=True, eq=False)
--- a/limelatch/lab/stages/terms.py
+++ b/limelatch/lab/stages/terms.py
@@ -32,10 +32,10 @@
     return min(group.idle_time for group in groups)
 
 
-def terms_of(scenario: Scenario, seed: int, relay: int, start: int) -> li.Terms:
+def terms_of(scenario: Scenario, seed: int, relay: int, start: int) -> li.PolicySettings:
     """What the module of one relay is told at its start; `start` counts its starts."""
     relays, rules = scenario.relays, scenario.rules
-    return li.Terms(
+    return li.PolicySettings(
         seed=zlib.crc32(f"{seed} {relay} {start}".encode()) << 16 | 1,
         relays=relays.count,
         slots=relays.slots,
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -42,8 +42,8 @@
 
     tries = 1
 
-    def __init__(self, terms: li.Terms, now: int) -> None:
-        self.terms, self.chance = terms, Streams(terms.seed)
+    def __init__(self, settings: li.PolicySettings, now: int) -> None:
+        self.settings, self.chance = settings, Streams(settings.seed)
         self.texts: dict[li.TextId, PlainText] = {}
         self.over: dict[li.TextId, li.Text] = {}
         self.hosts: dict[li.HostId, li.HostEntry] = {}
@@ -71,10 +71,10 @@
         self.texts[text.id] = PlainText(text, past.submits, now, ran_at=past.ran_at, floor=past.ran_zone)
         self.waiting[text.id] = None
         heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
-        if text.key and self.terms.products[text.product].in_order:
+        if text.key and self.settings.products[text.product].in_order:
             self.lines.setdefault(text.key, []).append(text.id)
             if past.out:
-                self.rests[text.key] = now + self.terms.turn_gap
+                self.rests[text.key] = now + self.settings.turn_gap
         if past.answered:
             self.over[text.id] = self.texts.pop(text.id).text
             self.waiting.pop(text.id)
@@ -109,7 +109,7 @@
                 held.ran_at = now - report.took
                 held.floor = self.hosts[report.host].zone if report.host in self.hosts else None
             if text.key and report.result is not Result.ERROR:
-                self.rests[text.key] = now + self.terms.turn_gap
+                self.rests[text.key] = now + self.settings.turn_gap
         held.due = now + PAUSE
         self.waiting[report.text] = None
         heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
@@ -139,7 +139,9 @@
             elif self._done(now, held):
                 self._end(held, actions)
             elif (
-                self.used < self.terms.slots and held.due <= now < self.stop_at and self._turn(now, held.text)
+                self.used < self.settings.slots
+                and held.due <= now < self.stop_at
+                and self._turn(now, held.text)
             ):
                 self._submit(now, held, actions)
         if self.waiting:
@@ -148,8 +150,8 @@
 
     def _done(self, now: int, held: PlainText) -> bool:
         """Whether it is not to be sent again."""
-        product = self.terms.products[held.text.product]
-        if held.tries >= min(self.tries, self.terms.max_submits):
+        product = self.settings.products[held.text.product]
+        if held.tries >= min(self.tries, self.settings.max_submits):
             return True
         if held.ran_at is None or product.effect is Effect.RESENDABLE:
             return False
@@ -162,7 +164,7 @@
 
     def _submit(self, now: int, held: PlainText, actions: list[li.Action]) -> None:
         text = held.text
-        product = self.terms.products[text.product]
+        product = self.settings.products[text.product]
         hosts = self.by_destination.get(text.destination, [])
         if held.ran_at is not None and product.effect is Effect.REFERENCED and not product.repeats_anywhere:
             hosts = [each for each in hosts if self.hosts[each].zone == held.floor]
@@ -176,14 +178,14 @@
 
     def _end(self, held: PlainText, actions: list[li.Action]) -> None:
         text = held.text
-        product = self.terms.products[text.product]
+        product = self.settings.products[text.product]
         safe = (
             held.ran_at is None
             or product.effect is Effect.RESENDABLE
             or product.effect is Effect.REFERENCED
             and product.repeats_anywhere
         )
-        actions.append(li.Nack(text.id, self.terms.max_advice) if safe else li.Undeliverable(text.id))
+        actions.append(li.Nack(text.id, self.settings.max_advice) if safe else li.Undeliverable(text.id))
         self.over[text.id] = self.texts.pop(text.id).text
         self.waiting.pop(text.id, None)
 
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -1,6 +1,6 @@
 """limelatch's decisions: which host gets which text, when, and what a text's final answer is.
 
-One `Policy(terms, now)` a relay: tell it each event, call `decide(now)` and carry out its actions in order
+One `Policy(settings, now)` a relay: tell it each event, call `decide(now)` and carry out its actions in order
 (limelatch/interface.py; reasons: docs/design/decisions.md). `_plan` sets the wanted state, `_gate` checks
 the rules for every send, `_emit` works out the difference; `may_go` asks again when a connection has come up.
 
@@ -38,7 +38,7 @@
     Result,
     Submit,
     SubmitReport,
-    Terms,
+    PolicySettings,
     Text,
     TextId,
     Undeliverable,
@@ -182,8 +182,8 @@
 
 
 class Policy:
-    def __init__(self, terms: Terms, now: int) -> None:
-        self.terms, self.chance = terms, Chance(terms.seed)
+    def __init__(self, settings: PolicySettings, now: int) -> None:
+        self.settings, self.chance = settings, Chance(settings.seed)
         self.texts: dict[TextId, Held] = {}
         self.unheard: dict[TextId, Held] = {}  # finally answered, and the answer is not known to be heard
         self.hosts: dict[HostId, Host] = {}
@@ -193,14 +193,20 @@
         self.order = KeyOrder()  # of texts of products in order, over all processes of the relay
         self.expiries: list[tuple[int, TextId]] = []
         self.slots_used, self.wake_at, self.stop_at = 0, now, NEVER
-        self.rest = REST if terms.hosts_on_demand else NEVER  # of a destination, until it may be forgotten
+        self.rest = REST if settings.hosts_on_demand else NEVER  # of a destination, until it may be forgotten
         self.ask_at, self.asked = NEVER, 0  # when to ask for the list; calls for it that failed in a row
         self.list_failed(now, calls=0)
-        self.keep = int(terms.conn_idle * KEEP_PART)  # how long connections may stand idle
-        self.idle_most = [self.keep // 2 if terms.relays > KEEPERS else NEVER] * len(terms.kinds)  # by kind
-        self.room_at = [now + terms.conn_idle] * len(terms.kinds)  # when no connect has failed until then
-        self.stale = [0.0] * len(terms.kinds)  # smoothed share of calls on kept connections that were reset
-        self.products: list[set[int]] = [set() for _ in terms.kinds]  # that go to each kind
+        self.keep = int(settings.conn_idle * KEEP_PART)  # how long connections may stand idle
+        self.idle_most = [self.keep // 2 if settings.relays > KEEPERS else NEVER] * len(
+            settings.kinds
+        )  # by kind
+        self.room_at = [now + settings.conn_idle] * len(
+            settings.kinds
+        )  # when no connect has failed until then
+        self.stale = [0.0] * len(
+            settings.kinds
+        )  # smoothed share of calls on kept connections that were reset
+        self.products: list[set[int]] = [set() for _ in settings.kinds]  # that go to each kind
         self.changed, self.closing, self.log = [], [], []  # texts to act on, hosts, lines
         self.resting: dict[int, int] = {}  # destinations that lost a text: when to look at them
 
@@ -212,16 +218,16 @@
             host.listing = Listing.GONE
         for host, entry in [(self._host(entry), entry) for entry in entries]:
             host.listing = entry.listing
-            if self.terms.rates_listed and not host.route.limit:
-                host.route.learn_limit(entry.rate, self.terms.relays)
+            if self.settings.rates_listed and not host.route.limit:
+                host.route.learn_limit(entry.rate, self.settings.relays)
         for number in list(self.dests) if whole else dict.fromkeys(entry.destination for entry in entries):
             self._sort_hosts(self.dests[number])
 
     def list_failed(self, now: int, heard_at: int = NEVER, calls: int = 1) -> None:
         """A call for the list failed, or its watch ended, last heard then: ask again, apart and in time."""
-        if self.terms.list_asked:
+        if self.settings.list_asked:
             self.asked += calls
-            part = self.terms.ask_within // ASK_PART * min(self.asked + 1, ASK_CAP)
+            part = self.settings.ask_within // ASK_PART * min(self.asked + 1, ASK_CAP)
             self.ask_at = now + self.chance.below(min(part, max(0, heard_at + ASK_BY - now)))
 
     def _sort_hosts(self, dest: Destination) -> None:
@@ -235,12 +241,12 @@
 
     def text_taken(self, now: int, text: Text, past: Past = NEW) -> None:
         """A text from a client or, with its past, from this relay's time before a restart, in its order."""
-        held = self.texts[text.id] = Held(text, self.terms.products[text.product], past)
+        held = self.texts[text.id] = Held(text, self.settings.products[text.product], past)
         if held.key:
             handed_in_at = now if text.handed_in_at is None else text.handed_in_at
             self.order.take(held.key, Place(text.id, handed_in_at, past.submits > 0))
         if past.out and held.key:
-            self.order.rest(held.key, text.id, now + self.terms.turn_gap)
+            self.order.rest(held.key, text.id, now + self.settings.turn_gap)
         if past.answered:
             self.unheard[text.id] = self.texts.pop(text.id)
         elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:
@@ -270,7 +276,7 @@
         if report.result in ANSWERED + UNANSWERED:  # it may have run
             held.may_have_run(call.sent, host.zone)
             if report.result is not Result.ERROR and held.key:
-                self.order.rest(held.key, held.text.id, now + self.terms.turn_gap)
+                self.order.rest(held.key, held.text.id, now + self.settings.turn_gap)
         if report.over:
             return self._forget(now, held)
         held.submits -= report.unsent
@@ -278,7 +284,12 @@
         once_ran = held.row.effect is Effect.ONCE_ONLY and held.ran_at is not None
         in_time = now + wait < held.until - (host.route.usual if held.ran_at is None else 0)
         price = 0 if report.unsent else TOKEN
-        if held.submits < self.terms.max_submits and not once_ran and in_time and host.dest.tokens >= price:
+        if (
+            held.submits < self.settings.max_submits
+            and not once_ran
+            and in_time
+            and host.dest.tokens >= price
+        ):
             host.dest.tokens, held.due = host.dest.tokens - price, now + wait
             self._hold(held)
         else:
@@ -305,7 +316,7 @@
         if health is Health.OUTAGE and not known.sick and known.last_ok < at:
             self._fall_sick(at, known)
             self._next_trial(now, route)
-        elif health is Health.WARMING and now - at < self.terms.cold_time and known.back_at is None:
+        elif health is Health.WARMING and now - at < self.settings.cold_time and known.back_at is None:
             self._warm_up(now, known, at)
             if not any(each.sick for each in route.hosts):
                 route.tries = 0
@@ -341,7 +352,10 @@
 
     def _learned(self, now: int, dest: Destination) -> bool:
         """Whether it knows what a new start would not; what only deliveries undo counts until it is old."""
-        aged, part = now > dest.rest_at + LESSON, self.terms.relays if self.terms.relays > KEEPERS else 1
+        aged, part = (
+            now > dest.rest_at + LESSON,
+            self.settings.relays if self.settings.relays > KEEPERS else 1,
+        )
         for host in dest.hosts:
             self._advance(now, host)
             route, even = host.route, host.route.limit / part
@@ -354,10 +368,10 @@
     def _learn(self, now: int, host: Host, call: Call, report: SubmitReport, product: int) -> None:
         """Take an outcome into the bucket, the window, the pace and the host's health."""
         route, result, kind, counts = host.route, report.result, host.kind, call.texts == 0
-        route.learn_limit(report.limit_rate, self.terms.relays)
+        route.learn_limit(report.limit_rate, self.settings.relays)
         self.products[kind].add(product)
         idle, reset = call.idle if report.idle is None else report.idle, result is Result.RESET
-        many = self.terms.relays > KEEPERS and result in (Result.CONNECT, Result.TIMEOUT)
+        many = self.settings.relays > KEEPERS and result in (Result.CONNECT, Result.TIMEOUT)
         lost = idle > 0 and (reset or many and result is Result.TIMEOUT)
         near, quick = now - host.last_ok < GOOD_LATELY, report.took < route.usual // 2
         spared = near and result is Result.CONNECT or reset and quick and (idle or near)  # no outage
@@ -380,7 +394,7 @@
             host.sour.pop(product, None)
             route.served = route.served * max(0.0, 1 - (now - route.served_at) / SERVED_SPAN) + 1.0
             host.last_ok, route.served_at, route.cuts = now, now, 0
-            left, part = report.limit_left, PACE_ROOM if self.terms.relays > KEEPERS else 1.0
+            left, part = report.limit_left, PACE_ROOM if self.settings.relays > KEEPERS else 1.0
             growth = PACE_STEP if left is None else part * max(0.0, left)  # by what others leave
             route.grow(growth if route.limit else PACE_LEARN)
             route.window = min(route.window + 1, self._window_cap(host))
@@ -400,7 +414,7 @@
 
     def _one_product(self, now: int, host: Host, product: int, result: Result) -> bool:
         """Whether it fails one product alone, and no other host of its route does; few tell by shares."""
-        several = self.terms.relays > KEEPERS and len(self.products[host.kind]) > 1
+        several = self.settings.relays > KEEPERS and len(self.products[host.kind]) > 1
         if several and result not in (Result.CONNECT, Result.RESET):
             host.sour[product] = now
         others = [each for each in host.route.hosts if each is not host and each.listing is Listing.READY]
@@ -440,15 +454,17 @@
     def _refused(self, now: int, host: Host, told: int, left: float | None) -> None:
         """A refusal lowers the pace: from the relay's own rate, where a limit is known towards its even part.
         Guards against hundreds of relays, each far under the limit, that use it up by being refused."""
-        route, even = host.route, (host.route.limit or RATE_AT_FIRST) / self.terms.relays
+        route, even = host.route, (host.route.limit or RATE_AT_FIRST) / self.settings.relays
         room = left is not None and left >= LIMIT_USED_UP  # not the limit, then: it is shut
         if now - route.cut_at > PACE_REST or not route.pace:
-            route.refill(now, self.terms.relays)
+            route.refill(now, self.settings.relays)
             own, weight = route.flow * SECOND / FLOW_SPAN, 1 / (route.flow + (1 if left is None else 2))
             if route.limit:
                 mixed = (2 * own) ** (1 - weight) * even**weight
                 fair = min(route.pace, even if room and now - host.last_ok > GOOD_LATELY else mixed)
-                deeper = route.cuts * weight if self.terms.relays > KEEPERS else 0.0  # few relays push less
+                deeper = (
+                    route.cuts * weight if self.settings.relays > KEEPERS else 0.0
+                )  # few relays push less
                 route.pace = max(PACE_CUT * fair / (1 + deeper), PACE_LEAST * even)
             else:  # the first may be chance; few relays have texts for it at one time
                 route.pace = max(PACE_CUT / (1 + min(route.cuts, 1)) * min(route.pace or own, own), 2 * even)
@@ -469,14 +485,14 @@
 
     def _trial_opens(self, route: Route) -> int:
         """Guards against hundreds of relays pushing over a cold destination by their trials alone."""
-        bearable = min(1.0, self.terms.cold_share * self.terms.fall_multiple * TRIAL_PART)
-        spacing = SECOND * self._seers(route.tried_at, route) / (bearable * route.rate(self.terms.relays))
+        bearable = min(1.0, self.settings.cold_share * self.settings.fall_multiple * TRIAL_PART)
+        spacing = SECOND * self._seers(route.tried_at, route) / (bearable * route.rate(self.settings.relays))
         route.trial_at = max(route.trial_at, route.tried_at + int(spacing * route.part / 100))
         return route.trial_at
 
     def _seers(self, now: int, route: Route) -> float:
         """How many relays may know of an outage: by its texts, or by this one's if all are alike."""
-        relays, like = self.terms.relays, self.terms.relays * (route.hosts[0].dest.had - 1) / 2
+        relays, like = self.settings.relays, self.settings.relays * (route.hosts[0].dest.had - 1) / 2
         seers = max(1.0, like, route.rate(relays) * (now - route.down_at + SEEN_BEFORE) / SECOND)
         return min(relays, seers) * self.processes
 
@@ -497,9 +513,9 @@
         queue = sorted(
             (self._rank(now, best[0]), number, best)
             for number, dest in looked
-            if self.slots_used < self.terms.slots and (best := self._ready(now, dest))
+            if self.slots_used < self.settings.slots and (best := self._ready(now, dest))
         )
-        while queue and self.slots_used < self.terms.slots:
+        while queue and self.slots_used < self.settings.slots:
             _, number, ready = heapq.heappop(queue)
             if ready := self._fill_call(now, self.dests[number], ready):
                 heapq.heappush(queue, (self._rank(now, ready[0]), number, ready))
@@ -518,7 +534,7 @@
                 if h.found and not h.submits and h.until > now + SECOND
             )
             for host in dest.hosts if found else ():
-                route, batch = host.route, self.terms.kinds[host.kind].texts_per_call
+                route, batch = host.route, self.settings.kinds[host.kind].texts_per_call
                 calls = [(at // batch + 2 - route.credit) / left for at, left in enumerate(found)]
                 route.pace = route.pace and max(route.pace, min(SECOND * max(calls), route.limit or NEVER))
                 dest.look_at = min(dest.look_at, self._opens_at(now, host))
@@ -544,7 +560,7 @@
             if not (ready := ready[1:]):
                 return []
         call, route, rest, soon = Call(host, now), host.route, [], now + host.patience()
-        most = 1 if host.sick or host.overdue(now) else self.terms.kinds[host.kind].texts_per_call
+        most = 1 if host.sick or host.overdue(now) else self.settings.kinds[host.kind].texts_per_call
         ends = ready[0].until < soon  # such a call may be given up: it takes no text with more time left
         for held in ready:
             if call.texts < most and (held.until < soon) == ends and self._gate(now, held, host):
@@ -577,7 +593,7 @@
 
     def _gate(self, now: int, held: Held, host: Host) -> bool:
         """The rules, for every send: no text twice out, no effect twice, drains, waits and order kept."""
-        done = held.verdict is not None or held.call is not None or held.submits >= self.terms.max_submits
+        done = held.verdict is not None or held.call is not None or held.submits >= self.settings.max_submits
         late = host.route.wait_until > now or now + host.patience() > self.stop_at
         if done or late or host.listing is not Listing.READY or not self._has_turn(now, held):
             return False
@@ -595,7 +611,7 @@
     def _opens_at(self, now: int, host: Host) -> int:
         """When the host takes one more call of this relay: slots, window, pace, health, warm-up."""
         route, cap = host.route, self._window_cap(host)
-        full = self.slots_used >= self.terms.slots or route.calls >= min(cap, route.window)
+        full = self.slots_used >= self.settings.slots or route.calls >= min(cap, route.window)
         if full or host.dest.calls >= cap or host.listing is not Listing.READY:
             return NEVER
         if host.sick:
@@ -607,21 +623,25 @@
 
     def _window_cap(self, host: Host) -> int:
         unwell = any(each.sick or each.back_at is not None for each in host.dest.hosts)
-        return max(1, self.terms.slots // 2 if unwell else self.terms.slots * 3 // 4)
+        return max(1, self.settings.slots // 2 if unwell else self.settings.slots * 3 // 4)
 
     def _advance(self, now: int, host: Host) -> None:
         """Bring a host's pace and warm-up to now: what it bears if all that know of its outage send."""
-        terms, route = self.terms, host.route
-        route.refill(now, terms.relays)  # also with no pace, so that the time without one fills no later one
+        settings, route = self.settings, host.route
+        route.refill(
+            now, settings.relays
+        )  # also with no pace, so that the time without one fills no later one
         if host.back_at is None:
             return
         since, passed, seers = now - host.back_at, now - host.warm_at, self._seers(host.back_at, route)
-        if since >= terms.cold_time:
+        if since >= settings.cold_time:
             host.back_at = None
             return self.log.append(LogLine(f"warm after {since // SECOND} s", host.id))
-        early = max(0, host.back_at - max(route.tried_at, route.down_at)) / 2 * (terms.relays > KEEPERS)
-        share = min(1.0, terms.cold_share + (1 - terms.cold_share) * (since + early) / terms.cold_time)
-        rate = route.rate(terms.relays) * share * terms.fall_multiple / len(route.hosts) / seers
+        early = max(0, host.back_at - max(route.tried_at, route.down_at)) / 2 * (settings.relays > KEEPERS)
+        share = min(
+            1.0, settings.cold_share + (1 - settings.cold_share) * (since + early) / settings.cold_time
+        )
+        rate = route.rate(settings.relays) * share * settings.fall_multiple / len(route.hosts) / seers
         host.warm_credit, host.warm_at = min(1.0, host.warm_credit + rate * passed / SECOND), now
 
     def _give_up(self, now: int) -> None:
@@ -630,7 +650,7 @@
             held = self.texts.get(heapq.heappop(self.expiries)[1])
             if held and held.call is None and held.verdict is None and held.until - LAST_MOMENT <= now:
                 self._end(now, held)
-        if (over := len(self.texts) - int(self.terms.max_texts * ROOM_LEFT)) > 0:
+        if (over := len(self.texts) - int(self.settings.max_texts * ROOM_LEFT)) > 0:
             idle = [h for h in self.texts.values() if h.call is None and h.verdict is None and h.may_nack()]
             for held in sorted(idle, key=lambda held: self._rank(now, held), reverse=True)[:over]:
                 self._end(now, held)
@@ -639,7 +659,7 @@
         """The final answer: a nack with advice where coming again is harmless, else undeliverable."""
         text = held.text.id
         self.dests[held.text.destination].waiting.pop(text, None)
-        held.verdict = Nack(text, self.terms.max_advice) if held.may_nack() else Undeliverable(text)
+        held.verdict = Nack(text, self.settings.max_advice) if held.may_nack() else Undeliverable(text)
         self.changed.append(held)
 
     def _emit(self, now: int) -> list[Action]:
@@ -662,7 +682,7 @@
             self.ask_at = NEVER
             actions.append(Watch())
         looks = [self.ask_at, next(iter(self.resting.values()), NEVER)]
-        looks += [dest.look_at for dest in self.active.values() if self.slots_used < self.terms.slots]
+        looks += [dest.look_at for dest in self.active.values() if self.slots_used < self.settings.slots]
         looks += [due for due, _ in self.expiries[:1] if self.active]
         wake_at = max(now + PERIOD, min(looks))
         if wake_at < NEVER and (wake_at < self.wake_at or self.wake_at <= now):
@@ -677,7 +697,7 @@
 
     def _time_out(self, held: Held) -> int:
         """The design's; a referenced text keeps time for its repeat; scarce slots wait for no lost answer."""
-        scarce = self.slots_used > min(SCARCE * self.terms.slots, self.terms.slots - 1.5)
+        scarce = self.slots_used > min(SCARCE * self.settings.slots, self.settings.slots - 1.5)
         known = held.call.host.patience() if held.call.host.route.seen >= RECENT_CALLS else GUIDE_TIME_OUT
         least = held.row.repeat_window // 4 if held.row.effect is Effect.REFERENCED else TIME_OUT
         whole = min(TIME_OUT, max(2 * known, GUIDE_TIME_OUT if scarce else least))
@@ -690,7 +710,7 @@
             return host
         elif host:
             host.listing = Listing.GONE
-        apart, window = self.terms.kinds[entry.kind].routes_apart, max(1, self.terms.slots // 2)
+        apart, window = self.settings.kinds[entry.kind].routes_apart, max(1, self.settings.slots // 2)
         route = dest.shared = Route(window) if apart else dest.shared or Route(window)
         host = self.hosts[entry.host] = Host(entry, dest, route, self.keep)
         host.sick = route.tries > 0 and all(each.sick for each in route.hosts)  # new in an outage
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -74,7 +74,7 @@
         self.plan, self.reactor, self.clock = plan, reactor, clock
         self.started_with = plan.told
         self.deadlines = Deadlines(reactor, clock)
-        self.policy = Policy(plan.terms, clock.now())
+        self.policy = Policy(plan.settings, clock.now())
         self.out = HostsOut(plan.state)  # by hand, through the door; read before the folder is locked
         self.folder = FolderWatch(clock, self.deadlines, self._notify, self.soon)
         self.ledger = Ledger(plan.state, plan.disk_bytes, plan.memory_bytes, self.folder.told)
@@ -94,7 +94,7 @@
         )
         self._handed_in_last = 0
         self._serves_from = clock.now() + (NOTICED_AFTER if self.ledger.beside else 0)
-        self.slots: Slots[Owed] = Slots(max(plan.terms.max_texts, len(self.ledger.entries)))
+        self.slots: Slots[Owed] = Slots(max(plan.settings.max_texts, len(self.ledger.entries)))
         self.owed: dict[bytes, Owed] = {}
         self.arrived: dict[bytes, Owed] = {}  # this turn, not taken on yet
         self.hosts: dict[li.HostId, li.HostEntry] = {}  # of the destinations at work, as last told
@@ -115,7 +115,7 @@
             plan.silence,
             plan.reconnect_wait,
             self.listed,
-            self.list_failed if plan.terms.list_asked else None,
+            self.list_failed if plan.settings.list_asked else None,
             ListCopy(plan.state, self.deadlines, self.ledger),
             lambda destination: destination in self.policy.dests,
         )
@@ -126,7 +126,9 @@
         if plan.membership is not None:  # else nothing of it is loaded
             from limelatch.relay.peers import Peers
 
-            self.peers = Peers(plan.membership, reactor, self.deadlines, clock, plan.state, plan.terms.seed)
+            self.peers = Peers(
+                plan.membership, reactor, self.deadlines, clock, plan.state, plan.settings.seed
+            )
 
     def start(self) -> None:
         """Take up what the ledger holds, then wait for the first list before serving."""
@@ -156,7 +158,7 @@
         self.wall_watch.start()
         say(log, "waiting", on="list", most_ms=self.plan.list_wait // li.MS)
         self.deadlines.after(self.plan.list_wait, self.serve)
-        if not self.plan.terms.list_asked:
+        if not self.plan.settings.list_asked:
             self.catalog.connect()
         self.soon()
 
@@ -180,7 +182,7 @@
     def _is_ordered(self, product: str) -> bool:
         """Whether a product is in order by the settings; one that they don't know counts as one that is."""
         names = self.plan.names.products
-        return product not in names or self.plan.terms.products[names.index(product)].in_order
+        return product not in names or self.plan.settings.products[names.index(product)].in_order
 
     def _resume(self, now: int, entry: Entry) -> None:
         """A text that an earlier process took on: an end it still owes, or the module decides anew."""
@@ -192,7 +194,7 @@
         text.handed_in_at = entry.handed_in_at
         self._handed_in_last = max(self._handed_in_last, entry.handed_in_at)
         in_order = self._is_ordered(pairs["product"]) if entry.in_order is None else entry.in_order
-        row = replace(self.plan.terms.products[product], in_order=in_order)
+        row = replace(self.plan.settings.products[product], in_order=in_order)
         owed = self._own(Owed(text, pairs["mark"].encode(), entry.body, row, pairs["product"]))
         answered = entry.notice is not None or not known
         ran_at = entry.ran_at
@@ -249,7 +251,9 @@
     def configured(self, plan: RelayPlan) -> None:
         """SIGHUP: take the keys that can change while texts are held; the others need a restart."""
         later = [each.path for each in changes(self.started_with, plan.told) if each.reload is Reload.RESTART]
-        terms = replace(self.plan.terms, products=plan.terms.products, max_submits=plan.terms.max_submits)
+        settings = replace(
+            self.plan.settings, products=plan.settings.products, max_submits=plan.settings.max_submits
+        )
         self.plan = replace(
             self.plan,
             discovery=plan.discovery,
@@ -257,10 +261,10 @@
             known=plan.known,
             stop_least=plan.stop_least,
             stop_wait=plan.stop_wait,
-            terms=terms,
+            settings=settings,
             names=replace(self.plan.names, products=plan.names.products),
         )
-        self.policy.terms = terms  # what it holds keeps the rows it came with
+        self.policy.settings = settings  # what it holds keeps the rows it came with
         self.catalog.move(plan.discovery)
         self.notifier.move(plan.discovery)
         start_logs(plan.log)
@@ -269,8 +273,8 @@
             "configured",
             catalog=plan.discovery,
             owed=len(self.owed),
-            products=len(terms.products),
-            submits=terms.max_submits,
+            products=len(settings.products),
+            submits=settings.max_submits,
             restart_for=",".join(later),
         )
         self.soon()
@@ -329,12 +333,12 @@
         else:
             number = names.customers.index(customer) if customer in names.customers else 0
             row = names.products.index(product)
-            most = self.plan.terms.products[row].validity_period or handed.valid_for
+            most = self.plan.settings.products[row].validity_period or handed.valid_for
             until = now + min(handed.valid_for, most)
             self._handed_in_last = max(now, self._handed_in_last + 1)  # each text has a time of its own
             text = li.Text(handed.id, handed.destination, row, until, number, handed.order)
             text.handed_in_at = self._handed_in_last
-            rules = self.plan.terms.products[row]
+            rules = self.plan.settings.products[row]
             self.arrived[handed.id] = self._own(Owed(text, handed.mark, handed.body, rules, product, client))
             self._meet(now, text.destination)
             self.policy.text_taken(now, text)
@@ -624,7 +628,7 @@
         `due` counts from the decision: guards against a submit that waits past its text's validity period by
         the time that the ledger's writes have taken since."""
         owed = self.owed[text]
-        most = self.plan.terms.kinds[self.hosts[host].kind].texts_per_call if host in self.hosts else 1
+        most = self.plan.settings.kinds[self.hosts[host].kind].texts_per_call if host in self.hosts else 1
         if len(calls.get(host, [])) >= most:
             self.pool.send(host, calls.pop(host))
         calls.setdefault(host, []).append(Parcel(text, owed.mark, owed.body, due, keep))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,7 @@
     Result,
     Submit,
     SubmitReport,
-    Terms,
+    PolicySettings,
     Text,
 )
 from limelatch.lab.machine.faults import Faults, build
@@ -79,13 +79,13 @@
 
 
 @pytest.fixture
-def terms():
+def policy_settings():
     products = [
         Product(Effect.REFERENCED, 3 * S, 24 * S, 2.0, 0.5, True, 10 * S, repeats_anywhere=False),
         Product(Effect.ONCE_ONLY, 25 * S // 10, 28 * S, 1.0, 0.3, True, in_order=True),
         Product(Effect.RESENDABLE, 3 * S, 16 * S, 2.0, 0.4, False),
     ]
-    return Terms(
+    return PolicySettings(
         seed=7,
         relays=3,
         slots=8,
@@ -104,16 +104,16 @@
 
 
 @pytest.fixture
-def relay(terms):
-    bench = Bench(Policy(terms, NOW))
+def relay(policy_settings):
+    bench = Bench(Policy(policy_settings, NOW))
     bench.list(HOST)
     return bench
 
 
 @pytest.fixture
-def fleet(terms):
+def fleet(policy_settings):
     """One of hundreds of relays, whose list is asked for."""
-    bench = Bench(Policy(replace(terms, relays=200, list_asked=True, ask_within=10 * S), NOW))
+    bench = Bench(Policy(replace(policy_settings, relays=200, list_asked=True, ask_within=10 * S), NOW))
     bench.list(HOST)
     return bench
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -338,7 +338,7 @@
     settings = SETTINGS | {"discovery": way, "rules": {"askEvery": ask}}
     path = file(json.dumps(PLATFORM | {"settings": settings}), "a.json")
     if key is None:
-        assert relay_plan({}, path).terms.list_asked is (way == "subscribe")
+        assert relay_plan({}, path).settings.list_asked is (way == "subscribe")
     else:
         assert [fault.path for fault in faults(path)] == [key]
     for line in ('news = "asked"', 'ask_within = "10s"'):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -427,10 +427,10 @@
 
 @pytest.mark.parametrize("relays, rate", [(200, 20.0), (40, 4.0), (3, 4.0)])
 @pytest.mark.parametrize("late_list", [False, True])
-def test_what_a_restart_finds_untried_is_tried_in_its_time(terms, relays, rate, late_list):
+def test_what_a_restart_finds_untried_is_tried_in_its_time(policy_settings, relays, rate, late_list):
     """At the even part of a limit a fifth once ended with no call: 641 of 3,364 on a day with mass kills."""
-    terms = replace(terms, relays=relays, rates_listed=True)
-    bench = Bench(Policy(terms, NOW))
+    policy_settings = replace(policy_settings, relays=relays, rates_listed=True)
+    bench = Bench(Policy(policy_settings, NOW))
     if not late_list:
         bench.list(HOST, TWIN, rate=rate)
     texts = set()
@@ -447,8 +447,8 @@
     assert tried == texts
 
 
-def test_what_a_restart_finds_untried_heeds_told_waits_and_outages(terms):
-    bench = Bench(Policy(replace(terms, relays=200, rates_listed=True), NOW))
+def test_what_a_restart_finds_untried_heeds_told_waits_and_outages(policy_settings):
+    bench = Bench(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     for number in range(3):
         bench.policy.text_taken(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), Past())
@@ -459,8 +459,8 @@
     assert {end.text for end in bench.decide(Nack)} == {500, 501, 502} and bench.sent(NOW + 5 * S) == {}
 
 
-def test_a_new_text_that_can_t_be_sent_in_its_time_is_still_given_up_at_once(terms):
-    bench = Bench(Policy(replace(terms, relays=200, rates_listed=True), NOW))
+def test_a_new_text_that_can_t_be_sent_in_its_time_is_still_given_up_at_once(policy_settings):
+    bench = Bench(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     bench.take(REPORT), bench.take(REPORT)
     assert len(bench.sent()) == 2  # what is saved up
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -534,10 +534,10 @@
 
 
 @pytest.fixture
-def on_demand(terms):
+def on_demand(policy_settings):
     """A module that is told of destinations as it meets them."""
-    terms.hosts_on_demand = True
-    return Bench(Policy(terms, NOW))
+    policy_settings.hosts_on_demand = True
+    return Bench(Policy(policy_settings, NOW))
 
 
 def forgotten(relay, now):
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -159,7 +159,7 @@
 def test_a_refusal_cuts_the_pace_to_the_relays_own_rate(relay):
     """A pace of the whole limit at hundreds of relays once took many refusals to matter; limits collapsed."""
     route = relay.host().route
-    relay.policy.terms.relays = 200
+    relay.policy.settings.relays = 200
     route.learn_limit(20.0, 200)
     relay.out(relay.take(REPORT), Result.FULL)
     assert 0.04 <= route.pace < 0.2
@@ -185,7 +185,7 @@
 def test_the_parts_of_the_relays_that_know_add_up_to_what_is_safe(relay):
     """A part of limit / relays from nothing once kept hundreds of relays silent through the cold time."""
     policy, route = relay.policy, relay.host().route
-    policy.terms.relays, route.limit, route.down_at = 200, 4.0, NOW
+    policy.settings.relays, route.limit, route.down_at = 200, 4.0, NOW
     assert policy._seers(NOW + 5 * S, route) == 40 and policy._seers(NOW + 100 * S, route) == 200
     relay.host().sick = True
     policy._come_back(NOW, route)
@@ -313,7 +313,7 @@
     for bench, room in ((fleet, (0.1, 0.11)), (relay, (20.0, 20.0))):
         route = bench.host().route
         route.credit_at = NOW
-        route.learn_limit(20.0, bench.policy.terms.relays)
+        route.learn_limit(20.0, bench.policy.settings.relays)
         bench.out(bench.take(REPORT), Result.DELIVERED, limit_left=1.0, over=True)
         assert room[0] <= route.pace <= room[1]
     fleet.host().route.learn_limit(10.0, 200)  # once only refusals told each, late and alone
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -563,8 +563,11 @@
 
 
 def test_settings_get_defaults_and_unknown_effects_never_run_twice():
-    terms = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
-    assert terms.products[0].effect is Effect.ONCE_ONLY and (terms.slots, terms.max_texts) == (16, 500)
+    settings = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
+    assert settings.products[0].effect is Effect.ONCE_ONLY and (settings.slots, settings.max_texts) == (
+        16,
+        500,
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -249,10 +249,10 @@
 WALL = 1_796_000_000 * S  # some moment of 2026
 
 
-def sends(terms, start, told, seconds=10):
+def sends(policy_settings, start, told, seconds=10):
     """How many calls one of many relays makes at a limit of 40 calls a second, in each second, with work
     enough; the limit is listed, or told by each answer."""
-    bench = Bench(Policy(terms, start))
+    bench = Bench(Policy(policy_settings, start))
     bench.list(HOST, rate=0.0 if told else 40.0, now=start)
     counts = [0] * seconds
     for step in range(50 * seconds):
@@ -266,18 +266,18 @@
 
 @pytest.mark.parametrize("told", [False, True])
 @pytest.mark.parametrize("relays", [20, 200])
-def test_a_relay_starts_at_its_even_part_of_a_limit_whatever_the_clock_says(terms, relays, told):
+def test_a_relay_starts_at_its_even_part_of_a_limit_whatever_the_clock_says(policy_settings, relays, told):
     """The first refill once counted from the clock's zero: on a wall's each relay began at the whole."""
-    terms = replace(terms, relays=relays, slots=8, rates_listed=not told)
-    first = sends(terms, 0, told)
-    assert sends(terms, WALL, told) == first
+    policy_settings = replace(policy_settings, relays=relays, slots=8, rates_listed=not told)
+    first = sends(policy_settings, 0, told)
+    assert sends(policy_settings, WALL, told) == first
     saved, even = 2, 40 / relays  # calls saved up at the start, its even part of the limit
     assert first[0] <= saved + told + 2 * even  # told: the call whose answer tells comes before
 
 
-def test_a_limit_told_after_many_calls_finds_no_debt_from_the_time_without_a_pace(terms):
+def test_a_limit_told_after_many_calls_finds_no_debt_from_the_time_without_a_pace(policy_settings):
     """Calls made while nothing was known would hold the next ones back for minutes."""
-    bench = Bench(Policy(replace(terms, relays=20), WALL))
+    bench = Bench(Policy(replace(policy_settings, relays=20), WALL))
     bench.list(HOST, now=WALL)
     for _ in range(30):
         bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, over=True)
@@ -288,8 +288,8 @@
     assert bench.sent(now) == {text: HOST}
 
 
-def test_a_pace_learned_anew_does_not_grow_for_the_time_without_one(terms):
-    bench = Bench(Policy(replace(terms, relays=20), WALL))
+def test_a_pace_learned_anew_does_not_grow_for_the_time_without_one(policy_settings):
+    bench = Bench(Policy(replace(policy_settings, relays=20), WALL))
     bench.list(HOST, now=WALL)
     route = bench.host().route
     route.limit, route.pace, route.credit, route.credit_at = 0.0, 0.0, 0.0, WALL  # had one, long ago
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -200,7 +200,7 @@
 
 def test_a_text_held_back_as_its_connection_comes_up_uses_up_no_submit_and_no_token(relay):
     """No byte of it has gone; with one submit allowed it would end without ever having been sent."""
-    relay.policy.terms.max_submits = 1
+    relay.policy.settings.max_submits = 1
     text = relay.take(REPORT)
     tokens = relay.policy.dests[1].tokens
     relay.out(text, Result.NOT_SENT, unsent=True)
@@ -257,7 +257,7 @@
     """A relay may lose 0.15 s between its clock and the last byte of a call."""
     text, first = relay.take(NOTICE), relay.take(NOTICE)
     relay.out(text, Result.ERROR)
-    window_end = NOW + relay.policy.terms.products[NOTICE].repeat_window
+    window_end = NOW + relay.policy.settings.products[NOTICE].repeat_window
     held_up = S * 15 // 100
     assert relay.policy.may_go(window_end - held_up - 1, text, HOST)
     assert not relay.policy.may_go(window_end - held_up, text, HOST)
--- a/tests/test_terms_cold.py
+++ b/tests/test_terms_cold.py
@@ -26,7 +26,7 @@
     Result,
     Submit,
     SubmitReport,
-    Terms,
+    PolicySettings,
     Text,
     Wake,
 )
@@ -82,8 +82,8 @@
         self.calls: list[int] = []  # when each call came after the return
         self.patient = patient  # it takes all that comes, and refuses nothing
         self.back_at, self.demand, self.end = NOW + OUTAGE, demand, NOW + OUTAGE + cold.time
-        terms = [
-            Terms(
+        settings = [
+            PolicySettings(
                 self.chance.getrandbits(32),
                 listed or alive,
                 16,
@@ -101,7 +101,7 @@
             )
             for _ in range(alive)
         ]
-        self.relays = [Policy(each, 0) for each in terms]
+        self.relays = [Policy(each, 0) for each in settings]
         entries = [HostEntry(b"host%d" % each, 1, 0, 0, self.rate, Listing.READY) for each in range(hosts)]
         self.wakes = [1 << 62] * alive
         self.room, self.room_at = 1.0, self.back_at
