--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True)
-class Past:
+class TextHistory:
     """What an earlier process of this relay did with a text that it took on and still owes its end.
 
     `ran_at` and `ran_zone` say when and where the first submit went that may have run; `out`: one had no
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -119,8 +119,10 @@
         self.starts, self.up, self.stopping, self.turn_due = self.starts + 1, True, False, False
         self.policy.hosts_listed(now, list(self.known.values()), True)
         for each in list(self.texts.values()):
-            past = li.Past(each.submits, each.ran_at, each.ran_zone, each.out, each.notice is not None)
-            self.policy.text_taken(now, each.text, past)
+            history = li.TextHistory(
+                each.submits, each.ran_at, each.ran_zone, each.out, each.notice is not None
+            )
+            self.policy.text_taken(now, each.text, history)
             if each.notice is not None:
                 self.stage.clock.at(now + PLATFORM, self.stage.noticed, self, each)
             each.out = False
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -66,16 +66,18 @@
             if entry.listing is Listing.READY:
                 self.by_destination.setdefault(entry.destination, []).append(entry.host)
 
-    def text_taken(self, now: int, text: li.Text, past: li.Past | None = None) -> None:
-        past = past or li.Past()
-        self.texts[text.id] = PlainText(text, past.submits, now, ran_at=past.ran_at, floor=past.ran_zone)
+    def text_taken(self, now: int, text: li.Text, history: li.TextHistory | None = None) -> None:
+        history = history or li.TextHistory()
+        self.texts[text.id] = PlainText(
+            text, history.submits, now, ran_at=history.ran_at, floor=history.ran_zone
+        )
         self.waiting[text.id] = None
         heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
         if text.key and self.settings.products[text.product].in_order:
             self.lines.setdefault(text.key, []).append(text.id)
-            if past.out:
+            if history.out:
                 self.rests[text.key] = now + self.settings.turn_gap
-        if past.answered:
+        if history.answered:
             self.over[text.id] = self.texts.pop(text.id).text
             self.waiting.pop(text.id)
 
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -33,7 +33,7 @@
     Listing,
     LogLine,
     Nack,
-    Past,
+    TextHistory,
     Product,
     Result,
     Submit,
@@ -66,7 +66,7 @@
 TRIAL_PART, SEEN_BEFORE, RATE_AT_FIRST = 0.7, 5 * SECOND, 2.0  # of what a cold one bears; age; unknown limit
 HELD_UP = 150 * MS  # what a relay may lose between its clock and a repeat's last byte, within the window
 SCARCE, ROOM_LEFT = 0.9, 0.92  # share of the slots for shorter time-outs, of the room for nacks of held texts
-NEW = Past()  # of a text that no process had before
+NO_HISTORY = TextHistory()  # of a text that no process had before
 ANSWERED, UNANSWERED = (Result.ERROR, Result.MALFORMED), (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
 
@@ -82,14 +82,20 @@
 class Held:
     """A text that this relay has taken and not finally answered."""
 
-    def __init__(self, text: Text, row: Product, past: Past) -> None:
-        self.text, self.row, self.submits, self.due, self.found = text, row, past.submits, 0, past is not NEW
-        self.key = text.key if (row.in_order if past.in_order is None else past.in_order) else 0
+    def __init__(self, text: Text, row: Product, history: TextHistory) -> None:
+        self.text, self.row, self.submits, self.due, self.found = (
+            text,
+            row,
+            history.submits,
+            0,
+            history is not NO_HISTORY,
+        )
+        self.key = text.key if (row.in_order if history.in_order is None else history.in_order) else 0
         self.ran_at = self.zone = None  # when and where the first submit that may have run was sent
         self.call = self.verdict = None  # the Call that it is out in, its final Action
         self.until = text.valid_until  # too late to send it: its validity period, or its product's window
         self.sla_at = text.valid_until - row.validity_period + row.sla_time
-        self.may_have_run(past.ran_at, past.ran_zone)
+        self.may_have_run(history.ran_at, history.ran_zone)
 
     def may_have_run(self, at: int | None, zone: int | None) -> None:
         if self.ran_at is None and at is not None:
@@ -239,15 +245,15 @@
         for host in dest.hosts:
             host.route.hosts = [other for other in dest.hosts if other.route is host.route]
 
-    def text_taken(self, now: int, text: Text, past: Past = NEW) -> None:
+    def text_taken(self, now: int, text: Text, history: TextHistory = NO_HISTORY) -> None:
         """A text from a client or, with its past, from this relay's time before a restart, in its order."""
-        held = self.texts[text.id] = Held(text, self.settings.products[text.product], past)
+        held = self.texts[text.id] = Held(text, self.settings.products[text.product], history)
         if held.key:
             handed_in_at = now if text.handed_in_at is None else text.handed_in_at
-            self.order.take(held.key, Place(text.id, handed_in_at, past.submits > 0))
-        if past.out and held.key:
+            self.order.take(held.key, Place(text.id, handed_in_at, history.submits > 0))
+        if history.out and held.key:
             self.order.rest(held.key, text.id, now + self.settings.turn_gap)
-        if past.answered:
+        if history.answered:
             self.unheard[text.id] = self.texts.pop(text.id)
         elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:
             self._end(now, held)
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -200,10 +200,10 @@
         ran_at = entry.ran_at
         if ran_at is not None and ran_at < self.clock.certain_from:
             ran_at = min(ran_at, now - row.repeat_window)  # nobody knows how long ago: its window is over
-        past = li.Past(entry.submits, ran_at, entry.ran_zone, entry.out, answered, in_order)
+        history = li.TextHistory(entry.submits, ran_at, entry.ran_zone, entry.out, answered, in_order)
         self.text_log.adopted(entry, owed.key, ran_at is not None, answered)
         self._meet(now, text.destination)
-        self.policy.text_taken(now, text, past)
+        self.policy.text_taken(now, text, history)
         if entry.out and owed.key is not None:  # its rest has to outlast this process too
             self.ledger.ended(entry.id, True, now, self._rest_of(owed, now))
         if entry.notice is not None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
     Listing,
     LogLine,
     Nack,
-    Past,
+    TextHistory,
     Result,
     Submit,
     Text,
@@ -436,7 +436,7 @@
     texts = set()
     for number in range(8):
         texts.add(text := 500 + number)
-        bench.policy.text_taken(NOW, Text(text, 1, REPORT, NOW + 8 * S), Past())
+        bench.policy.text_taken(NOW, Text(text, 1, REPORT, NOW + 8 * S), TextHistory())
     if late_list:
         bench.list(HOST, TWIN, rate=rate)
     tried = set()
@@ -451,7 +451,7 @@
     bench = Bench(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     for number in range(3):
-        bench.policy.text_taken(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), Past())
+        bench.policy.text_taken(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), TextHistory())
     out = bench.sent()  # what is saved up
     assert len(out) == 2
     for text, host in out.items():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 import pytest
 from conftest import CHARGE, FAILURES, HOST, NOTICE, NOW, REPORT, ROUTE, TWIN, S
 
-from limelatch.interface import Health, Listing, Nack, Past, Result, Submit, Text, Undeliverable, Watch
+from limelatch.interface import Health, Listing, Nack, TextHistory, Result, Submit, Text, Undeliverable, Watch
 from limelatch.key_order import Place
 from limelatch.policy import TOLD_JITTER
 
@@ -143,30 +143,30 @@
     assert relay.sent() == {text: TWIN}
 
 
-def resume(relay, product, past, key=0):
+def resume(relay, product, history, key=0):
     """A text that this relay took on before it was started anew."""
     text = relay.take(product, key=key)
     relay.policy.text_over(NOW, text)
-    relay.policy.text_taken(NOW, Text(text, 1, product, NOW + 20 * S, 0, key), past)
+    relay.policy.text_taken(NOW, Text(text, 1, product, NOW + 20 * S, 0, key), history)
     return text
 
 
 def test_what_may_have_run_before_a_restart_never_goes_again_if_once_only(relay):
-    text = resume(relay, CHARGE, Past(1, NOW - S, 0, out=True), key=5)
+    text = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, out=True), key=5)
     assert relay.decide() == [Undeliverable(text)]
 
 
 def test_a_key_rests_after_a_call_that_was_out_at_the_restart(relay):
-    first = resume(relay, CHARGE, Past(1, NOW - S, 0, out=True), key=5)
-    second = resume(relay, CHARGE, Past(), key=5)
+    first = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, out=True), key=5)
+    second = resume(relay, CHARGE, TextHistory(), key=5)
     relay.decide()
     relay.policy.text_over(NOW, first)
     assert relay.sent(NOW + 2900) == {} and relay.sent(NOW + 3100) == {second: HOST}
 
 
 def test_a_notice_owed_from_before_a_restart_keeps_its_place_in_the_key(relay):
-    first = resume(relay, CHARGE, Past(1, NOW - S, 0, answered=True), key=5)
-    second = resume(relay, CHARGE, Past(), key=5)
+    first = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, answered=True), key=5)
+    second = resume(relay, CHARGE, TextHistory(), key=5)
     assert relay.decide(Undeliverable) == [] and relay.sent(NOW + S) == {}
     relay.policy.text_over(NOW + S, first)
     assert relay.sent(NOW + 2 * S) == {second: HOST}
@@ -174,9 +174,9 @@
 
 def test_a_repeat_after_a_restart_keeps_to_window_and_group(relay):
     relay.list(TWIN, zone=1)
-    text = resume(relay, NOTICE, Past(1, NOW - 8 * S, 1, out=True))
+    text = resume(relay, NOTICE, TextHistory(1, NOW - 8 * S, 1, out=True))
     assert relay.sent() == {text: TWIN}
-    late = resume(relay, NOTICE, Past(1, NOW - 11 * S, 1, out=True))
+    late = resume(relay, NOTICE, TextHistory(1, NOW - 11 * S, 1, out=True))
     assert relay.decide(Undeliverable) == [Undeliverable(late)]
 
 
@@ -246,7 +246,7 @@
     assert relay.sent() == {}  # the process before holds an earlier text of the key
     relay.policy.order.sibling_holds([])
     text = Text(earlier, 1, CHARGE, NOW + 20 * S, 0, 5, handed_in_at=NOW - 1)
-    relay.policy.text_taken(NOW, text, Past(in_order=True))
+    relay.policy.text_taken(NOW, text, TextHistory(in_order=True))
     assert relay.sent() == {earlier: HOST}
     relay.end(earlier, Result.DELIVERED, over=True)
     relay.policy.text_over(NOW, earlier)
