--- a/limelatch/benchlink/__main__.py
+++ b/limelatch/benchlink/__main__.py
@@ -61,13 +61,13 @@
             return
         policy = relay.policy
         if event.code == wire.INCOMING_CODE:
-            policy.text_taken(now, wire.read_text(event.body))
+            policy.text_accepted(now, wire.read_text(event.body))
         elif event.code == wire.OUTCOME_CODE:
             policy.submit_ended(now, wire.read_outcome(event.body, relay.fields))
         elif event.code == wire.STATUS_BACK:
             wire.read_probe(event.body, relay.fields)  # the module sends no probes
         elif event.code == wire.CLIENT_LEFT:
-            policy.text_over(now, wire.read_text_id(event.body))
+            policy.text_finished(now, wire.read_text_id(event.body))
         elif event.code == wire.ENDPOINTS:
             mode, page = wire.read_endpoints(event.body)
             if mode == wire.FAILED:
@@ -88,7 +88,7 @@
                 for action in relay.policy.decide(now):
                     records.append(wire.write_action(number, action))
                     if isinstance(action, li.Nack | li.Undeliverable):
-                        relay.policy.text_over(now, action.text)  # the bench hears an answer at once
+                        relay.policy.text_finished(now, action.text)  # the bench hears an answer at once
             except Exception as error:  # as above
                 records.append(wire.words(wire.FAULT, number, f"{type(error).__name__}: {error}"))
         return records
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -132,13 +132,13 @@
     Mutant(
         "told waits over processes",
         "relay/driver.py",
-        "self.policy.wait_told_to_sibling(host, until)",
+        "self.policy.wait_from_sibling(host, until)",
         "pass",
     ),
     Mutant(
         "outages known to the other process",
         "relay/driver.py",
-        "self.policy.health_told_to_sibling(now, host, found.health, found.at)",
+        "self.policy.health_from_sibling(now, host, found.health, found.at)",
         "pass",
     ),
     Mutant(
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -122,7 +122,7 @@
             history = li.TextHistory(
                 each.submits, each.ran_at, each.ran_zone, each.out, each.notice is not None
             )
-            self.policy.text_taken(now, each.text, history)
+            self.policy.text_accepted(now, each.text, history)
             if each.notice is not None:
                 self.stage.clock.at(now + PLATFORM, self.stage.noticed, self, each)
             each.out = False
@@ -189,7 +189,7 @@
             self.stage.answered(text, Answer.BUSY, 0)
             return
         self.arrived[text.text.id] = text
-        self.policy.text_taken(self.stage.clock.now(), text.text)
+        self.policy.text_accepted(self.stage.clock.now(), text.text)
         self.touch()
 
     def touch(self) -> None:
@@ -213,7 +213,7 @@
                 text = arrived.pop(action.text)
                 nack = isinstance(action, li.Nack)
                 stage.answered(text, Answer.BUSY if nack else Answer.ERROR, action.advice if nack else 0)
-                self.policy.text_over(now, action.text)
+                self.policy.text_finished(now, action.text)
         for each in arrived.values():
             self.texts[each.text.id] = each
             stage.answered(each, Answer.TAKEN, 0)
@@ -291,7 +291,7 @@
             return
         stage, now = self.stage, self.stage.clock.now()
         host = call.endpoint.name.encode()
-        held = [each for each in call.texts if not self.policy.may_go(now, each.text.id, host)]
+        held = [each for each in call.texts if not self.policy.may_send(now, each.text.id, host)]
         if held:
             call.texts = [each for each in call.texts if each not in held]
             for each in held:
@@ -559,7 +559,7 @@
         del relay.texts[text.text.id]
         self.note(rec.Noticed(now, relay.number, text.text.id, nack, wait))
         self.open -= 1
-        relay.policy.text_over(now, text.text.id)
+        relay.policy.text_finished(now, text.text.id)
         relay.touch()
         if nack:
             self._again(text, wait)
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -66,7 +66,7 @@
             if entry.listing is Listing.READY:
                 self.by_destination.setdefault(entry.destination, []).append(entry.host)
 
-    def text_taken(self, now: int, text: li.Text, history: li.TextHistory | None = None) -> None:
+    def text_accepted(self, now: int, text: li.Text, history: li.TextHistory | None = None) -> None:
         history = history or li.TextHistory()
         self.texts[text.id] = PlainText(
             text, history.submits, now, ran_at=history.ran_at, floor=history.ran_zone
@@ -81,7 +81,7 @@
             self.over[text.id] = self.texts.pop(text.id).text
             self.waiting.pop(text.id)
 
-    def text_over(self, now: int, text: li.TextId) -> None:
+    def text_finished(self, now: int, text: li.TextId) -> None:
         self.texts.pop(text, None)
         row = self.over.pop(text, None)
         self.waiting.pop(text, None)
@@ -119,7 +119,7 @@
     def stopping(self, until: int) -> None:
         self.stop_at = until
 
-    def may_go(self, now: int, text: li.TextId, host: li.HostId) -> bool:
+    def may_send(self, now: int, text: li.TextId, host: li.HostId) -> bool:
         entry, held = self.hosts.get(host), self.texts.get(text)
         return (
             entry is not None
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -245,7 +245,7 @@
         for host in dest.hosts:
             host.route.hosts = [other for other in dest.hosts if other.route is host.route]
 
-    def text_taken(self, now: int, text: Text, history: TextHistory = NO_HISTORY) -> None:
+    def text_accepted(self, now: int, text: Text, history: TextHistory = NO_HISTORY) -> None:
         """A text from a client or, with its past, from this relay's time before a restart, in its order."""
         held = self.texts[text.id] = Held(text, self.settings.products[text.product], history)
         if held.key:
@@ -301,17 +301,17 @@
         else:
             self._end(now, held)
 
-    def text_over(self, now: int, text: TextId) -> None:
+    def text_finished(self, now: int, text: TextId) -> None:
         """Its client left, or its final answer has been heard: only now may the next text of its key go."""
         if (held := self.unheard.pop(text, None) or self.texts.get(text)) and held.call is None:
             self._forget(now, held)
 
-    def wait_told_to_sibling(self, host: HostId, until: int) -> None:
+    def wait_from_sibling(self, host: HostId, until: int) -> None:
         """The other process of this relay was told to wait: the wait binds both."""
         if (known := self.hosts.get(host)) is not None:
             known.route.wait_until = max(known.route.wait_until, until)
 
-    def health_told_to_sibling(self, now: int, host: HostId, health: Health, at: int) -> None:
+    def health_from_sibling(self, now: int, host: HostId, health: Health, at: int) -> None:
         """The other process of this relay found a host so at that time; what this one has seen since counts
         more. Guards against a returning host that a process without knowledge of its outage pushes over."""
         if (known := self.hosts.get(host)) is None or at <= known.sibling_told_at:
@@ -330,7 +330,7 @@
     def stopping(self, until: int) -> None:
         self.stop_at = until
 
-    def may_go(self, now: int, text: TextId, host: HostId) -> bool:
+    def may_send(self, now: int, text: TextId, host: HostId) -> bool:
         """Asked as the connection for a submit has come up: guards against a drain, a wait or an earlier text
         of its key told since."""
         held, host = self.texts.get(text), self.hosts.get(host)
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -203,7 +203,7 @@
         history = li.TextHistory(entry.submits, ran_at, entry.ran_zone, entry.out, answered, in_order)
         self.text_log.adopted(entry, owed.key, ran_at is not None, answered)
         self._meet(now, text.destination)
-        self.policy.text_taken(now, text, history)
+        self.policy.text_accepted(now, text, history)
         if entry.out and owed.key is not None:  # its rest has to outlast this process too
             self.ledger.ended(entry.id, True, now, self._rest_of(owed, now))
         if entry.notice is not None:
@@ -341,7 +341,7 @@
             rules = self.plan.settings.products[row]
             self.arrived[handed.id] = self._own(Owed(text, handed.mark, handed.body, rules, product, client))
             self._meet(now, text.destination)
-            self.policy.text_taken(now, text)
+            self.policy.text_accepted(now, text)
             self.soon()
 
     def _refusal(self, handed: Handed, product: str, customer: str) -> Refusal | None:
@@ -383,7 +383,7 @@
         """A client left before its text was taken on: it hands it in again, under a new id."""
         for owed in [each for each in self.arrived.values() if each.client is client]:
             del self.arrived[owed.text.id]
-            self.policy.text_over(self.clock.now(), owed.text.id)
+            self.policy.text_finished(self.clock.now(), owed.text.id)
             self._release(owed)
             self.soon()
 
@@ -423,10 +423,10 @@
     def _tell_of_sibling(self) -> None:
         """What hosts have told the other process of this relay, and how it found them."""
         for host, until in self.handover.waits.items():
-            self.policy.wait_told_to_sibling(host, until)
+            self.policy.wait_from_sibling(host, until)
         now = self.clock.now()
         for host, found in self.handover.healths.items():
-            self.policy.health_told_to_sibling(now, host, found.health, found.at)
+            self.policy.health_from_sibling(now, host, found.health, found.at)
 
     def _leave(self, host: li.HostId) -> None:
         """The host is off the list, or its destination at rest."""
@@ -449,10 +449,10 @@
         self.policy.list_failed(self.clock.now(), self.catalog.heard_at)
         self.soon()
 
-    def may_go(self, now: int, text: bytes, host: li.HostId) -> bool:
+    def may_send(self, now: int, text: bytes, host: li.HostId) -> bool:
         if self.handover.has_news:  # what it was told since this process decided binds too
             self._hear_sibling()
-        return self.policy.may_go(now, text, host)
+        return self.policy.may_send(now, text, host)
 
     def going(self, call: Call, parcel: Parcel) -> bool:
         """A submit is about to be written; not where the ledger can't tell of it, nor out of turn."""
@@ -521,7 +521,7 @@
             if now > owed.text.valid_until:
                 self.held_down("ended-late", text=text, by_ms=(now - owed.text.valid_until) // li.MS)
             self.ledger.over(text)
-            self.policy.text_over(now, text)
+            self.policy.text_finished(now, text)
             self._release(owed)
             self.soon()
 
@@ -596,7 +596,7 @@
         else:
             say(log, "text-refused", text=owed.text.id, why="undeliverable")
             owed.client.answer("-ERR undeliverable")
-        self.policy.text_over(self.clock.now(), owed.text.id)
+        self.policy.text_finished(self.clock.now(), owed.text.id)
 
     def _take_on(self, text: bytes, owed: Owed) -> None:
         """First the ledger, then the client's answer, and only then a call."""
@@ -617,7 +617,7 @@
             self.text_log.taken(row, owed.key)
             client.answer("+OK")
         else:  # a disk that takes no more
-            self.policy.text_over(self.clock.now(), text)
+            self.policy.text_finished(self.clock.now(), text)
             self._release(owed)
             say(log, "text-refused", text=text, why="folder")
             client.answer("-BUSY")
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -280,7 +280,7 @@
         held = [
             each
             for each in call.parcels
-            if not (self.driver.may_go(now, each.text, call.host) and self.driver.going(call, each))
+            if not (self.driver.may_send(now, each.text, call.host) and self.driver.going(call, each))
         ]
         if held:
             call.parcels = [each for each in call.parcels if each not in held]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -47,7 +47,7 @@
 
     def take(self, product=NOTICE, now=NOW, key=0, valid=24 * S, dest=1, customer=0):
         self.next_id += 1
-        self.policy.text_taken(now, Text(self.next_id, dest, product, now + valid, customer, key))
+        self.policy.text_accepted(now, Text(self.next_id, dest, product, now + valid, customer, key))
         return self.next_id
 
     def end(self, text, result, now=NOW, host=HOST, took=1000, **more):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -279,13 +279,13 @@
 ):
     driver.handover.start()
     driver._tell(clock.now(), [HostEntry(HOST, 1, 0, 0, 1.0, Listing.READY)])
-    driver.policy.text_taken(clock.now(), Text(b"t1", 1, 0, clock.now() + 9 * S))
+    driver.policy.text_accepted(clock.now(), Text(b"t1", 1, 0, clock.now() + 9 * S))
     (submit,) = [each for each in driver.policy.decide(clock.now()) if isinstance(each, Submit)]
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it
-    assert driver.may_go(clock.now(), submit.text, submit.host)
+    assert driver.may_send(clock.now(), submit.text, submit.host)
     beside.told_wait(HOST, clock.now() + 5 * S, clock.now())
-    assert not driver.may_go(clock.now(), submit.text, submit.host)
+    assert not driver.may_send(clock.now(), submit.text, submit.host)
     beside.close()
 
 
@@ -436,7 +436,7 @@
     texts = set()
     for number in range(8):
         texts.add(text := 500 + number)
-        bench.policy.text_taken(NOW, Text(text, 1, REPORT, NOW + 8 * S), TextHistory())
+        bench.policy.text_accepted(NOW, Text(text, 1, REPORT, NOW + 8 * S), TextHistory())
     if late_list:
         bench.list(HOST, TWIN, rate=rate)
     tried = set()
@@ -451,7 +451,7 @@
     bench = Bench(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     for number in range(3):
-        bench.policy.text_taken(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), TextHistory())
+        bench.policy.text_accepted(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), TextHistory())
     out = bench.sent()  # what is saved up
     assert len(out) == 2
     for text, host in out.items():
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -633,7 +633,7 @@
     relay.decide(now=NOW + S)  # ended, and its notice is still to be heard
     assert forgotten(relay, NOW + LESSON) in ([], [1])
     relay.policy.dests.pop(1, None)
-    relay.policy.text_over(NOW + LESSON, text)
+    relay.policy.text_finished(NOW + LESSON, text)
     assert not relay.policy.dests and not relay.policy.unheard
 
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -304,7 +304,7 @@
 
 def test_a_text_handed_in_again_paces_a_route_that_this_relay_does_not_know(fleet):
     """Texts nacked at one relay once kept a limit used up by way of others, which sent them on at once."""
-    fleet.policy.text_taken(NOW, Text(1, 1, REPORT, NOW + 40 * S, again=True))
+    fleet.policy.text_accepted(NOW, Text(1, 1, REPORT, NOW + 40 * S, again=True))
     assert fleet.sent() == {} and fleet.sent(NOW + 20 * S) == {1: HOST}
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -404,7 +404,7 @@
     def __init__(self, goes=True):
         self.goes, self.ends, self.over = goes, [], []
 
-    def may_go(self, now, text, host):
+    def may_send(self, now, text, host):
         return self.goes
 
     def going(self, call, parcel):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
 def test_a_client_that_leaves_as_its_text_is_answered_is_not_answered_twice(relay):
     text = relay.take(CHARGE, key=5)
     relay.out(text, Result.TIMEOUT)
-    relay.policy.text_over(NOW, text)
+    relay.policy.text_finished(NOW, text)
     assert relay.decide((Nack, Undeliverable)) == [] and relay.policy.order.lines == {}
 
 
@@ -109,7 +109,7 @@
     relay.host().last_ok = NOW + 1
     relay.out(first, result)
     assert relay.sent(NOW) == {} and relay.sent(NOW + 3000) == {}  # its answer is not heard yet
-    relay.policy.text_over(NOW + 3000, first)
+    relay.policy.text_finished(NOW + 3000, first)
     assert relay.sent(NOW + 3200) == {second: HOST}
 
 
@@ -146,8 +146,8 @@
 def resume(relay, product, history, key=0):
     """A text that this relay took on before it was started anew."""
     text = relay.take(product, key=key)
-    relay.policy.text_over(NOW, text)
-    relay.policy.text_taken(NOW, Text(text, 1, product, NOW + 20 * S, 0, key), history)
+    relay.policy.text_finished(NOW, text)
+    relay.policy.text_accepted(NOW, Text(text, 1, product, NOW + 20 * S, 0, key), history)
     return text
 
 
@@ -160,7 +160,7 @@
     first = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, out=True), key=5)
     second = resume(relay, CHARGE, TextHistory(), key=5)
     relay.decide()
-    relay.policy.text_over(NOW, first)
+    relay.policy.text_finished(NOW, first)
     assert relay.sent(NOW + 2900) == {} and relay.sent(NOW + 3100) == {second: HOST}
 
 
@@ -168,7 +168,7 @@
     first = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, answered=True), key=5)
     second = resume(relay, CHARGE, TextHistory(), key=5)
     assert relay.decide(Undeliverable) == [] and relay.sent(NOW + S) == {}
-    relay.policy.text_over(NOW + S, first)
+    relay.policy.text_finished(NOW + S, first)
     assert relay.sent(NOW + 2 * S) == {second: HOST}
 
 
@@ -191,11 +191,11 @@
 def test_a_drain_or_a_wait_told_while_a_connection_comes_up_holds_the_text_back(relay):
     text = relay.take(REPORT)
     host = relay.out(text)
-    assert relay.policy.may_go(NOW, text, host)
+    assert relay.policy.may_send(NOW, text, host)
     relay.host().route.wait_until = NOW + S
-    assert not relay.policy.may_go(NOW, text, host) and relay.policy.may_go(NOW + S, text, host)
+    assert not relay.policy.may_send(NOW, text, host) and relay.policy.may_send(NOW + S, text, host)
     relay.list(HOST, listing=Listing.DRAINING)
-    assert not relay.policy.may_go(NOW + S, text, host)
+    assert not relay.policy.may_send(NOW + S, text, host)
 
 
 def test_a_text_held_back_as_its_connection_comes_up_uses_up_no_submit_and_no_token(relay):
@@ -246,10 +246,10 @@
     assert relay.sent() == {}  # the process before holds an earlier text of the key
     relay.policy.order.sibling_holds([])
     text = Text(earlier, 1, CHARGE, NOW + 20 * S, 0, 5, handed_in_at=NOW - 1)
-    relay.policy.text_taken(NOW, text, TextHistory(in_order=True))
+    relay.policy.text_accepted(NOW, text, TextHistory(in_order=True))
     assert relay.sent() == {earlier: HOST}
     relay.end(earlier, Result.DELIVERED, over=True)
-    relay.policy.text_over(NOW, earlier)
+    relay.policy.text_finished(NOW, earlier)
     assert relay.sent(NOW + 1) == {later: HOST}
 
 
@@ -259,30 +259,30 @@
     relay.out(text, Result.ERROR)
     window_end = NOW + relay.policy.settings.products[NOTICE].repeat_window
     held_up = S * 15 // 100
-    assert relay.policy.may_go(window_end - held_up - 1, text, HOST)
-    assert not relay.policy.may_go(window_end - held_up, text, HOST)
-    assert relay.policy.may_go(window_end - 1, first, HOST)
+    assert relay.policy.may_send(window_end - held_up - 1, text, HOST)
+    assert not relay.policy.may_send(window_end - held_up, text, HOST)
+    assert relay.policy.may_send(window_end - 1, first, HOST)
 
 
 def test_an_outage_that_the_other_process_found_is_known_here(relay):
     """In an upgrade: a returning host is not pushed over by a process that has seen nothing of its outage."""
     relay.list(TWIN)
-    relay.policy.health_told_to_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
+    relay.policy.health_from_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
     texts = [relay.take(REPORT) for _ in range(8)]
     assert relay.host().sick and relay.host(TWIN).sick  # one outage takes the hosts of a route
     assert len(relay.sent(NOW + S // 10)) <= 1  # trials alone
-    relay.policy.health_told_to_sibling(NOW + 2 * S, HOST, Health.WARMING, NOW + 2 * S)
+    relay.policy.health_from_sibling(NOW + 2 * S, HOST, Health.WARMING, NOW + 2 * S)
     assert not relay.host().sick and relay.host().back_at == NOW + 2 * S
     assert len(relay.sent(NOW + 2 * S + 1)) <= 2 < len(texts)
 
 
 def test_what_this_process_has_seen_since_counts_more_than_the_other_s_news(relay):
     relay.out(relay.take(REPORT), Result.DELIVERED, over=True)
-    relay.policy.health_told_to_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
+    relay.policy.health_from_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
     assert not relay.host().sick
-    relay.policy.health_told_to_sibling(NOW, HOST, Health.WARMING, NOW - 30 * S)  # long warm again
+    relay.policy.health_from_sibling(NOW, HOST, Health.WARMING, NOW - 30 * S)  # long warm again
     assert relay.host().back_at is None
-    relay.policy.health_told_to_sibling(NOW, b"unknown", Health.OUTAGE, NOW)
+    relay.policy.health_from_sibling(NOW, b"unknown", Health.OUTAGE, NOW)
 
 
 def test_two_processes_together_send_a_returning_host_what_one_relay_may(relay):
--- a/tests/test_terms_cold.py
+++ b/tests/test_terms_cold.py
@@ -128,7 +128,7 @@
 
     def hand_in(self, number: int) -> None:
         self.count += 1
-        self.relays[number].text_taken(self.now, Text(self.count, 1, 0, self.now + VALID))
+        self.relays[number].text_accepted(self.now, Text(self.count, 1, 0, self.now + VALID))
         self.decide(number)
 
     def refill(self, number: int) -> None:
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -86,9 +86,9 @@
         self.clock.rightNow += self.late / S
         now = self.clock.now()
         for each in parcels:
-            if not self.driver.may_go(now, each.text, host):
+            if not self.driver.may_send(now, each.text, host):
                 self.driver.ended(call, each, Outcome(Result.NOT_SENT))
-        for each in [one for one in parcels if self.driver.may_go(now, one.text, host)]:
+        for each in [one for one in parcels if self.driver.may_send(now, one.text, host)]:
             assert self.driver.going(call, each)
             self.sent.append((now, each.text, host))
             self.out.append((call, each))
