--- a/limelatch/benchlink/wire.py
+++ b/limelatch/benchlink/wire.py
@@ -141,11 +141,11 @@
 
 def read_outcome(body: bytes, fields: list[str]) -> li.SubmitReport:
     """How a submit ended."""
-    _, text, _, host, status, took, over, note, count = unpack(OUTCOME, body)
+    _, text, _, host, status, took, finished, note, count = unpack(OUTCOME, body)
     left, rate = limit_report(body, OUTCOME.size, count, fields)
     result = result_of(status)
     wait = note * li.MS if result is li.Result.FULL else 0
-    return li.SubmitReport(text, host, result, to_units(took), bool(over), wait, left, rate)
+    return li.SubmitReport(text, host, result, to_units(took), bool(finished), wait, left, rate)
 
 
 def read_probe(body: bytes, fields: list[str]) -> li.ProbeReport:
@@ -175,8 +175,8 @@
 def write_action(relay: int, action: li.Action) -> bytes:
     """An action of the module as a record."""
     match action:
-        case li.Submit(text, host, time_out):
-            return record(PLACE, ">HQ6sd", relay, text, host, time_out / li.MS)
+        case li.Submit(text, host, timeout):
+            return record(PLACE, ">HQ6sd", relay, text, host, timeout / li.MS)
         case li.Nack(text, advice):
             return record(NACK, ">HQd", relay, text, advice / li.MS)
         case li.Undeliverable(text):
--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -114,8 +114,8 @@
     valid_until: int
     customer: int = 0
     key: int | bytes = 0
-    again: bool = False  # its client hands it in again after a nack
-    handed_in_at: int | None = None  # its place in its key's order; None: as it is told
+    resubmitted: bool = False  # its client hands it in again after a nack
+    received_at: int | None = None  # its place in its key's order; None: as it is told
 
 
 @dataclass(slots=True)
@@ -135,14 +135,16 @@
 
 @dataclass(slots=True)
 class SubmitReport:
-    """How a submit ended. `over`: the text is finished. `told_wait`: the wait the destination asked for."""
+    """How a submit ended.
+
+    `finished`: the text is finished. `retry_after`: the wait that the destination asked for, 0 for none."""
 
     text: TextId
     host: HostId
     result: Result
     took: int
-    over: bool = False
-    told_wait: int = 0
+    finished: bool = False
+    retry_after: int = 0
     limit_left: float | None = None
     limit_rate: float | None = None
     idle: int | None = None  # how long its connection had stood idle; 0 if it was new, None if nobody knows
@@ -161,11 +163,11 @@
 
 @dataclass(slots=True)
 class Submit:
-    """Send the text to the host, stop waiting after `time_out`; let the connection stand idle for `keep`."""
+    """Send the text to the host, stop waiting after `timeout`; let the connection stand idle for `keep`."""
 
     text: TextId
     host: HostId
-    time_out: int
+    timeout: int
     keep: int = 0
 
 
--- a/limelatch/key_order.py
+++ b/limelatch/key_order.py
@@ -34,16 +34,16 @@
     `begun`: a submit of it has gone, so it has its key's turn until it is over."""
 
     text: TextId
-    handed_in_at: int
+    received_at: int
     begun: bool = False
 
     def goes_before(self, other: Place) -> bool:
         """Within one process, where texts handed in at the same time stay as they came."""
-        return (not self.begun, self.handed_in_at) < (not other.begun, other.handed_in_at)
+        return (not self.begun, self.received_at) < (not other.begun, other.received_at)
 
     def goes_before_of_sibling(self, other: Place) -> bool:
         """Between two processes: both have to come to the same answer."""
-        mine, theirs = (not self.begun, self.handed_in_at), (not other.begun, other.handed_in_at)
+        mine, theirs = (not self.begun, self.received_at), (not other.begun, other.received_at)
         return (*mine, self.text) < (*theirs, other.text)
 
 
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -126,7 +126,7 @@
     Mutant(
         "told waits",
         "policy.py",
-        "route.wait_until = max(route.wait_until, now + report.told_wait + self.chance.below(spread))",
+        "route.wait_until = max(route.wait_until, now + report.retry_after + self.chance.below(spread))",
         "pass",
     ),
     Mutant(
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -251,7 +251,7 @@
         stage.count += 1
         call.number = stage.count
         self.calls[call.number] = call
-        stage.clock.at(now + min(each.time_out for each in submits), self._out_of_time, call)
+        stage.clock.at(now + min(each.timeout for each in submits), self._out_of_time, call)
         link = self._idle_link(now, endpoint)
         way = stage.way(self, endpoint)
         if link is not None:
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -99,10 +99,10 @@
             return
         self.used -= 1
         held.out, text = False, held.text
-        if report.told_wait:
-            until = max(self.waits.get(text.destination, 0), now + report.told_wait)
+        if report.retry_after:
+            until = max(self.waits.get(text.destination, 0), now + report.retry_after)
             self.waits[text.destination] = until
-        if report.over:
+        if report.finished:
             self.texts.pop(report.text)
             self._out_of_line(text)
             return
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -249,8 +249,8 @@
         """A text from a client or, with its past, from this relay's time before a restart, in its order."""
         held = self.texts[text.id] = Held(text, self.settings.products[text.product], history)
         if held.key:
-            handed_in_at = now if text.handed_in_at is None else text.handed_in_at
-            self.order.take(held.key, Place(text.id, handed_in_at, history.submits > 0))
+            received_at = now if text.received_at is None else text.received_at
+            self.order.take(held.key, Place(text.id, received_at, history.submits > 0))
         if history.out and held.key:
             self.order.rest(held.key, text.id, now + self.settings.turn_gap)
         if history.answered:
@@ -259,7 +259,9 @@
             self._end(now, held)
         else:
             self._hold(held)
-            for route in [host.route for host in self.dests[text.destination].hosts] if text.again else ():
+            for route in (
+                [host.route for host in self.dests[text.destination].hosts] if text.resubmitted else ()
+            ):
                 if not route.limit and not route.pace and now - route.served_at > FLOW_SPAN:
                     route.pace, route.credit_at = PACE_CUT * SECOND / FLOW_SPAN, now  # as if refused here
                     route.credit = -self.chance.below(1000) / 1000
@@ -283,7 +285,7 @@
             held.may_have_run(call.sent, host.zone)
             if report.result is not Result.ERROR and held.key:
                 self.order.rest(held.key, held.text.id, now + self.settings.turn_gap)
-        if report.over:
+        if report.finished:
             return self._forget(now, held)
         held.submits -= report.unsent
         wait = self._jitter(max(1, held.submits))  # the design's test for a repeat, its token last
@@ -391,11 +393,11 @@
                 if each.kind == kind and each.kept and not each.out and each is not host:
                     each.kept = False
                     self.closing.append(each)
-        if report.told_wait:  # of several texts in a call some may be delivered and the others told to wait
+        if report.retry_after:  # of several texts in a call some may be delivered and the others told to wait
             used_up = report.limit_left is not None and report.limit_left < LIMIT_USED_UP
-            spread = TOLD_JITTER if used_up else max(TOLD_JITTER, report.told_wait)
-            route.wait_until = max(route.wait_until, now + report.told_wait + self.chance.below(spread))
-        if result is Result.DELIVERED or result is Result.MALFORMED and report.over:
+            spread = TOLD_JITTER if used_up else max(TOLD_JITTER, report.retry_after)
+            route.wait_until = max(route.wait_until, now + report.retry_after + self.chance.below(spread))
+        if result is Result.DELIVERED or result is Result.MALFORMED and report.finished:
             host.dest.tokens = min(BUCKET, host.dest.tokens + REFILL)
             host.sour.pop(product, None)
             route.served = route.served * max(0.0, 1 - (now - route.served_at) / SERVED_SPAN) + 1.0
@@ -410,7 +412,7 @@
             if host.sick:  # an outage mostly takes all hosts of a route, and so does its end
                 self._come_back(now, route)
         elif result is Result.FULL and counts:
-            self._refused(now, host, report.told_wait, report.limit_left)
+            self._refused(now, host, report.retry_after, report.limit_left)
         elif result not in (Result.FULL, Result.NOT_SENT, Result.CANCELLED) and counts and not spared:
             self._halve(now, route, call)
             ok = host.last_ok > call.sent - (0 if result is Result.TIMEOUT else GOOD_LATELY)
@@ -656,9 +658,9 @@
             held = self.texts.get(heapq.heappop(self.expiries)[1])
             if held and held.call is None and held.verdict is None and held.until - LAST_MOMENT <= now:
                 self._end(now, held)
-        if (over := len(self.texts) - int(self.settings.max_texts * ROOM_LEFT)) > 0:
+        if (excess := len(self.texts) - int(self.settings.max_texts * ROOM_LEFT)) > 0:
             idle = [h for h in self.texts.values() if h.call is None and h.verdict is None and h.may_nack()]
-            for held in sorted(idle, key=lambda held: self._rank(now, held), reverse=True)[:over]:
+            for held in sorted(idle, key=lambda held: self._rank(now, held), reverse=True)[:excess]:
                 self._end(now, held)
 
     def _end(self, now: int, held: Held) -> None:
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -191,8 +191,8 @@
         product = names.products.index(pairs["product"]) if known else 0
         customer = names.customers.index(said) if said in names.customers else 0
         text = li.Text(entry.id, pairs["dest"], product, pairs["until"], customer, entry.key)
-        text.handed_in_at = entry.handed_in_at
-        self._handed_in_last = max(self._handed_in_last, entry.handed_in_at)
+        text.received_at = entry.received_at
+        self._handed_in_last = max(self._handed_in_last, entry.received_at)
         in_order = self._is_ordered(pairs["product"]) if entry.in_order is None else entry.in_order
         row = replace(self.plan.settings.products[product], in_order=in_order)
         owed = self._own(Owed(text, pairs["mark"].encode(), entry.body, row, pairs["product"]))
@@ -337,7 +337,7 @@
             until = now + min(handed.valid_for, most)
             self._handed_in_last = max(now, self._handed_in_last + 1)  # each text has a time of its own
             text = li.Text(handed.id, handed.destination, row, until, number, handed.order)
-            text.handed_in_at = self._handed_in_last
+            text.received_at = self._handed_in_last
             rules = self.plan.settings.products[row]
             self.arrived[handed.id] = self._own(Owed(text, handed.mark, handed.body, rules, product, client))
             self._meet(now, text.destination)
@@ -557,11 +557,11 @@
             match action:
                 case li.Submit(text, host) if text not in self.owed:  # it could not be taken on
                     self.policy.submit_ended(
-                        now, li.SubmitReport(text, host, li.Result.NOT_SENT, 0, over=True)
+                        now, li.SubmitReport(text, host, li.Result.NOT_SENT, 0, finished=True)
                     )
                     self.soon()
-                case li.Submit(text, host, time_out):
-                    self._pack(calls, host, text, now + time_out, action.keep)
+                case li.Submit(text, host, timeout):
+                    self._pack(calls, host, text, now + timeout, action.keep)
                 case li.Nack(text, advice) if text in self.owed:
                     wait = {"wait_ms": advice // li.MS} if advice else {}
                     self._end_later(self.owed[text], {"result": "bounced"} | wait)
@@ -611,7 +611,7 @@
             product=owed.product,
             until=row.valid_until,
             customer=names[row.customer] if names else "",
-            at=row.handed_in_at,
+            at=row.received_at,
             ordered=owed.row.in_order,
         ):  # a number does not outlast them
             self.text_log.taken(row, owed.key)
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -85,7 +85,7 @@
             if ordered is None:
                 ordered = self._is_ordered(entry.pairs["product"])
             if ordered and entry.key:
-                yield entry.key, Place(entry.id, entry.handed_in_at, entry.submits > 0)
+                yield entry.key, Place(entry.id, entry.received_at, entry.submits > 0)
 
     def holds(self, text: bytes) -> bool:
         """Whether the other process has taken this text on: its client hands it in again, under the same id,
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -66,7 +66,7 @@
         return self.pairs["key"].encode()
 
     @property
-    def handed_in_at(self) -> int:
+    def received_at(self) -> int:
         """When, on the relay's timeline; 0 where an earlier version took it on."""
         return self.pairs.get("at", 0)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -455,7 +455,7 @@
     out = bench.sent()  # what is saved up
     assert len(out) == 2
     for text, host in out.items():
-        bench.end(text, Result.FULL, host=host, told_wait=9 * S)
+        bench.end(text, Result.FULL, host=host, retry_after=9 * S)
     assert {end.text for end in bench.decide(Nack)} == {500, 501, 502} and bench.sent(NOW + 5 * S) == {}
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -547,7 +547,7 @@
 def test_a_destination_at_rest_is_forgotten_and_the_timer_sees_to_it(on_demand):
     relay = on_demand
     relay.list(HOST)
-    relay.out(relay.take(), Result.DELIVERED, over=True)
+    relay.out(relay.take(), Result.DELIVERED, finished=True)
     wakes = [action.after for action in relay.policy.decide(NOW) if isinstance(action, Wake)]
     assert wakes and min(wakes) <= REST
     assert forgotten(relay, NOW + REST - 1) == []
@@ -563,7 +563,7 @@
     for number in range(10_000):
         now += S // 100
         relay.list(b"s-%d" % number, dest=number, now=now)
-        relay.out(relay.take(dest=number, now=now), Result.DELIVERED, now=now, over=True)
+        relay.out(relay.take(dest=number, now=now), Result.DELIVERED, now=now, finished=True)
     assert len(relay.policy.dests) < 2 * (REST + relay.policy.keep) // (S // 100) + 100
     for _ in range(40):
         now += 10 * S
@@ -578,7 +578,7 @@
 @pytest.mark.parametrize(
     "result, more, until",
     [
-        (Result.FULL, {"told_wait": 90 * S, "limit_left": 0.5}, 90 * S),  # a told wait is heeded to its end
+        (Result.FULL, {"retry_after": 90 * S, "limit_left": 0.5}, 90 * S),  # a told wait is heeded to its end
         (Result.TIMEOUT, {}, LESSON),
     ],
 )  # a token is spent: until the lesson is old
@@ -609,7 +609,7 @@
         assert forgotten(relay, now) == []
     text = relay.take(now=now)
     assert relay.sent(now) == {text: HOST}  # one trial, and it is known as one
-    relay.end(text, Result.DELIVERED, now, over=True)
+    relay.end(text, Result.DELIVERED, now, finished=True)
     relay.policy.dests[1].tokens = BUCKET
     for _ in range(20):
         now += 60 * S
@@ -621,7 +621,7 @@
 def test_a_text_that_comes_as_its_destination_is_due_to_be_forgotten_keeps_it(on_demand):
     relay = on_demand
     relay.list(HOST)
-    relay.out(relay.take(), Result.DELIVERED, over=True)
+    relay.out(relay.take(), Result.DELIVERED, finished=True)
     later = NOW + 99 * S
     text = relay.take(now=later)
     assert forgotten(relay, later) == [] and relay.held(text).call.host is relay.host()
@@ -644,8 +644,8 @@
     relay.list(HOST, dest=2)
     other = relay.take(dest=2)
     assert relay.sent(NOW + S)[other] == HOST
-    relay.end(text, Result.DELIVERED, NOW + S, over=True)
-    relay.end(other, Result.DELIVERED, NOW + S, over=True)
+    relay.end(text, Result.DELIVERED, NOW + S, finished=True)
+    relay.end(other, Result.DELIVERED, NOW + S, finished=True)
     assert relay.policy.slots_used == 0 and not relay.policy.texts
     assert relay.policy.hosts[HOST] in relay.policy.dests[2].hosts
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -23,7 +23,7 @@
 
 def test_a_trial_that_works_starts_the_warm_up(relay):
     host = sick(relay)
-    relay.out(relay.take(REPORT), Result.DELIVERED, host.route.trial_at, over=True)
+    relay.out(relay.take(REPORT), Result.DELIVERED, host.route.trial_at, finished=True)
     assert not host.sick and host.back_at is not None
 
 
@@ -65,7 +65,7 @@
 
 def test_kept_connections_are_given_up_while_many_of_them_are_reset(relay):
     """Hosts that close after an answer once had a tenth of all calls reset, and were taken for sick."""
-    relay.out(relay.take(REPORT), Result.DELIVERED, idle=0, over=True)
+    relay.out(relay.take(REPORT), Result.DELIVERED, idle=0, finished=True)
     now = NOW + S
     for _ in range(2):
         text = relay.take(REPORT)
@@ -75,9 +75,9 @@
     actions = [each for each in relay.decide(now=now) if isinstance(each, (CloseIdle, Submit))]
     assert [type(each) for each in actions[:2]] == [CloseIdle, Submit] and actions[1].keep <= 0
     for action in actions[1::2]:
-        relay.end(action.text, Result.DELIVERED, now, over=True, idle=0)
+        relay.end(action.text, Result.DELIVERED, now, finished=True, idle=0)
     for _ in range(80):  # calls on new connections: it fades
-        relay.out(relay.take(REPORT, now=now), Result.DELIVERED, now, over=True, idle=0)
+        relay.out(relay.take(REPORT, now=now), Result.DELIVERED, now, finished=True, idle=0)
     assert relay.policy.stale[0] < STALE_ONCE
 
 
@@ -85,7 +85,7 @@
     """Lost answers once cost the text: 9 s of its window of 10 s were over before it could go again."""
     relay.host().route.seen, relay.host().route.usual = 10, 1000
     text = relay.take(NOTICE)
-    assert relay.decide(Submit)[0].time_out == 10 * S // 4
+    assert relay.decide(Submit)[0].timeout == 10 * S // 4
     relay.end(text, Result.TIMEOUT, NOW + 10 * S // 4)
     assert relay.held(text).verdict is None and relay.held(text).due < NOW + 5 * S
     slow = relay.held(relay.take(NOTICE))
@@ -97,14 +97,14 @@
     """A host of whose answers a third was lost once counted as down, and all its texts waited for trials."""
     first, second = relay.take(REPORT), relay.take(REPORT)
     relay.decide()
-    relay.end(first, Result.DELIVERED, NOW + S, over=True)
+    relay.end(first, Result.DELIVERED, NOW + S, finished=True)
     relay.end(second, Result.TIMEOUT, NOW + 9 * S)
     assert 0 < relay.host().failing < 0.2 and not relay.host().sick
 
 
 def test_a_reset_after_idleness_is_a_dead_connection_and_no_outage(relay):
     """A path that drops idle connections once looked like an outage of every host."""
-    relay.out(relay.take(REPORT), Result.DELIVERED, over=True)
+    relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     relay.out(relay.take(REPORT), Result.RESET, NOW + 2 * S, took=100)
     assert relay.host().failing == 0.0 and relay.policy.idle_most[0] < 2 * S
 
@@ -114,7 +114,7 @@
     relays killed together filled all tables in their first seconds."""
     fleet.list(TWIN, dest=2)
     for now, closed in ((NOW, [CloseIdle(TWIN)]), (NOW + 9 * S, [])):
-        fleet.out(fleet.take(REPORT, dest=2, now=now), Result.DELIVERED, now, over=True)
+        fleet.out(fleet.take(REPORT, dest=2, now=now), Result.DELIVERED, now, finished=True)
         assert fleet.decide(CloseIdle, now) == closed
     text = fleet.take(REPORT, now=now)
     fleet.out(text, Result.CONNECT, now)  # no delivery lately: half a sign of an outage
@@ -135,7 +135,7 @@
     assert not fleet.host(bad).sick and not fleet.host(bad).failing
     assert fleet.out(first, now=now) == good
     for _ in range(4):
-        assert fleet.out(fleet.take(REPORT, now=now), Result.DELIVERED, now, over=True) == good
+        assert fleet.out(fleet.take(REPORT, now=now), Result.DELIVERED, now, finished=True) == good
     fleet.end(first, Result.TIMEOUT, now + 9 * S, host=good)  # a second host: the destination hangs
     assert fleet.host(good).sick and fleet.host(bad).sick
 
@@ -143,15 +143,15 @@
 def test_of_two_hosts_drawn_the_one_with_an_idle_connection_is_taken(relay):
     """Calls spread over hosts at random once paid for a new connection each, beside an idle one."""
     relay.list(HOST, TWIN)
-    kept = relay.out(relay.take(REPORT), Result.DELIVERED, over=True)
+    kept = relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     for at in range(1, 6):
-        assert relay.out(relay.take(REPORT), Result.DELIVERED, NOW + at * S, over=True) == kept
+        assert relay.out(relay.take(REPORT), Result.DELIVERED, NOW + at * S, finished=True) == kept
     relay.host(kept).failing = SICK_SHARE - 0.1  # health comes first
     assert relay.out(relay.take(REPORT), now=NOW + 6 * S) != kept
 
 
 def test_no_connection_while_others_go_through_is_a_full_table(relay):
-    relay.out(relay.take(REPORT), Result.DELIVERED, over=True)
+    relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     relay.out(relay.take(REPORT), Result.CONNECT, NOW + S)
     assert relay.host().failing == 0.0
 
@@ -167,10 +167,10 @@
 
 def test_a_long_told_wait_is_an_outage_unless_the_limit_is_used_up(relay):
     """Told waits of many relays reach far at a small limit and once looked like an outage."""
-    relay.out(relay.take(REPORT), Result.FULL, told_wait=TOLD_SHUT + 1, limit_left=0.0)
+    relay.out(relay.take(REPORT), Result.FULL, retry_after=TOLD_SHUT + 1, limit_left=0.0)
     assert not relay.host().sick
     relay.list(TWIN, dest=2)
-    relay.out(relay.take(REPORT, dest=2), Result.FULL, told_wait=TOLD_SHUT + 1)
+    relay.out(relay.take(REPORT, dest=2), Result.FULL, retry_after=TOLD_SHUT + 1)
     assert relay.host(TWIN).sick
 
 
@@ -262,7 +262,7 @@
     """Paces once cut did not come back while the told limit had room."""
     route = relay.host().route
     route.limit, route.pace, route.credit_at = 10.0, 1.0, NOW
-    relay.out(relay.take(REPORT), Result.DELIVERED, limit_left=0.5, over=True)
+    relay.out(relay.take(REPORT), Result.DELIVERED, limit_left=0.5, finished=True)
     assert 1.5 <= route.pace < 1.6
 
 
@@ -284,12 +284,12 @@
     assert 0 < route.pace < 0.2 and fleet.sent(now) == {} and route.rate(200) == 2
     for step in [30 * S] * 40 + [S] * 20:
         now += step
-        fleet.out(fleet.take(REPORT, now=now), Result.DELIVERED, now, over=True)
+        fleet.out(fleet.take(REPORT, now=now), Result.DELIVERED, now, finished=True)
     assert route.pace == 0 and 100 < route.rate(200) < 200
     text = fleet.take(REPORT, now=now)
     assert text in fleet.sent(now)
     route.pace = 1.0
-    fleet.end(text, Result.DELIVERED, now, over=True)
+    fleet.end(text, Result.DELIVERED, now, finished=True)
     assert route.pace > 1.0
 
 
@@ -298,13 +298,13 @@
     for now, sick in ((NOW + 4 * S, False), (NOW + 14 * S, True)):
         fleet.host().kept, fleet.host().used_at = True, now - 4 * S
         text = fleet.take(REPORT, now=now)
-        fleet.out(text, Result.TIMEOUT, now, over=True)
+        fleet.out(text, Result.TIMEOUT, now, finished=True)
         assert fleet.host().sick is sick and fleet.policy.stale[0] > STALE_ONCE
 
 
 def test_a_text_handed_in_again_paces_a_route_that_this_relay_does_not_know(fleet):
     """Texts nacked at one relay once kept a limit used up by way of others, which sent them on at once."""
-    fleet.policy.text_accepted(NOW, Text(1, 1, REPORT, NOW + 40 * S, again=True))
+    fleet.policy.text_accepted(NOW, Text(1, 1, REPORT, NOW + 40 * S, resubmitted=True))
     assert fleet.sent() == {} and fleet.sent(NOW + 20 * S) == {1: HOST}
 
 
@@ -314,7 +314,7 @@
         route = bench.host().route
         route.credit_at = NOW
         route.learn_limit(20.0, bench.policy.settings.relays)
-        bench.out(bench.take(REPORT), Result.DELIVERED, limit_left=1.0, over=True)
+        bench.out(bench.take(REPORT), Result.DELIVERED, limit_left=1.0, finished=True)
         assert room[0] <= route.pace <= room[1]
     fleet.host().route.learn_limit(10.0, 200)  # once only refusals told each, late and alone
     assert 0.05 <= fleet.host().route.pace < 0.06
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -10,7 +10,7 @@
     dest, text = relay.host().dest, relay.take(REPORT)
     relay.out(text, Result.FULL)
     assert dest.tokens == BUCKET - TOKEN
-    relay.out(text, Result.DELIVERED, NOW + 15 * S, over=True)
+    relay.out(text, Result.DELIVERED, NOW + 15 * S, finished=True)
     assert dest.tokens == BUCKET - TOKEN + 1
 
 
@@ -45,7 +45,7 @@
     assert route.window == 4
     texts = [relay.take(REPORT) for _ in range(3)]
     relay.decide()
-    relay.end(texts[0], Result.DELIVERED, over=True)
+    relay.end(texts[0], Result.DELIVERED, finished=True)
     assert route.window == 5
     relay.end(texts[1], Result.TIMEOUT)
     relay.end(texts[2], Result.TIMEOUT)
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -260,7 +260,7 @@
         bench.take(REPORT, now=now, valid=4 * S)
         for text in bench.sent(now):
             counts[step // 50] += 1
-            bench.end(text, Result.DELIVERED, now, over=True, limit_rate=40.0 if told else None)
+            bench.end(text, Result.DELIVERED, now, finished=True, limit_rate=40.0 if told else None)
     return counts
 
 
@@ -280,8 +280,8 @@
     bench = Bench(Policy(replace(policy_settings, relays=20), WALL))
     bench.list(HOST, now=WALL)
     for _ in range(30):
-        bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, over=True)
-    bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, over=True, limit_rate=40.0)
+        bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True)
+    bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True, limit_rate=40.0)
     now = WALL + S // 2
     assert bench.sent(now) == {} and bench.sent(now) == {}
     text = bench.take(REPORT, now=now)
@@ -294,7 +294,7 @@
     route = bench.host().route
     route.limit, route.pace, route.credit, route.credit_at = 0.0, 0.0, 0.0, WALL  # had one, long ago
     now = WALL + 600 * S
-    bench.out(bench.take(REPORT, now=now), Result.DELIVERED, now, over=True, limit_rate=40.0)
+    bench.out(bench.take(REPORT, now=now), Result.DELIVERED, now, finished=True, limit_rate=40.0)
     bench.decide(now=now)
     bench.take(REPORT, now=now)
     bench.decide(now=now)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -24,7 +24,7 @@
 
 def test_the_time_out_is_cut_to_the_time_left(relay):
     relay.take(valid=1 * S)
-    assert relay.decide(Submit)[0].time_out == 1 * S
+    assert relay.decide(Submit)[0].timeout == 1 * S
 
 
 @pytest.mark.parametrize("result", FAILURES)
@@ -116,7 +116,7 @@
 def test_the_next_text_of_a_key_rests_after_an_answer_of_which_only_the_first_line_came(relay):
     """The text is delivered, but nobody knows whether its call still runs."""
     first, second = relay.take(CHARGE, key=5), relay.take(CHARGE, key=5)
-    relay.out(first, Result.MALFORMED, over=True)
+    relay.out(first, Result.MALFORMED, finished=True)
     assert relay.sent(NOW + 2990) == {} and relay.sent(NOW + 3200) == {second: HOST}
     assert not relay.host().failing
 
@@ -129,7 +129,7 @@
 def test_a_told_wait_binds_the_whole_destination(relay):
     relay.list(TWIN)
     text = relay.take()
-    relay.out(text, Result.FULL, told_wait=2 * S, limit_left=0.0)
+    relay.out(text, Result.FULL, retry_after=2 * S, limit_left=0.0)
     relay.take(REPORT)
     assert relay.sent(NOW + 2 * S - 1) == {}
     assert relay.host().route.wait_until < NOW + 2 * S + TOLD_JITTER
@@ -212,7 +212,7 @@
 
 def test_a_wait_told_beside_a_delivery_is_heeded(relay):
     first = relay.take(REPORT)
-    relay.out(first, Result.DELIVERED, over=True, told_wait=S)
+    relay.out(first, Result.DELIVERED, finished=True, retry_after=S)
     relay.take(REPORT)
     assert relay.sent(NOW + S - 1) == {}
     assert len(relay.sent(NOW + 3 * S)) == 1
@@ -245,10 +245,10 @@
     relay.policy.order.sibling_holds([(5, Place(earlier, NOW - 1))])
     assert relay.sent() == {}  # the process before holds an earlier text of the key
     relay.policy.order.sibling_holds([])
-    text = Text(earlier, 1, CHARGE, NOW + 20 * S, 0, 5, handed_in_at=NOW - 1)
+    text = Text(earlier, 1, CHARGE, NOW + 20 * S, 0, 5, received_at=NOW - 1)
     relay.policy.text_accepted(NOW, text, TextHistory(in_order=True))
     assert relay.sent() == {earlier: HOST}
-    relay.end(earlier, Result.DELIVERED, over=True)
+    relay.end(earlier, Result.DELIVERED, finished=True)
     relay.policy.text_finished(NOW, earlier)
     assert relay.sent(NOW + 1) == {later: HOST}
 
@@ -277,7 +277,7 @@
 
 
 def test_what_this_process_has_seen_since_counts_more_than_the_other_s_news(relay):
-    relay.out(relay.take(REPORT), Result.DELIVERED, over=True)
+    relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     relay.policy.health_from_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
     assert not relay.host().sick
     relay.policy.health_from_sibling(NOW, HOST, Health.WARMING, NOW - 30 * S)  # long warm again
--- a/tests/test_terms_cold.py
+++ b/tests/test_terms_cold.py
@@ -167,7 +167,7 @@
         if self.now >= self.back_at:
             self.calls.append(self.now)
             result, took = self.answer(), self.chance.randrange(LATENCY // 2, 2 * LATENCY)
-        took = took or submit.time_out
+        took = took or submit.timeout
         left = max(0.0, self.room / 5) if self.told else None
         self.at(
             self.now + took,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -71,7 +71,7 @@
 def test_an_outcome_is_read_with_and_without_a_report():
     body = struct.pack(">HQB6sHdBIB", 3, 9, 0, HOST, 2, 18.5, 0, 250, 2) + struct.pack(">ff", 0.5, 8.0)
     report = wire.read_outcome(body, ["x0", "x1"])
-    assert (report.result, report.took, report.told_wait) == (Result.FULL, 185, 2500)
+    assert (report.result, report.took, report.retry_after) == (Result.FULL, 185, 2500)
     assert (report.limit_left, report.limit_rate) == (0.5, 8.0)
     assert wire.read_outcome(body[:32] + b"\0", ["x0"]).limit_left is None
     none = wire.read_outcome(body[:33] + struct.pack(">ff", 0.0, 0.0), ["x0", "x1"])  # it has no limit
@@ -122,4 +122,4 @@
     assert wire.SUBSCRIBE in codes(link.answer(1001.0, [fired]))
     link.answer(1002.0, [listed(3, mode=wire.FAILED)])
     assert wire.SUBSCRIBE in codes(link.answer(2500.0, [fired]))
-    assert wire.read_text(struct.pack(">HQQdHdHHf", 3, 9, 0, 0.0, 2, 1e4, 0, 0, 57.0)).again
+    assert wire.read_text(struct.pack(">HQQdHdHHf", 3, 9, 0, 0.0, 2, 1e4, 0, 0, 57.0)).resubmitted
