--- a/limelatch/key_order.py
+++ b/limelatch/key_order.py
@@ -19,36 +19,36 @@
 Key = int | bytes
 
 
-class Hold(Enum):
+class BlockReason(Enum):
     """Why a text may not go now."""
 
-    LINE = "line"  # another text of its key in this process goes first
+    QUEUE = "line"  # another text of its key in this process goes first
     SIBLING = "sibling"  # one in the other process does
-    REST = "rest"  # a call of another text of its key may still run
+    COOLDOWN = "rest"  # a call of another text of its key may still run
 
 
 @dataclass(slots=True)
-class Place:
+class QueuedText:
     """One open text in the line of its key.
 
     `begun`: a submit of it has gone, so it has its key's turn until it is over."""
 
     text: TextId
     received_at: int
-    begun: bool = False
+    started: bool = False
 
-    def goes_before(self, other: Place) -> bool:
+    def precedes(self, other: QueuedText) -> bool:
         """Within one process, where texts handed in at the same time stay as they came."""
-        return (not self.begun, self.received_at) < (not other.begun, other.received_at)
+        return (not self.started, self.received_at) < (not other.started, other.received_at)
 
-    def goes_before_of_sibling(self, other: Place) -> bool:
+    def precedes_sibling_text(self, other: QueuedText) -> bool:
         """Between two processes: both have to come to the same answer."""
-        mine, theirs = (not self.begun, self.received_at), (not other.begun, other.received_at)
+        mine, theirs = (not self.started, self.received_at), (not other.started, other.received_at)
         return (*mine, self.text) < (*theirs, other.text)
 
 
 @dataclass(frozen=True, slots=True)
-class Rest:
+class KeyCooldown:
     """Until when a key rests. The text whose call may still run may itself be sent again meanwhile."""
 
     until: int
@@ -59,67 +59,67 @@
     """The lines and the rests of all keys with open texts."""
 
     def __init__(self) -> None:
-        self.lines: dict[Key, list[Place]] = {}
-        self.rests: dict[Key, Rest] = {}
-        self._siblings_first: dict[Key, Place] = {}
+        self.queues: dict[Key, list[QueuedText]] = {}
+        self.cooldowns: dict[Key, KeyCooldown] = {}
+        self._siblings_first: dict[Key, QueuedText] = {}
 
-    def take(self, key: Key, place: Place) -> None:
+    def add(self, key: Key, place: QueuedText) -> None:
         """Put a text into its key's line: by its handing in, behind one that has begun."""
-        line = self.lines.get(key)
-        if line is None:
-            self.lines[key] = [place]
+        queue = self.queues.get(key)
+        if queue is None:
+            self.queues[key] = [place]
             return
-        at = len(line)
-        while at and place.goes_before(line[at - 1]):
+        at = len(queue)
+        while at and place.precedes(queue[at - 1]):
             at -= 1
-        line.insert(at, place)
+        queue.insert(at, place)
 
-    def begin(self, key: Key, text: TextId) -> None:
+    def mark_started(self, key: Key, text: TextId) -> None:
         """A submit of the text goes out: it has the turn until it is over."""
-        for place in self.lines.get(key, ()):
+        for place in self.queues.get(key, ()):
             if place.text == text:
-                place.begun = True
+                place.started = True
 
-    def over(self, key: Key, text: TextId) -> None:
+    def remove(self, key: Key, text: TextId) -> None:
         """Nothing more is owed for the text. KeyError where its key has no line."""
-        line = self.lines[key]
-        if len(line) == 1 and line[0].text == text:
-            del self.lines[key]
+        queue = self.queues[key]
+        if len(queue) == 1 and queue[0].text == text:
+            del self.queues[key]
             return
-        line = [place for place in line if place.text != text]
-        if line:
-            self.lines[key] = line
+        queue = [place for place in queue if place.text != text]
+        if queue:
+            self.queues[key] = queue
         else:
-            del self.lines[key]
+            del self.queues[key]
 
-    def rest(self, key: Key, text: TextId, until: int) -> None:
+    def start_cooldown(self, key: Key, text: TextId, until: int) -> None:
         """A call of the text may still run: the other texts of its key wait, for the longest rest told."""
-        known = self.rests.get(key)
+        known = self.cooldowns.get(key)
         if known is None or known.until < until:
-            self.rests[key] = Rest(until, text)
+            self.cooldowns[key] = KeyCooldown(until, text)
 
-    def forget_rests(self, now: int) -> None:
+    def forget_expired_cooldowns(self, now: int) -> None:
         """Rests that are over are of no use any more."""
-        self.rests = {key: rest for key, rest in self.rests.items() if rest.until > now}
+        self.cooldowns = {key: cooldown for key, cooldown in self.cooldowns.items() if cooldown.until > now}
 
-    def sibling_holds(self, places: Iterable[tuple[Key, Place]]) -> None:
+    def set_sibling_texts(self, places: Iterable[tuple[Key, QueuedText]]) -> None:
         """All open texts of the other process by now, in place of those told before."""
-        first: dict[Key, Place] = {}
+        first: dict[Key, QueuedText] = {}
         for key, place in places:
             known = first.get(key)
-            if known is None or place.goes_before_of_sibling(known):
+            if known is None or place.precedes_sibling_text(known):
                 first[key] = place
         self._siblings_first = first
 
-    def hold_of(self, now: int, key: Key, text: TextId) -> Hold | None:
+    def block_reason(self, now: int, key: Key, text: TextId) -> BlockReason | None:
         """Why the text may not go now; None where it has its key's turn."""
-        line = self.lines.get(key)
-        if not line or line[0].text != text:
-            return Hold.LINE
+        queue = self.queues.get(key)
+        if not queue or queue[0].text != text:
+            return BlockReason.QUEUE
         other = self._siblings_first.get(key)
-        if other is not None and not line[0].goes_before_of_sibling(other):
-            return Hold.SIBLING
-        rest = self.rests.get(key)
-        if rest is not None and rest.until > now and rest.text != text:
-            return Hold.REST
+        if other is not None and not queue[0].precedes_sibling_text(other):
+            return BlockReason.SIBLING
+        cooldown = self.cooldowns.get(key)
+        if cooldown is not None and cooldown.until > now and cooldown.text != text:
+            return BlockReason.COOLDOWN
         return None
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -30,13 +30,13 @@
     Mutant(
         "a key's line over processes",
         "key_order.py",
-        "if other is not None and not line[0].goes_before_of_sibling(other):",
+        "if other is not None and not queue[0].precedes_sibling_text(other):",
         "if False:",
     ),
     Mutant(
         "a key's rest",
         "key_order.py",
-        "if rest is not None and rest.until > now and rest.text != text:",
+        "if cooldown is not None and cooldown.until > now and cooldown.text != text:",
         "if False:",
     ),
     Mutant(
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -45,7 +45,7 @@
     Wake,
     Watch,
 )
-from limelatch.key_order import KeyOrder, Place
+from limelatch.key_order import KeyOrder, QueuedText
 
 # The design's figures; tokens are counted in tenths.
 BUCKET, REFILL, TOKEN = 200, 1, 10
@@ -196,7 +196,7 @@
         self.dests: defaultdict[int, Destination] = defaultdict(Destination)
         self.active: dict[int, Destination] = {}  # those with texts waiting; a tick looks at no others
         self.processes = 1  # of this relay: 2 in an upgrade, which both send to a host back from an outage
-        self.order = KeyOrder()  # of texts of products in order, over all processes of the relay
+        self.key_order = KeyOrder()  # of texts of products in order, over all processes of the relay
         self.expiries: list[tuple[int, TextId]] = []
         self.slots_used, self.wake_at, self.stop_at = 0, now, NEVER
         self.rest = REST if settings.hosts_on_demand else NEVER  # of a destination, until it may be forgotten
@@ -219,7 +219,7 @@
     def hosts_listed(self, now: int, entries: list[HostEntry], whole: bool, news: bool = True) -> None:
         """News of the list; what a whole list leaves out is gone. No news: of a destination met anew."""
         self.asked = 0 if news else self.asked
-        self.order.forget_rests(now)
+        self.key_order.forget_expired_cooldowns(now)
         for host in self.hosts.values() if whole else ():
             host.listing = Listing.GONE
         for host, entry in [(self._host(entry), entry) for entry in entries]:
@@ -250,9 +250,9 @@
         held = self.texts[text.id] = Held(text, self.settings.products[text.product], history)
         if held.key:
             received_at = now if text.received_at is None else text.received_at
-            self.order.take(held.key, Place(text.id, received_at, history.submits > 0))
+            self.key_order.add(held.key, QueuedText(text.id, received_at, history.submits > 0))
         if history.out and held.key:
-            self.order.rest(held.key, text.id, now + self.settings.turn_gap)
+            self.key_order.start_cooldown(held.key, text.id, now + self.settings.turn_gap)
         if history.answered:
             self.unheard[text.id] = self.texts.pop(text.id)
         elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:
@@ -284,7 +284,7 @@
         if report.result in ANSWERED + UNANSWERED:  # it may have run
             held.may_have_run(call.sent, host.zone)
             if report.result is not Result.ERROR and held.key:
-                self.order.rest(held.key, held.text.id, now + self.settings.turn_gap)
+                self.key_order.start_cooldown(held.key, held.text.id, now + self.settings.turn_gap)
         if report.finished:
             return self._forget(now, held)
         held.submits -= report.unsent
@@ -614,7 +614,7 @@
 
     def _has_turn(self, now: int, held: Held) -> bool:
         """A product in order: only the first text of its key, and after the key's rest."""
-        return not held.key or self.order.hold_of(now, held.key, held.text.id) is None
+        return not held.key or self.key_order.block_reason(now, held.key, held.text.id) is None
 
     def _opens_at(self, now: int, host: Host) -> int:
         """When the host takes one more call of this relay: slots, window, pace, health, warm-up."""
@@ -743,4 +743,4 @@
             dest.rest_at = now
             self.resting.setdefault(held.text.destination, now + self.rest)
         if held.key:
-            self.order.over(held.key, held.text.id)
+            self.key_order.remove(held.key, held.text.id)
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -86,7 +86,7 @@
             self.ledger,
             clock,
             self.deadlines,
-            self.policy.order,
+            self.policy.key_order,
             self._is_ordered,
             self._adopt,
             self.soon,
@@ -475,7 +475,7 @@
 
     def _rest_of(self, owed: Owed, now: int) -> int | None:
         """Until when the text's key rests by a call of this text; None where it does not."""
-        rest = None if owed.key is None else self.policy.order.rests.get(owed.key)
+        rest = None if owed.key is None else self.policy.key_order.cooldowns.get(owed.key)
         return rest.until if rest is not None and rest.text == owed.text.id and rest.until > now else None
 
     def ended(self, call: Call, parcel: Parcel, outcome: Outcome) -> None:
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 
 from limelatch.interface import SECOND, HostId
-from limelatch.key_order import Hold, Key, KeyOrder, Place
+from limelatch.key_order import BlockReason, Key, KeyOrder, QueuedText
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.ledger import Ledger
@@ -58,7 +58,7 @@
         now = self._clock.now()
         for key, rest in book.rests.items():
             if rest.until > now:
-                self._order.rest(key, rest.text, rest.until)
+                self._order.start_cooldown(key, rest.text, rest.until)
 
     def look(self) -> None:
         """Tell the order of keys, and the waits, what the sibling holds by now."""
@@ -67,11 +67,11 @@
         book = self._sibling.look()
         self._ledger.sibling_needs = self._sibling.bytes_needed
         if book is None:
-            self._order.sibling_holds(())
+            self._order.set_sibling_texts(())
             self._forget_sibling()
             return
         self.learn(book)
-        self._order.sibling_holds(self._places(book))
+        self._order.set_sibling_texts(self._places(book))
         self._hear(book)
 
     def _hear(self, book: Book) -> None:
@@ -79,13 +79,13 @@
         self.waits = {host: until for host, until in book.waits.items() if until > now}
         self.healths = book.healths
 
-    def _places(self, book: Book) -> Iterator[tuple[Key, Place]]:
+    def _places(self, book: Book) -> Iterator[tuple[Key, QueuedText]]:
         for entry in book.entries.values():
             ordered = entry.in_order
             if ordered is None:
                 ordered = self._is_ordered(entry.pairs["product"])
             if ordered and entry.key:
-                yield entry.key, Place(entry.id, entry.received_at, entry.submits > 0)
+                yield entry.key, QueuedText(entry.id, entry.received_at, entry.submits > 0)
 
     def holds(self, text: bytes) -> bool:
         """Whether the other process has taken this text on: its client hands it in again, under the same id,
@@ -93,7 +93,7 @@
         book = self._sibling.look() if self._sibling_known else None
         return book is not None and text in book.entries
 
-    def claim(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
+    def claim(self, key: Key, text: bytes, going: Callable[[], bool]) -> BlockReason | None:
         """Have the submit of a text in order recorded by `going`, if it still has its key's turn.
 
         None where it goes. Guards against the other process doing the same between look and record: see
@@ -103,14 +103,14 @@
         self._meet_sibling()
         with self._sibling.claiming() as held:
             if not held:
-                return Hold.SIBLING
+                return BlockReason.SIBLING
             self.look()
             return self._go(key, text, going)
 
-    def _go(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
-        hold = self._order.hold_of(self._clock.now(), key, text)
+    def _go(self, key: Key, text: bytes, going: Callable[[], bool]) -> BlockReason | None:
+        hold = self._order.block_reason(self._clock.now(), key, text)
         if hold is None and going():
-            self._order.begin(key, text)
+            self._order.mark_started(key, text)
         return hold
 
     def _take_over(self) -> None:
@@ -121,7 +121,7 @@
             self._deadlines.after(SIBLING_LOOK, self._take_over)
             return
         self._hear(self._ledger.book)
-        self._order.sibling_holds(())
+        self._order.set_sibling_texts(())
         self.learn(self._ledger.book)
         self._forget_sibling()
         self._adopt(adopted)
@@ -149,7 +149,7 @@
     def _take_seat(self) -> None:
         """In the folder: what a successor that has ended left in its seat is this process's."""
         if self._ledger.seat_left and (adopted := self._ledger.take_seat()):
-            self._order.sibling_holds(())
+            self._order.set_sibling_texts(())
             self.learn(self._ledger.book)
             self._hear(self._ledger.book)
             self._adopt(adopted)
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from limelatch.interface import Health
-from limelatch.key_order import Rest
+from limelatch.key_order import KeyCooldown
 
 HEAD = struct.Struct(">II")  # length and checksum of what follows
 NAMES = struct.Struct(">BH")  # kind of record and length of its pairs; a body follows these
@@ -125,12 +125,12 @@
 
     def __init__(self) -> None:
         self.entries: dict[bytes, Entry] = {}
-        self.rests: dict[bytes, Rest] = {}
+        self.rests: dict[bytes, KeyCooldown] = {}
         self.waits: dict[bytes, int] = {}
         self.healths: dict[bytes, HostHealth] = {}
         self.live = 0
 
-    def add_rest(self, key: bytes, rest: Rest, now: int) -> None:
+    def add_rest(self, key: bytes, rest: KeyCooldown, now: int) -> None:
         """The longest rest of the key holds."""
         for each in [known for known, old in self.rests.items() if old.until <= now]:
             self._drop_rest(each)
@@ -181,7 +181,7 @@
         if kind == Kind.BLANK:
             return None
         if kind == Kind.REST:
-            self.add_rest(pairs["key"].encode(), Rest(pairs["until"], text), 0)
+            self.add_rest(pairs["key"].encode(), KeyCooldown(pairs["until"], text), 0)
             return None
         if kind == Kind.HEALTH:
             self.add_health(text, HostHealth(Health(pairs["health"]), pairs["at"]))
@@ -209,7 +209,7 @@
                 if not entry.ran:
                     entry.ran_at = entry.ran_zone = None
                 if "rest" in pairs:
-                    self.add_rest(entry.key, Rest(pairs["rest"], text), pairs["at"])
+                    self.add_rest(entry.key, KeyCooldown(pairs["rest"], text), pairs["at"])
                 return wrong
             case Kind.STATE:
                 entry.submits, entry.out, entry.ran = pairs["submits"], pairs["out"], pairs["ran"]
@@ -224,7 +224,7 @@
         return None
 
 
-def kept_rest(key: bytes, rest: Rest) -> bytes:
+def kept_rest(key: bytes, rest: KeyCooldown) -> bytes:
     """A rest's own record."""
     return record(Kind.REST, rest.text, {"key": key.decode(), "until": rest.until})
 
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -12,7 +12,7 @@
 from test_crossings import Running, ledger_in, take
 
 from limelatch.interface import Health
-from limelatch.key_order import Hold, KeyOrder, Place, Rest
+from limelatch.key_order import BlockReason, KeyCooldown, KeyOrder, QueuedText
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.handover import SIBLING_LOOK, Handover
 from limelatch.relay.ledger import Ledger
@@ -25,60 +25,60 @@
 def order_of(*places):
     order = KeyOrder()
     for place in places:
-        order.take(KEY, place)
+        order.add(KEY, place)
     return order
 
 
-def hold(order, text, now=NOW):
-    return order.hold_of(now, KEY, text)
+def block_reason(order, text, now=NOW):
+    return order.block_reason(now, KEY, text)
 
 
 def test_texts_of_a_process_go_as_they_were_handed_in_whenever_they_are_told():
-    order = order_of(Place(b"b", 5), Place(b"c", 5), Place(b"a", 3))
-    assert [place.text for place in order.lines[KEY]] == [b"a", b"b", b"c"]
-    assert hold(order, b"a") is None and hold(order, b"b") is Hold.LINE
-    order.over(KEY, b"a")
-    assert hold(order, b"b") is None
-    order.over(KEY, b"b")
-    order.over(KEY, b"c")
-    assert order.lines == {}
+    order = order_of(QueuedText(b"b", 5), QueuedText(b"c", 5), QueuedText(b"a", 3))
+    assert [place.text for place in order.queues[KEY]] == [b"a", b"b", b"c"]
+    assert block_reason(order, b"a") is None and block_reason(order, b"b") is BlockReason.QUEUE
+    order.remove(KEY, b"a")
+    assert block_reason(order, b"b") is None
+    order.remove(KEY, b"b")
+    order.remove(KEY, b"c")
+    assert order.queues == {}
 
 
 def test_a_text_that_has_begun_keeps_the_turn_before_one_handed_in_earlier():
-    order = order_of(Place(b"b", 5))
-    order.begin(KEY, b"b")
-    order.take(KEY, Place(b"a", 3))
-    assert hold(order, b"b") is None and hold(order, b"a") is Hold.LINE
+    order = order_of(QueuedText(b"b", 5))
+    order.mark_started(KEY, b"b")
+    order.add(KEY, QueuedText(b"a", 3))
+    assert block_reason(order, b"b") is None and block_reason(order, b"a") is BlockReason.QUEUE
 
 
 @pytest.mark.parametrize(
     "own, other, goes",
     [
-        (Place(b"a", 3), Place(b"b", 5), True),
-        (Place(b"a", 5), Place(b"b", 3), False),
-        (Place(b"a", 3), Place(b"b", 5, begun=True), False),
-        (Place(b"a", 5, begun=True), Place(b"b", 3), True),
-        (Place(b"a", 5), Place(b"b", 5), True),
-        (Place(b"b", 5), Place(b"a", 5), False),
+        (QueuedText(b"a", 3), QueuedText(b"b", 5), True),
+        (QueuedText(b"a", 5), QueuedText(b"b", 3), False),
+        (QueuedText(b"a", 3), QueuedText(b"b", 5, started=True), False),
+        (QueuedText(b"a", 5, started=True), QueuedText(b"b", 3), True),
+        (QueuedText(b"a", 5), QueuedText(b"b", 5), True),
+        (QueuedText(b"b", 5), QueuedText(b"a", 5), False),
     ],
 )
 def test_of_two_processes_one_alone_has_the_turn(own, other, goes):
     here, there = order_of(own), order_of(other)
-    here.sibling_holds([(KEY, other)])
-    there.sibling_holds([(KEY, own)])
-    assert hold(here, own.text) is (None if goes else Hold.SIBLING)
-    assert hold(there, other.text) is (Hold.SIBLING if goes else None)
+    here.set_sibling_texts([(KEY, other)])
+    there.set_sibling_texts([(KEY, own)])
+    assert block_reason(here, own.text) is (None if goes else BlockReason.SIBLING)
+    assert block_reason(there, other.text) is (BlockReason.SIBLING if goes else None)
 
 
 def test_a_rest_binds_all_texts_but_the_one_that_caused_it_and_the_longest_holds():
-    order = order_of(Place(b"a", 1), Place(b"b", 2))
-    order.rest(KEY, b"a", NOW + 5)
-    order.rest(KEY, b"x", NOW + 3)
-    assert hold(order, b"a") is None and order.rests[KEY] == Rest(NOW + 5, b"a")
-    order.over(KEY, b"a")
-    assert hold(order, b"b") is Hold.REST and hold(order, b"b", NOW + 5) is None
-    order.forget_rests(NOW + 5)
-    assert order.rests == {}
+    order = order_of(QueuedText(b"a", 1), QueuedText(b"b", 2))
+    order.start_cooldown(KEY, b"a", NOW + 5)
+    order.start_cooldown(KEY, b"x", NOW + 3)
+    assert block_reason(order, b"a") is None and order.cooldowns[KEY] == KeyCooldown(NOW + 5, b"a")
+    order.remove(KEY, b"a")
+    assert block_reason(order, b"b") is BlockReason.COOLDOWN and block_reason(order, b"b", NOW + 5) is None
+    order.forget_expired_cooldowns(NOW + 5)
+    assert order.cooldowns == {}
 
 
 STEPS = st.lists(
@@ -97,19 +97,19 @@
             drawn[me].append(next(numbers))
         elif step == "take":
             stamp = drawn[me].pop(0) if drawn[me] else next(numbers)
-            mine[b"%d" % stamp] = Place(b"%d" % stamp, stamp)
-            order.take(KEY, mine[b"%d" % stamp])
+            mine[b"%d" % stamp] = QueuedText(b"%d" % stamp, stamp)
+            order.add(KEY, mine[b"%d" % stamp])
         elif step == "claim":
-            order.sibling_holds([(KEY, place) for place in theirs.values()])
+            order.set_sibling_texts([(KEY, place) for place in theirs.values()])
             for text in list(mine):
-                if hold(order, text) is None:
-                    order.begin(KEY, text)
+                if block_reason(order, text) is None:
+                    order.mark_started(KEY, text)
         else:
-            begun = next((text for text, place in mine.items() if place.begun), None)
+            begun = next((text for text, place in mine.items() if place.started), None)
             if begun is not None:
                 del mine[begun]
-                order.over(KEY, begun)
-        assert sum(place.begun for side in held for place in side.values()) <= 1
+                order.remove(KEY, begun)
+        assert sum(place.started for side in held for place in side.values()) <= 1
 
 
 # How a process follows its sibling's ledger.
@@ -170,10 +170,10 @@
     def adopt(self, entries):
         self.adopted += [entry.id for entry in entries]
         for entry in entries:
-            self.order.take(entry.key, Place(entry.id, entry.received_at, entry.submits > 0))
+            self.order.add(entry.key, QueuedText(entry.id, entry.received_at, entry.submits > 0))
 
     def take(self, text, at, **more):
-        self.order.take(KEY, Place(text, at))
+        self.order.add(KEY, QueuedText(text, at))
         take(self.ledger, text, key="k", product="charge", **({"at": at, "ordered": True} | more))
 
     def claim(self, text):
@@ -198,12 +198,12 @@
     other.handover.look()
     other.take(b"b", 9)
     one.take(b"a", 5)
-    assert other.claim(b"b") is Hold.SIBLING and one.claim(b"a") is None
+    assert other.claim(b"b") is BlockReason.SIBLING and one.claim(b"a") is None
     other.take(b"c", 3)  # drawn before, written after the other one's submit has gone
-    assert other.claim(b"c") is Hold.SIBLING
+    assert other.claim(b"c") is BlockReason.SIBLING
     one.ledger.ended(b"a", True, 0, 50)
     one.ledger.over(b"a")
-    assert other.claim(b"c") is Hold.REST
+    assert other.claim(b"c") is BlockReason.COOLDOWN
     other.clock.advance(1)
     assert other.claim(b"c") is None
 
@@ -213,7 +213,7 @@
     one, other = pair
     one.take(b"a", 5)
     with Sibling(other.ledger).claiming() as held:
-        assert held and one.claim(b"a") is Hold.SIBLING
+        assert held and one.claim(b"a") is BlockReason.SIBLING
     assert one.claim(b"a") is None
 
 
@@ -223,8 +223,8 @@
     take(old.ledger, b"a", key="k", product="charge")
     take(old.ledger, b"b", key="x", product="notice")
     new.take(b"c", 5)
-    new.order.take(b"x", Place(b"d", 5))
-    assert new.claim(b"c") is Hold.SIBLING and new.order.hold_of(0, b"x", b"d") is None
+    new.order.add(b"x", QueuedText(b"d", 5))
+    assert new.claim(b"c") is BlockReason.SIBLING and new.order.block_reason(0, b"x", b"d") is None
 
 
 @pytest.mark.parametrize("dies", [0, 1])
@@ -241,7 +241,7 @@
     left.clock.advance(1.1)
     assert left.adopted == [b"b"] and not left.ledger.beside
     assert left.shares == [True, False]  # half of the descriptors, then all
-    assert left.claim(b"c") is Hold.REST and left.claim(b"b") is Hold.LINE
+    assert left.claim(b"c") is BlockReason.COOLDOWN and left.claim(b"b") is BlockReason.QUEUE
     left.clock.advance(5)
     assert left.claim(b"c") is None
     again = ledger_in_place_of(left)
@@ -298,7 +298,7 @@
     live = old.ledger.book.live
     old.ledger.compact()
     new.handover.look()
-    assert new.handover.waits == {b"h": 700} and new.order.rests[KEY].until == 900
+    assert new.handover.waits == {b"h": 700} and new.order.cooldowns[KEY].until == 900
     assert new.handover.healths == {b"h": HostHealth(Health.OUTAGE, 3)}
     again = ledger_in_place_of(old)
     assert again.book.live == live
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from conftest import CHARGE, FAILURES, HOST, NOTICE, NOW, REPORT, ROUTE, TWIN, S
 
 from limelatch.interface import Health, Listing, Nack, TextHistory, Result, Submit, Text, Undeliverable, Watch
-from limelatch.key_order import Place
+from limelatch.key_order import QueuedText
 from limelatch.policy import TOLD_JITTER
 
 
@@ -19,7 +19,7 @@
     text = relay.take(CHARGE, key=5)
     relay.out(text, Result.TIMEOUT)
     relay.policy.text_finished(NOW, text)
-    assert relay.decide((Nack, Undeliverable)) == [] and relay.policy.order.lines == {}
+    assert relay.decide((Nack, Undeliverable)) == [] and relay.policy.key_order.queues == {}
 
 
 def test_the_time_out_is_cut_to_the_time_left(relay):
@@ -242,9 +242,9 @@
 def test_a_key_open_in_the_process_before_an_upgrade_waits_and_its_text_goes_first(relay):
     later = relay.take(CHARGE, key=5)
     earlier = relay.next_id + 1
-    relay.policy.order.sibling_holds([(5, Place(earlier, NOW - 1))])
+    relay.policy.key_order.set_sibling_texts([(5, QueuedText(earlier, NOW - 1))])
     assert relay.sent() == {}  # the process before holds an earlier text of the key
-    relay.policy.order.sibling_holds([])
+    relay.policy.key_order.set_sibling_texts([])
     text = Text(earlier, 1, CHARGE, NOW + 20 * S, 0, 5, received_at=NOW - 1)
     relay.policy.text_accepted(NOW, text, TextHistory(in_order=True))
     assert relay.sent() == {earlier: HOST}
