--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -130,8 +130,8 @@
         revenue=row.revenue,
         late_share=row.late_share,
         by_halves=falls is Falls.HALVES,
-        repeat_window=row.repeat_window,
-        repeats_anywhere=row.repeat_known is Known.DESTINATION,
+        retry_window=row.repeat_window,
+        retry_anywhere=row.repeat_known is Known.DESTINATION,
         in_order=row.in_order,
     )
 
@@ -156,8 +156,8 @@
         cold_time=rules.cold_time,
         fall_multiple=rules.fall_multiple,
         fall_time=rules.fall_time,
-        turn_gap=rules.key_rest,
-        conn_idle=installation.hosts.idle_time,
+        key_cooldown=rules.key_rest,
+        connection_idle_limit=installation.hosts.idle_time,
     )
 
 
--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -54,8 +54,8 @@
     revenue: float
     late_share: float
     by_halves: bool
-    repeat_window: int = 0
-    repeats_anywhere: bool = True
+    retry_window: int = 0
+    retry_anywhere: bool = True
     in_order: bool = False
 
 
@@ -88,8 +88,8 @@
     cold_time: int = 0
     fall_multiple: float = 1.0
     fall_time: int = 0
-    turn_gap: int = 0
-    conn_idle: int = 0
+    key_cooldown: int = 0
+    connection_idle_limit: int = 0
 
 
 @dataclass(slots=True)
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -66,7 +66,7 @@
     Mutant(
         "the window for repeats",
         "policy.py",
-        "self.until = min(self.until, at + self.row.repeat_window)",
+        "self.until = min(self.until, at + self.row.retry_window)",
         "pass",
     ),
     Mutant(
@@ -156,7 +156,7 @@
     Mutant(
         "the floor of a repeat",
         "policy.py",
-        "elsewhere = not held.row.repeats_anywhere and host.zone != held.zone",
+        "elsewhere = not held.row.retry_anywhere and host.zone != held.zone",
         "elsewhere = False",
     ),
     Mutant(
--- a/limelatch/lab/stages/terms.py
+++ b/limelatch/lab/stages/terms.py
@@ -18,8 +18,8 @@
             revenue=row.revenue,
             late_share=row.late_share,
             by_halves=scenario.revenue.falls is Falls.HALVES,
-            repeat_window=row.repeat_window,
-            repeats_anywhere=row.repeat_known is Known.DESTINATION,
+            retry_window=row.repeat_window,
+            retry_anywhere=row.repeat_known is Known.DESTINATION,
             in_order=row.in_order,
         )
         for row in scenario.products
@@ -51,6 +51,6 @@
         cold_time=rules.cold_time,
         fall_multiple=rules.fall_multiple,
         fall_time=rules.fall_time,
-        turn_gap=rules.key_rest,
-        conn_idle=idle_time(scenario),
+        key_cooldown=rules.key_rest,
+        connection_idle_limit=idle_time(scenario),
     )
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -76,7 +76,7 @@
         if text.key and self.settings.products[text.product].in_order:
             self.lines.setdefault(text.key, []).append(text.id)
             if history.out:
-                self.rests[text.key] = now + self.settings.turn_gap
+                self.rests[text.key] = now + self.settings.key_cooldown
         if history.answered:
             self.over[text.id] = self.texts.pop(text.id).text
             self.waiting.pop(text.id)
@@ -111,7 +111,7 @@
                 held.ran_at = now - report.took
                 held.floor = self.hosts[report.host].zone if report.host in self.hosts else None
             if text.key and report.result is not Result.ERROR:
-                self.rests[text.key] = now + self.settings.turn_gap
+                self.rests[text.key] = now + self.settings.key_cooldown
         held.due = now + PAUSE
         self.waiting[report.text] = None
         heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
@@ -157,7 +157,7 @@
             return True
         if held.ran_at is None or product.effect is Effect.RESENDABLE:
             return False
-        return product.effect is Effect.ONCE_ONLY or now + LAST_MOMENT >= held.ran_at + product.repeat_window
+        return product.effect is Effect.ONCE_ONLY or now + LAST_MOMENT >= held.ran_at + product.retry_window
 
     def _turn(self, now: int, text: li.Text) -> bool:
         line = self.lines.get(text.key)
@@ -168,7 +168,7 @@
         text = held.text
         product = self.settings.products[text.product]
         hosts = self.by_destination.get(text.destination, [])
-        if held.ran_at is not None and product.effect is Effect.REFERENCED and not product.repeats_anywhere:
+        if held.ran_at is not None and product.effect is Effect.REFERENCED and not product.retry_anywhere:
             hosts = [each for each in hosts if self.hosts[each].zone == held.floor]
         if not hosts:
             return
@@ -185,7 +185,7 @@
             held.ran_at is None
             or product.effect is Effect.RESENDABLE
             or product.effect is Effect.REFERENCED
-            and product.repeats_anywhere
+            and product.retry_anywhere
         )
         actions.append(li.Nack(text.id, self.settings.max_advice) if safe else li.Undeliverable(text.id))
         self.over[text.id] = self.texts.pop(text.id).text
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -101,10 +101,10 @@
         if self.ran_at is None and at is not None:
             self.ran_at, self.zone = at, zone
             if self.row.effect is Effect.REFERENCED:
-                self.until = min(self.until, at + self.row.repeat_window)
+                self.until = min(self.until, at + self.row.retry_window)
 
     def may_nack(self) -> bool:
-        effect, anywhere = self.row.effect, self.row.repeats_anywhere
+        effect, anywhere = self.row.effect, self.row.retry_anywhere
         return self.ran_at is None or effect is Effect.RESENDABLE or effect is Effect.REFERENCED and anywhere
 
 
@@ -202,11 +202,11 @@
         self.rest = REST if settings.hosts_on_demand else NEVER  # of a destination, until it may be forgotten
         self.ask_at, self.asked = NEVER, 0  # when to ask for the list; calls for it that failed in a row
         self.list_failed(now, calls=0)
-        self.keep = int(settings.conn_idle * KEEP_PART)  # how long connections may stand idle
+        self.keep = int(settings.connection_idle_limit * KEEP_PART)  # how long connections may stand idle
         self.idle_most = [self.keep // 2 if settings.relays > KEEPERS else NEVER] * len(
             settings.kinds
         )  # by kind
-        self.room_at = [now + settings.conn_idle] * len(
+        self.room_at = [now + settings.connection_idle_limit] * len(
             settings.kinds
         )  # when no connect has failed until then
         self.stale = [0.0] * len(
@@ -252,7 +252,7 @@
             received_at = now if text.received_at is None else text.received_at
             self.key_order.add(held.key, QueuedText(text.id, received_at, history.submits > 0))
         if history.out and held.key:
-            self.key_order.start_cooldown(held.key, text.id, now + self.settings.turn_gap)
+            self.key_order.start_cooldown(held.key, text.id, now + self.settings.key_cooldown)
         if history.answered:
             self.unheard[text.id] = self.texts.pop(text.id)
         elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:
@@ -284,7 +284,7 @@
         if report.result in ANSWERED + UNANSWERED:  # it may have run
             held.may_have_run(call.sent, host.zone)
             if report.result is not Result.ERROR and held.key:
-                self.key_order.start_cooldown(held.key, held.text.id, now + self.settings.turn_gap)
+                self.key_order.start_cooldown(held.key, held.text.id, now + self.settings.key_cooldown)
         if report.finished:
             return self._forget(now, held)
         held.submits -= report.unsent
@@ -606,7 +606,7 @@
         if done or late or host.listing is not Listing.READY or not self._has_turn(now, held):
             return False
         if held.ran_at is not None and held.row.effect is not Effect.RESENDABLE:
-            elsewhere = not held.row.repeats_anywhere and host.zone != held.zone
+            elsewhere = not held.row.retry_anywhere and host.zone != held.zone
             if held.row.effect is Effect.ONCE_ONLY or now >= held.until or elsewhere:
                 return False
         sound = held.row.effect is not Effect.ONCE_ONLY or not host.sick and not host.overdue(now)
@@ -707,7 +707,7 @@
         """The design's; a referenced text keeps time for its repeat; scarce slots wait for no lost answer."""
         scarce = self.slots_used > min(SCARCE * self.settings.slots, self.settings.slots - 1.5)
         known = held.call.host.patience() if held.call.host.route.seen >= RECENT_CALLS else GUIDE_TIME_OUT
-        least = held.row.repeat_window // 4 if held.row.effect is Effect.REFERENCED else TIME_OUT
+        least = held.row.retry_window // 4 if held.row.effect is Effect.REFERENCED else TIME_OUT
         whole = min(TIME_OUT, max(2 * known, GUIDE_TIME_OUT if scarce else least))
         return known if scarce and held.row.effect is not Effect.ONCE_ONLY else whole
 
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -199,7 +199,7 @@
         answered = entry.notice is not None or not known
         ran_at = entry.ran_at
         if ran_at is not None and ran_at < self.clock.certain_from:
-            ran_at = min(ran_at, now - row.repeat_window)  # nobody knows how long ago: its window is over
+            ran_at = min(ran_at, now - row.retry_window)  # nobody knows how long ago: its window is over
         history = li.TextHistory(entry.submits, ran_at, entry.ran_zone, entry.out, answered, in_order)
         self.text_log.adopted(entry, owed.key, ran_at is not None, answered)
         self._meet(now, text.destination)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -81,7 +81,7 @@
 @pytest.fixture
 def policy_settings():
     products = [
-        Product(Effect.REFERENCED, 3 * S, 24 * S, 2.0, 0.5, True, 10 * S, repeats_anywhere=False),
+        Product(Effect.REFERENCED, 3 * S, 24 * S, 2.0, 0.5, True, 10 * S, retry_anywhere=False),
         Product(Effect.ONCE_ONLY, 25 * S // 10, 28 * S, 1.0, 0.3, True, in_order=True),
         Product(Effect.RESENDABLE, 3 * S, 16 * S, 2.0, 0.4, False),
     ]
@@ -98,8 +98,8 @@
         cold_time=12 * S,
         fall_multiple=2.5,
         fall_time=2 * S,
-        turn_gap=3000,
-        conn_idle=9 * S,
+        key_cooldown=3000,
+        connection_idle_limit=9 * S,
     )
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -257,7 +257,7 @@
     """A relay may lose 0.15 s between its clock and the last byte of a call."""
     text, first = relay.take(NOTICE), relay.take(NOTICE)
     relay.out(text, Result.ERROR)
-    window_end = NOW + relay.policy.settings.products[NOTICE].repeat_window
+    window_end = NOW + relay.policy.settings.products[NOTICE].retry_window
     held_up = S * 15 // 100
     assert relay.policy.may_send(window_end - held_up - 1, text, HOST)
     assert not relay.policy.may_send(window_end - held_up, text, HOST)
--- a/tests/test_terms_cold.py
+++ b/tests/test_terms_cold.py
@@ -96,7 +96,7 @@
                 cold_time=cold.time,
                 fall_multiple=cold.multiple,
                 fall_time=cold.window,
-                conn_idle=9 * SECOND,
+                connection_idle_limit=9 * SECOND,
                 rates_listed=told,
             )
             for _ in range(alive)
