--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -19,7 +19,7 @@
 from collections import defaultdict
 from math import sqrt
 
-from limelatch.chance import Chance
+from limelatch.random_source import Chance
 from limelatch.interface import (
     MS,
     SECOND,
--- a/limelatch/relay/folder_watch.py
+++ b/limelatch/relay/folder_watch.py
@@ -1,13 +1,13 @@
 """Follows a folder that fails: asks it again, and holds the notices that wait for their records.
 
-What waits and what goes on is decided in `limelatch.folder_gate`.
+What waits and what goes on is decided in `limelatch.storage_gate`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from limelatch.folder_gate import RETRY_AFTER, FolderGate
+from limelatch.storage_gate import RETRY_AFTER, FolderGate
 from limelatch.interface import MS
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.clock import Clock
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -133,7 +133,7 @@
 def test_nothing_of_the_relay_reads_a_clock_but_its_owner():
     """A span by the wall clock, or by a reactor that runs on it, is what stopped relays in pre-production."""
     root = Path(limelatch.__file__).parent
-    modules = [root / "policy.py", root / "folder_gate.py", root / "logs.py"]
+    modules = [root / "policy.py", root / "storage_gate.py", root / "logs.py"]
     modules += [*(root / "relay").glob("*.py"), *(root / "membership").glob("*.py")]
     found = [line for path in modules if path.name not in OWNERS for line in clock_readings(path)]
     assert found == []
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -8,7 +8,7 @@
 from conftest import WAIT
 from faults.flow import Flow
 
-from limelatch.folder_gate import FolderGate
+from limelatch.storage_gate import FolderGate
 from limelatch.interface import SECOND
 from limelatch.relay import door
 from limelatch.relay.door import HostsOut
