--- a/limelatch/benchlink/wire.py
+++ b/limelatch/benchlink/wire.py
@@ -131,7 +131,7 @@
 def limit_report(body: bytes, at: int, count: int, fields: list[str]) -> tuple[float | None, float | None]:
     """Share of the limit left and the limit's rate, where a report tells them."""
     values = unpack(struct.Struct(f">{count}f"), body, at)
-    return li.limit_told(dict(zip(fields, values, strict=False)))
+    return li.limit_from_report(dict(zip(fields, values, strict=False)))
 
 
 def result_of(status: int) -> li.Result:
--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -236,7 +236,7 @@
     health: Health | None = None
 
 
-def limit_told(report: dict[str, float]) -> tuple[float | None, float | None]:
+def limit_from_report(report: dict[str, float]) -> tuple[float | None, float | None]:
     """Share of the limit left and the limit's rate, None where not told: both are 0 where there is no limit.
 
     Guards against a host without a limit that passes for one whose limit is used up."""
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -126,7 +126,8 @@
     Mutant(
         "told waits",
         "policy.py",
-        "route.wait_until = max(route.wait_until, now + report.retry_after + self.chance.below(spread))",
+        "route.wait_until = max(\n                route.wait_until, "
+        "now + report.retry_after + self.random_source.next_below(spread)\n            )",
         "pass",
     ),
     Mutant(
@@ -162,7 +163,9 @@
     Mutant(
         "trials of a destination in an outage",
         "policy.py",
-        "return NEVER if any(each.sick and each.out for each in route.hosts) else self._trial_opens(route)",
+        "return (\n                NEVER\n                "
+        "if any(each.in_outage and each.out for each in route.hosts)\n                "
+        "else self._trial_opens(route)\n            )",
         "return now",
     ),
 )
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -19,7 +19,7 @@
 from collections import defaultdict
 from math import sqrt
 
-from limelatch.random_source import Chance
+from limelatch.random_source import RandomSource
 from limelatch.interface import (
     MS,
     SECOND,
@@ -48,7 +48,7 @@
 from limelatch.key_order import KeyOrder, QueuedText
 
 # The design's figures; tokens are counted in tenths.
-BUCKET, REFILL, TOKEN = 200, 1, 10
+TOKEN_BUCKET_SIZE, REFILL, TOKEN = 200, 1, 10
 BASE, CAP, TIME_OUT, GUIDE_TIME_OUT = 600 * MS, 8 * SECOND, 9 * SECOND, 3 * SECOND  # the guide's: few slots
 TOLD_JITTER, RECENT_CALLS, USUAL_AT_FIRST = 150 * MS, 7, 400 * MS  # told waits; median held to the usual
 PERIOD, LAST_MOMENT, NEVER = 20 * MS, 100 * MS, 1 << 62  # ours from here: the timer's least wait; a submit's
@@ -60,7 +60,8 @@
 LIMIT_USED_UP, TOLD_SHUT, REFUSED_OFTEN = 0.15, 3 * SECOND, 8  # share left; wait, cuts in a row of an outage
 PACE_CUT, PACE_LEAST, PACE_GROWTH, PACE_REST, PACE_BURST, PACE_APART = 0.6, 0.4, 0.05, 300 * MS, 0.4, 1.5
 PACE_STEP, FLOW_SPAN, SERVED_SPAN = 0.05, 5 * SECOND, 20 * SECOND  # growth by a delivery; spans of own rates
-REST, LESSON = SERVED_SPAN, 600 * SECOND  # own rates have faded; age of what only deliveries would undo
+# own rates have faded; age of what only deliveries would undo
+DESTINATION_IDLE_TIME, LEARNED_STATE_LIFETIME = SERVED_SPAN, 600 * SECOND
 PACE_FREE, PACE_LEARN, PACE_ROOM, PACE_SAVED = 4.0, 0.2, 0.02, 2.0  # no limit told; many relays: room
 ASK_PART, ASK_CAP, ASK_BY = 4, 3, 55 * SECOND // 10  # of the time to ask within; from the catalog's last word
 TRIAL_PART, SEEN_BEFORE, RATE_AT_FIRST = 0.7, 5 * SECOND, 2.0  # of what a cold one bears; age; unknown limit
@@ -79,7 +80,7 @@
         self.idle, host.gap = apart if host.kept else 0, (host.gap + apart) // 2  # idle: of the connections
 
 
-class Held:
+class PendingText:
     """A text that this relay has taken and not finally answered."""
 
     def __init__(self, text: Text, row: Product, history: TextHistory) -> None:
@@ -164,7 +165,8 @@
 class Host:
     def __init__(self, entry: HostEntry, dest: Destination, route: Route, keep: int) -> None:
         self.id, self.zone, self.kind, self.listing = entry.host, entry.zone, entry.kind, entry.listing
-        self.dest, self.route, self.out, self.failing, self.sick = dest, route, [], 0.0, False  # out: calls
+        # out: calls
+        self.dest, self.route, self.out, self.failing, self.in_outage = dest, route, [], 0.0, False
         self.warm_credit, self.warm_at, self.back_at, self.last_ok = 0.0, 0, None, -GOOD_LATELY
         self.gap = self.gap_most = keep  # time between calls, as far as hosts keep connections idle
         self.sibling_told_at = -1  # of the last news of it by the other process of an upgrade
@@ -182,28 +184,39 @@
     """One outside receiver: its token bucket, its hosts, and the texts held for it."""
 
     def __init__(self) -> None:
-        self.tokens, self.calls, self.shared, self.look_at, self.rest_at, self.had = BUCKET, 0, None, 0, 0, 0
-        self.waiting: dict[TextId, Held] = {}  # its texts that are not out
+        self.tokens, self.calls, self.shared, self.look_at, self.rest_at, self.had = (
+            TOKEN_BUCKET_SIZE,
+            0,
+            None,
+            0,
+            0,
+            0,
+        )
+        self.waiting: dict[TextId, PendingText] = {}  # its texts that are not out
         self.hosts: list[Host] = []
 
 
 class Policy:
     def __init__(self, settings: PolicySettings, now: int) -> None:
-        self.settings, self.chance = settings, Chance(settings.seed)
-        self.texts: dict[TextId, Held] = {}
-        self.unheard: dict[TextId, Held] = {}  # finally answered, and the answer is not known to be heard
+        self.settings, self.random_source = settings, RandomSource(settings.seed)
+        self.texts: dict[TextId, PendingText] = {}
+        # finally answered, and the answer is not known to be heard
+        self.unacknowledged: dict[TextId, PendingText] = {}
         self.hosts: dict[HostId, Host] = {}
-        self.dests: defaultdict[int, Destination] = defaultdict(Destination)
+        self.destinations: defaultdict[int, Destination] = defaultdict(Destination)
         self.active: dict[int, Destination] = {}  # those with texts waiting; a tick looks at no others
-        self.processes = 1  # of this relay: 2 in an upgrade, which both send to a host back from an outage
+        # of this relay: 2 in an upgrade, which both send to a host back from an outage
+        self.process_count = 1
         self.key_order = KeyOrder()  # of texts of products in order, over all processes of the relay
         self.expiries: list[tuple[int, TextId]] = []
         self.slots_used, self.wake_at, self.stop_at = 0, now, NEVER
-        self.rest = REST if settings.hosts_on_demand else NEVER  # of a destination, until it may be forgotten
+        # of a destination, until it may be forgotten
+        self.rest = DESTINATION_IDLE_TIME if settings.hosts_on_demand else NEVER
         self.ask_at, self.asked = NEVER, 0  # when to ask for the list; calls for it that failed in a row
         self.list_failed(now, calls=0)
-        self.keep = int(settings.connection_idle_limit * KEEP_PART)  # how long connections may stand idle
-        self.idle_most = [self.keep // 2 if settings.relays > KEEPERS else NEVER] * len(
+        # how long connections may stand idle
+        self.max_idle_time = int(settings.connection_idle_limit * KEEP_PART)
+        self.idle_most = [self.max_idle_time // 2 if settings.relays > KEEPERS else NEVER] * len(
             settings.kinds
         )  # by kind
         self.room_at = [now + settings.connection_idle_limit] * len(
@@ -214,7 +227,7 @@
         )  # smoothed share of calls on kept connections that were reset
         self.products: list[set[int]] = [set() for _ in settings.kinds]  # that go to each kind
         self.changed, self.closing, self.log = [], [], []  # texts to act on, hosts, lines
-        self.resting: dict[int, int] = {}  # destinations that lost a text: when to look at them
+        self.idle_destinations: dict[int, int] = {}  # destinations that lost a text: when to look at them
 
     def hosts_listed(self, now: int, entries: list[HostEntry], whole: bool, news: bool = True) -> None:
         """News of the list; what a whole list leaves out is gone. No news: of a destination met anew."""
@@ -226,15 +239,17 @@
             host.listing = entry.listing
             if self.settings.rates_listed and not host.route.limit:
                 host.route.learn_limit(entry.rate, self.settings.relays)
-        for number in list(self.dests) if whole else dict.fromkeys(entry.destination for entry in entries):
-            self._sort_hosts(self.dests[number])
+        for number in (
+            list(self.destinations) if whole else dict.fromkeys(entry.destination for entry in entries)
+        ):
+            self._sort_hosts(self.destinations[number])
 
     def list_failed(self, now: int, heard_at: int = NEVER, calls: int = 1) -> None:
         """A call for the list failed, or its watch ended, last heard then: ask again, apart and in time."""
         if self.settings.list_asked:
             self.asked += calls
             part = self.settings.ask_within // ASK_PART * min(self.asked + 1, ASK_CAP)
-            self.ask_at = now + self.chance.below(min(part, max(0, heard_at + ASK_BY - now)))
+            self.ask_at = now + self.random_source.next_below(min(part, max(0, heard_at + ASK_BY - now)))
 
     def _sort_hosts(self, dest: Destination) -> None:
         for host in [each for each in dest.hosts if each.listing is Listing.GONE and not each.out]:
@@ -247,28 +262,28 @@
 
     def text_accepted(self, now: int, text: Text, history: TextHistory = NO_HISTORY) -> None:
         """A text from a client or, with its past, from this relay's time before a restart, in its order."""
-        held = self.texts[text.id] = Held(text, self.settings.products[text.product], history)
+        held = self.texts[text.id] = PendingText(text, self.settings.products[text.product], history)
         if held.key:
             received_at = now if text.received_at is None else text.received_at
             self.key_order.add(held.key, QueuedText(text.id, received_at, history.submits > 0))
         if history.out and held.key:
             self.key_order.start_cooldown(held.key, text.id, now + self.settings.key_cooldown)
         if history.answered:
-            self.unheard[text.id] = self.texts.pop(text.id)
+            self.unacknowledged[text.id] = self.texts.pop(text.id)
         elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:
             self._end(now, held)
         else:
             self._hold(held)
             for route in (
-                [host.route for host in self.dests[text.destination].hosts] if text.resubmitted else ()
+                [host.route for host in self.destinations[text.destination].hosts] if text.resubmitted else ()
             ):
                 if not route.limit and not route.pace and now - route.served_at > FLOW_SPAN:
                     route.pace, route.credit_at = PACE_CUT * SECOND / FLOW_SPAN, now  # as if refused here
-                    route.credit = -self.chance.below(1000) / 1000
+                    route.credit = -self.random_source.next_below(1000) / 1000
 
-    def _hold(self, held: Held) -> None:
+    def _hold(self, held: PendingText) -> None:
         """The text waits for a submit, until it can no longer be sent in time."""
-        dest = self.active[held.text.destination] = self.dests[held.text.destination]
+        dest = self.active[held.text.destination] = self.destinations[held.text.destination]
         dest.waiting[held.text.id], dest.look_at, dest.had = held, 0, dest.had + (held.submits == 0)
         heapq.heappush(self.expiries, (held.until - LAST_MOMENT, held.text.id))
 
@@ -305,7 +320,7 @@
 
     def text_finished(self, now: int, text: TextId) -> None:
         """Its client left, or its final answer has been heard: only now may the next text of its key go."""
-        if (held := self.unheard.pop(text, None) or self.texts.get(text)) and held.call is None:
+        if (held := self.unacknowledged.pop(text, None) or self.texts.get(text)) and held.call is None:
             self._forget(now, held)
 
     def wait_from_sibling(self, host: HostId, until: int) -> None:
@@ -319,14 +334,14 @@
         if (known := self.hosts.get(host)) is None or at <= known.sibling_told_at:
             return
         known.sibling_told_at, route = at, known.route
-        if known.sick and route.down_at > at:
+        if known.in_outage and route.down_at > at:
             return
-        if health is Health.OUTAGE and not known.sick and known.last_ok < at:
-            self._fall_sick(at, known)
+        if health is Health.OUTAGE and not known.in_outage and known.last_ok < at:
+            self._mark_outage(at, known)
             self._next_trial(now, route)
         elif health is Health.WARMING and now - at < self.settings.cold_time and known.back_at is None:
             self._warm_up(now, known, at)
-            if not any(each.sick for each in route.hosts):
+            if not any(each.in_outage for each in route.hosts):
                 route.tries = 0
 
     def stopping(self, until: int) -> None:
@@ -349,29 +364,40 @@
 
     def _let_go(self, now: int) -> None:
         """What is at rest, and of which nothing is known but what the list tells, is forgotten again."""
-        while next(iter(self.resting.values()), NEVER) <= now:
-            dest = self.dests.get(number := next(iter(self.resting)))
-            del self.resting[number]
-            if dest and (dest.waiting or dest.calls or now < dest.rest_at + REST or self._learned(now, dest)):
-                self.resting[number] = now + self.rest
+        while next(iter(self.idle_destinations.values()), NEVER) <= now:
+            dest = self.destinations.get(number := next(iter(self.idle_destinations)))
+            del self.idle_destinations[number]
+            if dest and (
+                dest.waiting
+                or dest.calls
+                or now < dest.rest_at + DESTINATION_IDLE_TIME
+                or self._learned(now, dest)
+            ):
+                self.idle_destinations[number] = now + self.rest
             elif dest:
-                self._sort_hosts(self.dests.pop(number))
+                self._sort_hosts(self.destinations.pop(number))
                 self.log.append(Forget(number, [self.hosts.pop(host.id).id for host in dest.hosts]))
 
     def _learned(self, now: int, dest: Destination) -> bool:
         """Whether it knows what a new start would not; what only deliveries undo counts until it is old."""
         aged, part = (
-            now > dest.rest_at + LESSON,
+            now > dest.rest_at + LEARNED_STATE_LIFETIME,
             self.settings.relays if self.settings.relays > KEEPERS else 1,
         )
         for host in dest.hosts:
             self._advance(now, host)
             route, even = host.route, host.route.limit / part
             slowed = route.pace > 0 and (not even or route.pace < even)
-            ailing = host.sick or host.back_at is not None or host.failing > FAIL_STEP / 2 and not aged
-            if ailing or slowed or route.wait_until > now or host.kept and now < host.used_at + self.keep:
+            ailing = host.in_outage or host.back_at is not None or host.failing > FAIL_STEP / 2 and not aged
+            if (
+                ailing
+                or slowed
+                or route.wait_until > now
+                or host.kept
+                and now < host.used_at + self.max_idle_time
+            ):
                 return True
-        return not aged and dest.tokens < BUCKET
+        return not aged and dest.tokens < TOKEN_BUCKET_SIZE
 
     def _learn(self, now: int, host: Host, call: Call, report: SubmitReport, product: int) -> None:
         """Take an outcome into the bucket, the window, the pace and the host's health."""
@@ -385,7 +411,9 @@
         spared = near and result is Result.CONNECT or reset and quick and (idle or near)  # no outage
         self.stale[kind] += (STALE_STEP if idle else STALE_FADE) * (lost - self.stale[kind])
         table = many and result is Result.CONNECT and self.room_at[kind] < NEVER  # full of idle ones?
-        self.idle_most[kind] = max(self.idle_most[kind], self.keep if self.room_at[kind] <= now else 0)
+        self.idle_most[kind] = max(
+            self.idle_most[kind], self.max_idle_time if self.room_at[kind] <= now else 0
+        )
         if (many or reset) and (idle > STALE_LEAST or result is Result.CONNECT):
             self.room_at[kind] = NEVER
             self.idle_most[kind] = min(self.idle_most[kind], max(STALE_LEAST, idle * 3 // 4))
@@ -396,9 +424,11 @@
         if report.retry_after:  # of several texts in a call some may be delivered and the others told to wait
             used_up = report.limit_left is not None and report.limit_left < LIMIT_USED_UP
             spread = TOLD_JITTER if used_up else max(TOLD_JITTER, report.retry_after)
-            route.wait_until = max(route.wait_until, now + report.retry_after + self.chance.below(spread))
+            route.wait_until = max(
+                route.wait_until, now + report.retry_after + self.random_source.next_below(spread)
+            )
         if result is Result.DELIVERED or result is Result.MALFORMED and report.finished:
-            host.dest.tokens = min(BUCKET, host.dest.tokens + REFILL)
+            host.dest.tokens = min(TOKEN_BUCKET_SIZE, host.dest.tokens + REFILL)
             host.sour.pop(product, None)
             route.served = route.served * max(0.0, 1 - (now - route.served_at) / SERVED_SPAN) + 1.0
             host.last_ok, route.served_at, route.cuts = now, now, 0
@@ -409,7 +439,7 @@
             if route.learn_latency(report.took):
                 self._halve(now, route, call)
             host.failing *= 1 - FAIL_STEP
-            if host.sick:  # an outage mostly takes all hosts of a route, and so does its end
+            if host.in_outage:  # an outage mostly takes all hosts of a route, and so does its end
                 self._come_back(now, route)
         elif result is Result.FULL and counts:
             self._refused(now, host, report.retry_after, report.limit_left)
@@ -429,8 +459,8 @@
         return (
             bool(others)
             and host.sour.get(product) == now
-            and not host.sick
-            and not any(each.sick or self._sour(now, each) for each in others)
+            and not host.in_outage
+            and not any(each.in_outage or self._sour(now, each) for each in others)
             and len(self._sour(now, host)) == 1
         )
 
@@ -443,21 +473,21 @@
 
     def _failed(self, now: int, host: Host, why: str, step: float) -> None:
         """A host that fails often is sick."""
-        route, sound = host.route, not host.sick
+        route, sound = host.route, not host.in_outage
         host.failing += (1 - host.failing) * step
         if sound and host.failing > SICK_SHARE:
-            self._fall_sick(now, host)
+            self._mark_outage(now, host)
             self.log.append(LogLine(f"sick: {why}, failing {host.failing:.2f}", host.id, Health.OUTAGE))
-        if host.sick:
+        if host.in_outage:
             self._next_trial(now, route)
 
-    def _fall_sick(self, at: int, host: Host) -> None:
+    def _mark_outage(self, at: int, host: Host) -> None:
         """The host is in an outage, and with it those of its route that have not delivered lately."""
         route, dest = host.route, host.dest
-        if not any(each.sick for each in route.hosts):
+        if not any(each.in_outage for each in route.hosts):
             route.down_at, route.tries, dest.had = at, 0, 1 + dest.calls + len(dest.waiting)
         for each in [one for one in route.hosts if one is host or one.last_ok < at - GOOD_LATELY]:
-            each.sick, each.back_at = True, None
+            each.in_outage, each.back_at = True, None
 
     def _refused(self, now: int, host: Host, told: int, left: float | None) -> None:
         """A refusal lowers the pace: from the relay's own rate, where a limit is known towards its even part.
@@ -478,8 +508,10 @@
                 route.pace = max(PACE_CUT / (1 + min(route.cuts, 1)) * min(route.pace or own, own), 2 * even)
             route.cut_at, route.cuts = now, route.cuts + 1
         apart = PACE_APART if route.limit and room else 1.0  # all relays met it shut at one moment
-        route.credit = min(route.credit, 0.5 * bool(route.limit) - apart * self.chance.below(1000) / 1000)
-        if host.sick:
+        route.credit = min(
+            route.credit, 0.5 * bool(route.limit) - apart * self.random_source.next_below(1000) / 1000
+        )
+        if host.in_outage:
             self._next_trial(now, route)
         elif (told > TOLD_SHUT or route.cuts >= REFUSED_OFTEN) and (left is None or room):
             self._failed(now, host, f"refused {route.cuts} times, told to wait {told // MS} ms", 1.0)
@@ -487,7 +519,9 @@
     def _next_trial(self, now: int, route: Route) -> None:
         """The next trial call comes after a wait of the design's kind, from a told wait's end on."""
         route.tries, route.tried_at = route.tries + 1, max(now, route.wait_until) + 100 * MS
-        route.part = (50 if route.tries > 1 else 0) + self.chance.below(100)  # the first: at any time of it
+        route.part = (50 if route.tries > 1 else 0) + self.random_source.next_below(
+            100
+        )  # the first: at any time of it
         route.trial_at = route.tried_at + self._jitter(route.tries + 1)
         self._trial_opens(route)
 
@@ -502,15 +536,17 @@
         """How many relays may know of an outage: by its texts, or by this one's if all are alike."""
         relays, like = self.settings.relays, self.settings.relays * (route.hosts[0].dest.had - 1) / 2
         seers = max(1.0, like, route.rate(relays) * (now - route.down_at + SEEN_BEFORE) / SECOND)
-        return min(relays, seers) * self.processes
+        return min(relays, seers) * self.process_count
 
     def _warm_up(self, now: int, host: Host, back_at: int) -> None:
         """The host is back from an outage since then: it gets what a cold one bears."""
-        host.sick, host.back_at, host.failing, host.warm_at = False, back_at, FAIL_STEP / 2, now
-        host.warm_credit = self.chance.below(1000) / 1000  # many small parts add up to what is safe
+        host.in_outage, host.back_at, host.failing, host.warm_at = False, back_at, FAIL_STEP / 2, now
+        host.warm_credit = (
+            self.random_source.next_below(1000) / 1000
+        )  # many small parts add up to what is safe
 
     def _come_back(self, now: int, route: Route) -> None:
-        for host in [each for each in route.hosts if each.sick]:
+        for host in [each for each in route.hosts if each.in_outage]:
             self._warm_up(now, host, now)
             self.log.append(LogLine(f"back after {route.tries} trials, warming", host.id, Health.WARMING))
         route.tries = 0
@@ -525,11 +561,11 @@
         )
         while queue and self.slots_used < self.settings.slots:
             _, number, ready = heapq.heappop(queue)
-            if ready := self._fill_call(now, self.dests[number], ready):
+            if ready := self._fill_call(now, self.destinations[number], ready):
                 heapq.heappush(queue, (self._rank(now, ready[0]), number, ready))
         self.active = {number: dest for number, dest in self.active.items() if dest.waiting}
 
-    def _ready(self, now: int, dest: Destination) -> list[Held]:
+    def _ready(self, now: int, dest: Destination) -> list[PendingText]:
         """The held texts of a destination whose turn and time have come, the best first. What can't be sent
         in time ends at once, but what a restart found untried is tried, at the pace that it takes."""
         for host in dest.hosts:
@@ -556,19 +592,19 @@
             key=lambda held: (not held.found or held.submits > 0, self._rank(now, held)),
         )
 
-    def _rank(self, now: int, held: Held) -> tuple:
+    def _rank(self, now: int, held: PendingText) -> tuple:
         """Texts that can still make their SLA time, the nearest first; then the late ones by revenue."""
         late, text = now + USUAL_AT_FIRST > held.sla_at, held.text
         stake = -held.row.revenue * held.row.late_share if late else held.sla_at
         return late, stake, text.valid_until, text.id
 
-    def _fill_call(self, now: int, dest: Destination, ready: list[Held]) -> list[Held]:
+    def _fill_call(self, now: int, dest: Destination, ready: list[PendingText]) -> list[PendingText]:
         """Choose a host for the best text and fill its call; return the texts still to be placed."""
         while (host := self._choose(now, dest, ready[0])) is None:
             if not (ready := ready[1:]):
                 return []
         call, route, rest, soon = Call(host, now), host.route, [], now + host.patience()
-        most = 1 if host.sick or host.overdue(now) else self.settings.kinds[host.kind].texts_per_call
+        most = 1 if host.in_outage or host.overdue(now) else self.settings.kinds[host.kind].texts_per_call
         ends = ready[0].until < soon  # such a call may be given up: it takes no text with more time left
         for held in ready:
             if call.texts < most and (held.until < soon) == ends and self._gate(now, held, host):
@@ -583,23 +619,23 @@
         route.flow, route.flow_at = route.flow * max(0.0, 1 - (now - route.flow_at) / FLOW_SPAN) + 1.0, now
         return rest
 
-    def _choose(self, now: int, dest: Destination, held: Held) -> Host | None:
+    def _choose(self, now: int, dest: Destination, held: PendingText) -> Host | None:
         """Two hosts drawn at random, the one that this relay's own counts favour."""
         able = [h for h in dest.hosts if self._opens_at(now, h) <= now and self._gate(now, held, h)]
         able = [h for h in able if held.text.product not in self._sour(now, h)] or able
-        drawn = [able.pop(self.chance.below(len(able))) for _ in range(min(2, len(able)))]
+        drawn = [able.pop(self.random_source.next_below(len(able))) for _ in range(min(2, len(able)))]
         return min(
             drawn,
             key=lambda host: (
                 len(host.out),
                 host.failing > FAIL_STEP / 2,
-                not host.kept or now - host.used_at > self.keep,
+                not host.kept or now - host.used_at > self.max_idle_time,
                 host.failing,
             ),
             default=None,
         )
 
-    def _gate(self, now: int, held: Held, host: Host) -> bool:
+    def _gate(self, now: int, held: PendingText, host: Host) -> bool:
         """The rules, for every send: no text twice out, no effect twice, drains, waits and order kept."""
         done = held.verdict is not None or held.call is not None or held.submits >= self.settings.max_submits
         late = host.route.wait_until > now or now + host.patience() > self.stop_at
@@ -609,10 +645,10 @@
             elsewhere = not held.row.retry_anywhere and host.zone != held.zone
             if held.row.effect is Effect.ONCE_ONLY or now >= held.until or elsewhere:
                 return False
-        sound = held.row.effect is not Effect.ONCE_ONLY or not host.sick and not host.overdue(now)
+        sound = held.row.effect is not Effect.ONCE_ONLY or not host.in_outage and not host.overdue(now)
         return sound or all(other.row.effect is Effect.ONCE_ONLY for other in host.dest.waiting.values())
 
-    def _has_turn(self, now: int, held: Held) -> bool:
+    def _has_turn(self, now: int, held: PendingText) -> bool:
         """A product in order: only the first text of its key, and after the key's rest."""
         return not held.key or self.key_order.block_reason(now, held.key, held.text.id) is None
 
@@ -622,15 +658,19 @@
         full = self.slots_used >= self.settings.slots or route.calls >= min(cap, route.window)
         if full or host.dest.calls >= cap or host.listing is not Listing.READY:
             return NEVER
-        if host.sick:
-            return NEVER if any(each.sick and each.out for each in route.hosts) else self._trial_opens(route)
+        if host.in_outage:
+            return (
+                NEVER
+                if any(each.in_outage and each.out for each in route.hosts)
+                else self._trial_opens(route)
+            )
         if host.overdue(now):
             return max(route.wait_until, host.out[-1].sent + host.patience())
         cold = host.back_at is not None and host.warm_credit < 1.0
         return max(now + route.saved_after(), route.wait_until, now + PERIOD if cold else now)
 
     def _window_cap(self, host: Host) -> int:
-        unwell = any(each.sick or each.back_at is not None for each in host.dest.hosts)
+        unwell = any(each.in_outage or each.back_at is not None for each in host.dest.hosts)
         return max(1, self.settings.slots // 2 if unwell else self.settings.slots * 3 // 4)
 
     def _advance(self, now: int, host: Host) -> None:
@@ -663,10 +703,10 @@
             for held in sorted(idle, key=lambda held: self._rank(now, held), reverse=True)[:excess]:
                 self._end(now, held)
 
-    def _end(self, now: int, held: Held) -> None:
+    def _end(self, now: int, held: PendingText) -> None:
         """The final answer: a nack with advice where coming again is harmless, else undeliverable."""
         text = held.text.id
-        self.dests[held.text.destination].waiting.pop(text, None)
+        self.destinations[held.text.destination].waiting.pop(text, None)
         held.verdict = Nack(text, self.settings.max_advice) if held.may_nack() else Undeliverable(text)
         self.changed.append(held)
 
@@ -676,10 +716,10 @@
         for held in self.changed:
             if held.verdict is not None and held.text.id in self.texts:
                 actions.append(held.verdict)
-                self.unheard[held.text.id] = self.texts.pop(held.text.id)
+                self.unacknowledged[held.text.id] = self.texts.pop(held.text.id)
             elif held.call is not None:
                 left, host, call = held.text.valid_until - now, held.call.host, held.call
-                keep = min(self._keep(host.kind, False), self.keep)
+                keep = min(self._keep(host.kind, False), self.max_idle_time)
                 if call.idle > self._keep(host.kind, held.row.effect is Effect.ONCE_ONLY):
                     call.idle = 0
                     actions.append(CloseIdle(host.id))
@@ -689,7 +729,7 @@
         if self.ask_at <= now:
             self.ask_at = NEVER
             actions.append(Watch())
-        looks = [self.ask_at, next(iter(self.resting.values()), NEVER)]
+        looks = [self.ask_at, next(iter(self.idle_destinations.values()), NEVER)]
         looks += [dest.look_at for dest in self.active.values() if self.slots_used < self.settings.slots]
         looks += [due for due, _ in self.expiries[:1] if self.active]
         wake_at = max(now + PERIOD, min(looks))
@@ -703,7 +743,7 @@
         """How long connections stand idle; -1: not at all, lest calls go to those closed after an answer."""
         return -1 if self.stale[kind] > (STALE_ONCE if once else STALE_SHARE) else self.idle_most[kind]
 
-    def _time_out(self, held: Held) -> int:
+    def _time_out(self, held: PendingText) -> int:
         """The design's; a referenced text keeps time for its repeat; scarce slots wait for no lost answer."""
         scarce = self.slots_used > min(SCARCE * self.settings.slots, self.settings.slots - 1.5)
         known = held.call.host.patience() if held.call.host.route.seen >= RECENT_CALLS else GUIDE_TIME_OUT
@@ -713,20 +753,20 @@
 
     def _host(self, entry: HostEntry) -> Host:
         """The entry's host; a new one where it has moved: what is out at the old place ends there."""
-        dest = self.dests[entry.destination]
+        dest = self.destinations[entry.destination]
         if (host := self.hosts.get(entry.host)) and host.dest is dest:
             return host
         elif host:
             host.listing = Listing.GONE
         apart, window = self.settings.kinds[entry.kind].routes_apart, max(1, self.settings.slots // 2)
         route = dest.shared = Route(window) if apart else dest.shared or Route(window)
-        host = self.hosts[entry.host] = Host(entry, dest, route, self.keep)
-        host.sick = route.tries > 0 and all(each.sick for each in route.hosts)  # new in an outage
+        host = self.hosts[entry.host] = Host(entry, dest, route, self.max_idle_time)
+        host.in_outage = route.tries > 0 and all(each.in_outage for each in route.hosts)  # new in an outage
         dest.hosts.append(host)
         return host
 
     def _jitter(self, submits: int) -> int:
-        return self.chance.below(min(CAP, BASE << min(submits - 1, 20)) + 1)
+        return self.random_source.next_below(min(CAP, BASE << min(submits - 1, 20)) + 1)
 
     def _release(self, now: int, call: Call) -> None:
         host, route, dest = call.host, call.host.route, call.host.dest
@@ -736,11 +776,11 @@
             host.used_at, host.kept, dest.look_at = now, True, 0
             route.calls, dest.calls, self.slots_used = route.calls - 1, dest.calls - 1, self.slots_used - 1
 
-    def _forget(self, now: int, held: Held) -> None:
+    def _forget(self, now: int, held: PendingText) -> None:
         self.texts.pop(held.text.id, None)
-        if (dest := self.dests.get(held.text.destination)) is not None:
+        if (dest := self.destinations.get(held.text.destination)) is not None:
             dest.waiting.pop(held.text.id, None)
             dest.rest_at = now
-            self.resting.setdefault(held.text.destination, now + self.rest)
+            self.idle_destinations.setdefault(held.text.destination, now + self.rest)
         if held.key:
             self.key_order.remove(held.key, held.text.id)
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -117,7 +117,7 @@
             self.listed,
             self.list_failed if plan.settings.list_asked else None,
             ListCopy(plan.state, self.deadlines, self.ledger),
-            lambda destination: destination in self.policy.dests,
+            lambda destination: destination in self.policy.destinations,
         )
         self.listener = Listener(self, plan.shares.clients, plan.client_bytes, plan.shares.clients_most)
         self.operations = Operations(self, self.out)
@@ -174,7 +174,7 @@
     def _share_limits(self, two: bool) -> None:
         """The limits are one for both processes of an upgrade: each holds half of the descriptors, and sends
         half of what a host back from an outage bears."""
-        self.policy.processes = 2 if two else 1
+        self.policy.process_count = 2 if two else 1
         shares = Shares.of_two(self.plan.sockets) if two else self.plan.shares
         self.listener.bound(shares.clients, shares.clients_most)
         self.pool.bound(shares.hosts)
@@ -369,7 +369,7 @@
 
     def _has_hosts(self, destination: int) -> bool:
         """Whether the list has the destination; one at work is not looked up for each text."""
-        at_work = self.policy.dests.get(destination)
+        at_work = self.policy.destinations.get(destination)
         if at_work is not None and any(host.listing is not li.Listing.GONE for host in at_work.hosts):
             return True
         return self.catalog.directory.knows(destination)
@@ -391,7 +391,9 @@
         """News of the list: the module hears of the destinations at work alone, after a whole list of all
         those. The others are told as they are met."""
         if whole:
-            entries = [entry for number in list(self.policy.dests) for entry in self.catalog.entries(number)]
+            entries = [
+                entry for number in list(self.policy.destinations) for entry in self.catalog.entries(number)
+            ]
             for host in self.hosts.keys() - {entry.host for entry in entries}:
                 self._leave(host)
         self._tell(self.clock.now(), entries, whole)
@@ -402,7 +404,7 @@
 
     def _meet(self, now: int, destination: int) -> None:
         """A text's destination: the module is told its hosts, unless it knows them."""
-        if destination not in self.policy.dests:
+        if destination not in self.policy.destinations:
             self._tell(now, self.catalog.entries(destination), news=False)
 
     def _tell(self, now: int, entries: list[li.HostEntry], whole: bool = False, news: bool = True) -> None:
@@ -483,7 +485,7 @@
         owed, now = self.owed.get(parcel.text), self.clock.now()
         if owed is None:
             return
-        left, rate = li.limit_told(outcome.report)
+        left, rate = li.limit_from_report(outcome.report)
         self.policy.submit_ended(
             now,
             li.SubmitReport(
--- a/limelatch/relay/folder_watch.py
+++ b/limelatch/relay/folder_watch.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from limelatch.storage_gate import RETRY_AFTER, FolderGate
+from limelatch.storage_gate import RETRY_AFTER, StorageGate
 from limelatch.interface import MS
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.clock import Clock
@@ -29,7 +29,7 @@
     ) -> None:
         """`notify` sends a text's notice; `mended` is called when texts and submits go on."""
         self._clock, self._deadlines, self._notify, self._mended = clock, deadlines, notify, mended
-        self.gate = FolderGate()
+        self.gate = StorageGate()
         self.ledger: Ledger | None = None  # whose writes are told here
         self._unrecorded: dict[bytes, dict] = {}  # notices whose records are not in the folder yet
         self._next_try: Deadline | None = None
@@ -39,12 +39,12 @@
         """A call on the folder has failed, or a write worked again."""
         now = self._clock.now()
         if error is not None:
-            self.gate.failed(now)
+            self.gate.write_failed(now)
             waiting = len(self.ledger.behind) if self.ledger is not None else 0
             self.held_down("folder-failing", why=error, bytes=waiting)
             if self._next_try is None:
                 self._next_try = self._deadlines.after(RETRY_AFTER, self._try_again)
-        elif (span := self.gate.worked(now)) is not None:
+        elif (span := self.gate.write_succeeded(now)) is not None:
             say(log, "folder-mended", after_ms=span // MS)
             for text in list(self._unrecorded):
                 self._send(text)
--- a/limelatch/storage_gate.py
+++ b/limelatch/storage_gate.py
@@ -10,7 +10,7 @@
 RETRY_AFTER = SECOND // 4  # between a failed write and the next one
 
 
-class FolderGate:
+class StorageGate:
     """Whether the folder takes what is written to it, as its last write told."""
 
     def __init__(self) -> None:
@@ -22,12 +22,12 @@
         A text that is handed in needs no such wait: its own write tells whether it is taken on."""
         return self.failing_since is None
 
-    def failed(self, now: int) -> None:
+    def write_failed(self, now: int) -> None:
         """A write has failed; it is to be tried again after `RETRY_AFTER`."""
         if self.failing_since is None:
             self.failing_since = now
 
-    def worked(self, now: int) -> int | None:
+    def write_succeeded(self, now: int) -> int | None:
         """A write has worked: how long the folder had failed, None where it had not."""
         if self.failing_since is None:
             return None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -74,7 +74,7 @@
     def host(self, name=HOST):
         return self.policy.hosts[name]
 
-    def held(self, text):
+    def pending(self, text):
         return self.policy.texts[text]
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -101,7 +101,7 @@
     others = [relay.take(dest=2, valid=9 * S) for _ in range(2)]
     calls = {}
     for text in relay.sent():
-        calls.setdefault(id(relay.held(text).call), []).append(text)
+        calls.setdefault(id(relay.pending(text).call), []).append(text)
     assert sorted(sorted(call) for call in calls.values()) == [near, others]
 
 
@@ -299,7 +299,7 @@
     assert driver.ledger.book.healths[TWIN].health is Health.OUTAGE
     beside.found_health(HOST, Health.OUTAGE, clock.now())
     clock.advance(0.2)
-    assert driver.policy.hosts[HOST].sick and driver.policy.processes == 2
+    assert driver.policy.hosts[HOST].in_outage and driver.policy.process_count == 2
     beside.close()
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -13,7 +13,7 @@
 from test_parts import NAMES, Wire
 
 from limelatch.interface import Forget, Listing, Result, Wake
-from limelatch.policy import BUCKET, LESSON, REST, Policy
+from limelatch.policy import DESTINATION_IDLE_TIME, LEARNED_STATE_LIFETIME, TOKEN_BUCKET_SIZE, Policy
 from limelatch.relay import list_copy
 from limelatch.relay.catalog import Catalog, address_of
 from limelatch.relay.chains import Chains
@@ -549,11 +549,11 @@
     relay.list(HOST)
     relay.out(relay.take(), Result.DELIVERED, finished=True)
     wakes = [action.after for action in relay.policy.decide(NOW) if isinstance(action, Wake)]
-    assert wakes and min(wakes) <= REST
-    assert forgotten(relay, NOW + REST - 1) == []
-    keep = relay.policy.keep  # while a connection may stand idle it is known
-    assert forgotten(relay, NOW + max(REST, keep) + 1) == [1]
-    assert not relay.policy.dests and not relay.policy.hosts and not relay.policy.resting
+    assert wakes and min(wakes) <= DESTINATION_IDLE_TIME
+    assert forgotten(relay, NOW + DESTINATION_IDLE_TIME - 1) == []
+    keep = relay.policy.max_idle_time  # while a connection may stand idle it is known
+    assert forgotten(relay, NOW + max(DESTINATION_IDLE_TIME, keep) + 1) == [1]
+    assert not relay.policy.destinations and not relay.policy.hosts and not relay.policy.idle_destinations
     relay.list(HOST, now=NOW + 99 * S)
     assert relay.out(relay.take(now=NOW + 99 * S), now=NOW + 99 * S) == HOST
 
@@ -564,12 +564,15 @@
         now += S // 100
         relay.list(b"s-%d" % number, dest=number, now=now)
         relay.out(relay.take(dest=number, now=now), Result.DELIVERED, now=now, finished=True)
-    assert len(relay.policy.dests) < 2 * (REST + relay.policy.keep) // (S // 100) + 100
+    assert (
+        len(relay.policy.destinations)
+        < 2 * (DESTINATION_IDLE_TIME + relay.policy.max_idle_time) // (S // 100) + 100
+    )
     for _ in range(40):
         now += 10 * S
         relay.policy.decide(now)
     policy = relay.policy
-    assert not policy.dests and not policy.hosts and not policy.resting and not policy.active
+    assert not policy.destinations and not policy.hosts and not policy.idle_destinations and not policy.active
 
 
 REFUSED = {"limit_left": 0.5, "limit_rate": 8.0}
@@ -579,7 +582,7 @@
     "result, more, until",
     [
         (Result.FULL, {"retry_after": 90 * S, "limit_left": 0.5}, 90 * S),  # a told wait is heeded to its end
-        (Result.TIMEOUT, {}, LESSON),
+        (Result.TIMEOUT, {}, LEARNED_STATE_LIFETIME),
     ],
 )  # a token is spent: until the lesson is old
 def test_what_the_list_does_not_say_is_kept(on_demand, result, more, until):
@@ -599,23 +602,23 @@
     for _ in range(6):
         text = relay.take(now=now, valid=4 * S)
         relay.decide(now=now)
-        if relay.held(text).call:
+        if relay.pending(text).call:
             relay.end(text, Result.ERROR, now)
         now += 9 * S
         relay.decide(now=now)
-    assert relay.host().sick
+    assert relay.host().in_outage
     for _ in range(100):
         now += 60 * S
         assert forgotten(relay, now) == []
     text = relay.take(now=now)
     assert relay.sent(now) == {text: HOST}  # one trial, and it is known as one
     relay.end(text, Result.DELIVERED, now, finished=True)
-    relay.policy.dests[1].tokens = BUCKET
+    relay.policy.destinations[1].tokens = TOKEN_BUCKET_SIZE
     for _ in range(20):
         now += 60 * S
         if forgotten(relay, now):
             break
-    assert not relay.policy.dests
+    assert not relay.policy.destinations
 
 
 def test_a_text_that_comes_as_its_destination_is_due_to_be_forgotten_keeps_it(on_demand):
@@ -624,17 +627,17 @@
     relay.out(relay.take(), Result.DELIVERED, finished=True)
     later = NOW + 99 * S
     text = relay.take(now=later)
-    assert forgotten(relay, later) == [] and relay.held(text).call.host is relay.host()
+    assert forgotten(relay, later) == [] and relay.pending(text).call.host is relay.host()
 
 
 def test_a_notice_heard_after_its_destination_was_forgotten_brings_nothing_back(on_demand):
     relay = on_demand
     text = relay.take(valid=S // 2)
     relay.decide(now=NOW + S)  # ended, and its notice is still to be heard
-    assert forgotten(relay, NOW + LESSON) in ([], [1])
-    relay.policy.dests.pop(1, None)
-    relay.policy.text_finished(NOW + LESSON, text)
-    assert not relay.policy.dests and not relay.policy.unheard
+    assert forgotten(relay, NOW + LEARNED_STATE_LIFETIME) in ([], [1])
+    relay.policy.destinations.pop(1, None)
+    relay.policy.text_finished(NOW + LEARNED_STATE_LIFETIME, text)
+    assert not relay.policy.destinations and not relay.policy.unacknowledged
 
 
 def test_a_host_that_has_moved_ends_what_is_out_at_its_old_destination(relay):
@@ -647,7 +650,7 @@
     relay.end(text, Result.DELIVERED, NOW + S, finished=True)
     relay.end(other, Result.DELIVERED, NOW + S, finished=True)
     assert relay.policy.slots_used == 0 and not relay.policy.texts
-    assert relay.policy.hosts[HOST] in relay.policy.dests[2].hosts
+    assert relay.policy.hosts[HOST] in relay.policy.destinations[2].hosts
 
 
 # The program.
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -8,7 +8,7 @@
 from conftest import WAIT
 from faults.flow import Flow
 
-from limelatch.storage_gate import FolderGate
+from limelatch.storage_gate import StorageGate
 from limelatch.interface import SECOND
 from limelatch.relay import door
 from limelatch.relay.door import HostsOut
@@ -256,16 +256,16 @@
 
 
 def test_the_gate_lets_submits_wait_from_the_first_failure_to_the_next_success():
-    gate = FolderGate()
-    assert gate.may_submit and gate.worked(0) is None
-    gate.failed(100)
-    gate.failed(200)
+    gate = StorageGate()
+    assert gate.may_submit and gate.write_succeeded(0) is None
+    gate.write_failed(100)
+    gate.write_failed(200)
     assert not gate.may_submit
-    assert gate.worked(5 * SECOND) == 5 * SECOND - 100 and gate.may_submit
+    assert gate.write_succeeded(5 * SECOND) == 5 * SECOND - 100 and gate.may_submit
 
 
 def test_a_notice_waits_for_its_record_until_its_text_is_over():
-    gate = FolderGate()
+    gate = StorageGate()
     assert gate.notice_due(5, 90, recorded=True) == 5
     assert gate.notice_due(5, 90, recorded=False) == 90 and gate.notice_due(95, 90, recorded=False) == 95
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -9,13 +9,13 @@
 def sick(relay, cause=Result.CONNECT):
     text = relay.take(REPORT)
     relay.out(text, cause)
-    relay.held(text).due = NOW + 100 * S
+    relay.pending(text).due = NOW + 100 * S
     return relay.host()
 
 
 def test_a_failure_without_a_delivery_lately_makes_a_host_sick_and_it_gets_one_trial(relay):
     host = sick(relay)
-    assert host.sick and "sick: connect" in relay.decide(LogLine)[0].line
+    assert host.in_outage and "sick: connect" in relay.decide(LogLine)[0].line
     texts = {relay.take(REPORT) for _ in range(3)}
     assert relay.sent(NOW) == {}
     assert len(texts & set(relay.sent(host.route.trial_at))) == 1
@@ -24,7 +24,7 @@
 def test_a_trial_that_works_starts_the_warm_up(relay):
     host = sick(relay)
     relay.out(relay.take(REPORT), Result.DELIVERED, host.route.trial_at, finished=True)
-    assert not host.sick and host.back_at is not None
+    assert not host.in_outage and host.back_at is not None
 
 
 def test_one_silent_time_out_makes_a_host_sick_and_a_trial_takes_one_text(relay):
@@ -32,7 +32,7 @@
     relay.list(HOST, kind=1)
     relay.host().kind = 1
     relay.out(relay.take(REPORT, now=NOW), Result.TIMEOUT)
-    assert relay.host().sick
+    assert relay.host().in_outage
     for _ in range(3):
         relay.take(REPORT)
     assert len(relay.sent(relay.host().route.trial_at)) == 1
@@ -56,7 +56,7 @@
 def test_time_outs_are_short_only_for_repeatable_texts_while_slots_are_scarce(relay):
     """Lost answers once held all slots while healthy hosts stood idle."""
     relay.host().route.seen, relay.host().route.usual = 10, 3000
-    notice, charge = relay.held(relay.take(REPORT)), relay.held(relay.take(CHARGE))
+    notice, charge = relay.pending(relay.take(REPORT)), relay.pending(relay.take(CHARGE))
     notice.call = charge.call = Call(relay.host(), NOW)
     assert relay.policy._time_out(notice) == TIME_OUT
     relay.policy.slots_used = 7  # all but one
@@ -70,7 +70,7 @@
     for _ in range(2):
         text = relay.take(REPORT)
         relay.out(text, Result.RESET, took=100, idle=300)
-        relay.held(text).due = now
+        relay.pending(text).due = now
     assert not relay.host().failing
     actions = [each for each in relay.decide(now=now) if isinstance(each, (CloseIdle, Submit))]
     assert [type(each) for each in actions[:2]] == [CloseIdle, Submit] and actions[1].keep <= 0
@@ -87,8 +87,8 @@
     text = relay.take(NOTICE)
     assert relay.decide(Submit)[0].timeout == 10 * S // 4
     relay.end(text, Result.TIMEOUT, NOW + 10 * S // 4)
-    assert relay.held(text).verdict is None and relay.held(text).due < NOW + 5 * S
-    slow = relay.held(relay.take(NOTICE))
+    assert relay.pending(text).verdict is None and relay.pending(text).due < NOW + 5 * S
+    slow = relay.pending(relay.take(NOTICE))
     slow.call, relay.host().route.usual = Call(relay.host(), NOW), 5000
     assert relay.policy._time_out(slow) == 8 * 5000
 
@@ -99,7 +99,7 @@
     relay.decide()
     relay.end(first, Result.DELIVERED, NOW + S, finished=True)
     relay.end(second, Result.TIMEOUT, NOW + 9 * S)
-    assert 0 < relay.host().failing < 0.2 and not relay.host().sick
+    assert 0 < relay.host().failing < 0.2 and not relay.host().in_outage
 
 
 def test_a_reset_after_idleness_is_a_dead_connection_and_no_outage(relay):
@@ -118,10 +118,10 @@
         assert fleet.decide(CloseIdle, now) == closed
     text = fleet.take(REPORT, now=now)
     fleet.out(text, Result.CONNECT, now)  # no delivery lately: half a sign of an outage
-    assert 0 < fleet.host().failing < SICK_SHARE and not fleet.host().sick
+    assert 0 < fleet.host().failing < SICK_SHARE and not fleet.host().in_outage
     assert fleet.decide(CloseIdle, now) == [CloseIdle(TWIN), CloseIdle(HOST)]
-    fleet.out(text, Result.CONNECT, fleet.held(text).due)  # the second is no table of this relay's making
-    assert fleet.host().sick and fleet.policy.idle_most[0] < S
+    fleet.out(text, Result.CONNECT, fleet.pending(text).due)  # the second is no table of this relay's making
+    assert fleet.host().in_outage and fleet.policy.idle_most[0] < S
 
 
 def test_one_product_failing_at_one_host_is_no_outage_and_goes_to_the_other(fleet):
@@ -131,13 +131,13 @@
     first = fleet.take(REPORT)
     bad = fleet.out(first)
     fleet.end(first, Result.TIMEOUT, NOW + 9 * S, host=bad)
-    good, now = TWIN if bad == HOST else HOST, fleet.held(first).due
-    assert not fleet.host(bad).sick and not fleet.host(bad).failing
+    good, now = TWIN if bad == HOST else HOST, fleet.pending(first).due
+    assert not fleet.host(bad).in_outage and not fleet.host(bad).failing
     assert fleet.out(first, now=now) == good
     for _ in range(4):
         assert fleet.out(fleet.take(REPORT, now=now), Result.DELIVERED, now, finished=True) == good
     fleet.end(first, Result.TIMEOUT, now + 9 * S, host=good)  # a second host: the destination hangs
-    assert fleet.host(good).sick and fleet.host(bad).sick
+    assert fleet.host(good).in_outage and fleet.host(bad).in_outage
 
 
 def test_of_two_hosts_drawn_the_one_with_an_idle_connection_is_taken(relay):
@@ -168,10 +168,10 @@
 def test_a_long_told_wait_is_an_outage_unless_the_limit_is_used_up(relay):
     """Told waits of many relays reach far at a small limit and once looked like an outage."""
     relay.out(relay.take(REPORT), Result.FULL, retry_after=TOLD_SHUT + 1, limit_left=0.0)
-    assert not relay.host().sick
+    assert not relay.host().in_outage
     relay.list(TWIN, dest=2)
     relay.out(relay.take(REPORT, dest=2), Result.FULL, retry_after=TOLD_SHUT + 1)
-    assert relay.host(TWIN).sick
+    assert relay.host(TWIN).in_outage
 
 
 def test_a_route_falls_sick_as_one_but_for_hosts_that_delivered_lately(relay):
@@ -179,7 +179,7 @@
     relay.list(TWIN, ROUTE)
     relay.host(ROUTE).last_ok = NOW
     relay.policy._failed(NOW, relay.host(), "connect", 1.0)
-    assert [relay.host(name).sick for name in (HOST, TWIN, ROUTE)] == [True, True, False]
+    assert [relay.host(name).in_outage for name in (HOST, TWIN, ROUTE)] == [True, True, False]
 
 
 def test_the_parts_of_the_relays_that_know_add_up_to_what_is_safe(relay):
@@ -187,7 +187,7 @@
     policy, route = relay.policy, relay.host().route
     policy.settings.relays, route.limit, route.down_at = 200, 4.0, NOW
     assert policy._seers(NOW + 5 * S, route) == 40 and policy._seers(NOW + 100 * S, route) == 200
-    relay.host().sick = True
+    relay.host().in_outage = True
     policy._come_back(NOW, route)
     assert 0.0 <= relay.host().warm_credit < 1.0 and relay.host().back_at == NOW
 
@@ -195,10 +195,10 @@
 def test_a_tick_looks_only_at_destinations_with_texts_waiting(relay):
     """Every tick once visited each destination of the list."""
     relay.list(TWIN, dest=2)
-    relay.host(TWIN).sick, relay.host(TWIN).route.trial_at = True, NOW + S
+    relay.host(TWIN).in_outage, relay.host(TWIN).route.trial_at = True, NOW + S
     relay.take(REPORT, dest=2)
     assert relay.decide(Wake) == [Wake(S)] and list(relay.policy.active) == [2]
-    assert not relay.policy.dests[1].waiting
+    assert not relay.policy.destinations[1].waiting
 
 
 def test_trials_are_spaced_by_the_limit(relay):
@@ -226,7 +226,7 @@
 
 
 def test_a_nearly_full_relay_nacks_what_is_least_at_stake(relay):
-    relay.host().sick, relay.host().route.trial_at = True, NOW + 4 * S
+    relay.host().in_outage, relay.host().route.trial_at = True, NOW + 4 * S
     late = relay.take(REPORT, valid=5 * S)
     for _ in range(46):
         relay.take(REPORT)
@@ -238,7 +238,7 @@
     relay.policy._failed(NOW, relay.host(), "refused", 1.0)
     relay.list(HOST, listing=Listing.GONE)
     relay.list(TWIN)
-    assert relay.host(TWIN).sick
+    assert relay.host(TWIN).in_outage
 
 
 def test_cuts_in_a_row_without_a_delivery_are_an_outage(relay):
@@ -247,12 +247,12 @@
     route.learn_limit(20.0, 3)
     for step in range(REFUSED_OFTEN):
         relay.policy._refused(NOW + step * S, relay.host(), 0, None)
-    assert relay.host().sick
+    assert relay.host().in_outage
 
 
 def test_few_free_slots_shorten_time_outs_of_unknown_destinations(relay):
     """Calls lost at hosts that no relay knew well once held the few slots of each for 9 s."""
-    notice = relay.held(relay.take(REPORT))
+    notice = relay.pending(relay.take(REPORT))
     notice.call = Call(relay.host(), NOW)
     relay.policy.slots_used = 8
     assert relay.policy._time_out(notice) == GUIDE_TIME_OUT
@@ -299,7 +299,7 @@
         fleet.host().kept, fleet.host().used_at = True, now - 4 * S
         text = fleet.take(REPORT, now=now)
         fleet.out(text, Result.TIMEOUT, now, finished=True)
-        assert fleet.host().sick is sick and fleet.policy.stale[0] > STALE_ONCE
+        assert fleet.host().in_outage is sick and fleet.policy.stale[0] > STALE_ONCE
 
 
 def test_a_text_handed_in_again_paces_a_route_that_this_relay_does_not_know(fleet):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -3,15 +3,15 @@
 from conftest import HOST, NOW, REPORT, TWIN, S
 
 from limelatch.interface import Nack, Result, Submit
-from limelatch.policy import BASE, BUCKET, CAP, TOKEN
+from limelatch.policy import BASE, CAP, TOKEN, TOKEN_BUCKET_SIZE
 
 
 def test_a_repeat_takes_a_token_and_a_delivery_gives_a_tenth(relay):
     dest, text = relay.host().dest, relay.take(REPORT)
     relay.out(text, Result.FULL)
-    assert dest.tokens == BUCKET - TOKEN
+    assert dest.tokens == TOKEN_BUCKET_SIZE - TOKEN
     relay.out(text, Result.DELIVERED, NOW + 15 * S, finished=True)
-    assert dest.tokens == BUCKET - TOKEN + 1
+    assert dest.tokens == TOKEN_BUCKET_SIZE - TOKEN + 1
 
 
 def test_without_a_token_the_answer_comes_at_once(relay):
@@ -23,7 +23,7 @@
 
 def test_submits_stop_at_the_told_most(relay):
     text = relay.take(REPORT)
-    relay.held(text).submits = 3
+    relay.pending(text).submits = 3
     relay.out(text, Result.CONNECT)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
 
@@ -68,7 +68,7 @@
 def test_three_quarters_of_the_slots_when_healthy_half_otherwise(relay):
     host = relay.host()
     assert relay.policy._window_cap(host) == 6
-    host.sick = True
+    host.in_outage = True
     assert relay.policy._window_cap(host) == 4
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -45,20 +45,20 @@
     relay.list(TWIN, zone=1)
     text = relay.take()
     first = relay.out(text, Result.TIMEOUT, NOW)
-    relay.held(text).due = NOW
+    relay.pending(text).due = NOW
     other = TWIN if first == HOST else HOST
-    assert not relay.policy._gate(NOW + S, relay.held(text), relay.host(other))
-    assert relay.policy._gate(NOW + S, relay.held(text), relay.host(first))
-    assert not relay.policy._gate(NOW + 10 * S, relay.held(text), relay.host(first))
+    assert not relay.policy._gate(NOW + S, relay.pending(text), relay.host(other))
+    assert relay.policy._gate(NOW + S, relay.pending(text), relay.host(first))
+    assert not relay.policy._gate(NOW + 10 * S, relay.pending(text), relay.host(first))
 
 
 def test_a_refusal_after_a_time_out_counts_as_one(relay):
     text = relay.take()
     relay.out(text, Result.TIMEOUT)
-    relay.held(text).due = NOW
-    relay.host().sick = False
+    relay.pending(text).due = NOW
+    relay.host().in_outage = False
     relay.out(text, Result.FULL, NOW + S // 2)
-    assert relay.held(text).ran_at == NOW and not relay.held(text).may_nack()
+    assert relay.pending(text).ran_at == NOW and not relay.pending(text).may_nack()
 
 
 def test_nothing_new_to_a_draining_or_missing_host(relay):
@@ -202,9 +202,9 @@
     """No byte of it has gone; with one submit allowed it would end without ever having been sent."""
     relay.policy.settings.max_submits = 1
     text = relay.take(REPORT)
-    tokens = relay.policy.dests[1].tokens
+    tokens = relay.policy.destinations[1].tokens
     relay.out(text, Result.NOT_SENT, unsent=True)
-    assert relay.held(text).submits == 0 and relay.policy.dests[1].tokens == tokens
+    assert relay.pending(text).submits == 0 and relay.policy.destinations[1].tokens == tokens
     assert relay.sent(NOW + S) == {text: HOST}
     relay.end(text, Result.FULL, NOW + S)
     assert relay.decide((Nack, Undeliverable), NOW + S) == [Nack(text, 2 * S)]  # that one was sent
@@ -269,17 +269,17 @@
     relay.list(TWIN)
     relay.policy.health_from_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
     texts = [relay.take(REPORT) for _ in range(8)]
-    assert relay.host().sick and relay.host(TWIN).sick  # one outage takes the hosts of a route
+    assert relay.host().in_outage and relay.host(TWIN).in_outage  # one outage takes the hosts of a route
     assert len(relay.sent(NOW + S // 10)) <= 1  # trials alone
     relay.policy.health_from_sibling(NOW + 2 * S, HOST, Health.WARMING, NOW + 2 * S)
-    assert not relay.host().sick and relay.host().back_at == NOW + 2 * S
+    assert not relay.host().in_outage and relay.host().back_at == NOW + 2 * S
     assert len(relay.sent(NOW + 2 * S + 1)) <= 2 < len(texts)
 
 
 def test_what_this_process_has_seen_since_counts_more_than_the_other_s_news(relay):
     relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     relay.policy.health_from_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
-    assert not relay.host().sick
+    assert not relay.host().in_outage
     relay.policy.health_from_sibling(NOW, HOST, Health.WARMING, NOW - 30 * S)  # long warm again
     assert relay.host().back_at is None
     relay.policy.health_from_sibling(NOW, b"unknown", Health.OUTAGE, NOW)
@@ -288,7 +288,7 @@
 def test_two_processes_together_send_a_returning_host_what_one_relay_may(relay):
     rates = []
     for processes in (1, 2):
-        relay.policy.processes = processes
+        relay.policy.process_count = processes
         route = relay.host().route
         rates.append(relay.policy._seers(NOW, route))
     assert rates[1] == 2 * rates[0]
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -247,7 +247,7 @@
         raise OSError(errno.EIO, "Input/output error")
 
     life.hand_in(b"r", b"report")
-    life.driver.policy.dests[1].tokens = 0
+    life.driver.policy.destinations[1].tokens = 0
     monkeypatch.setattr(os, "write", refuse)
     life.answered(Result.FULL)
     life.driver.turn()
