--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -163,12 +163,12 @@
 
 @dataclass(slots=True)
 class Submit:
-    """Send the text to the host, stop waiting after `timeout`; let the connection stand idle for `keep`."""
+    """Send the text to the host, stop waiting after `timeout`; keep the connection idle for `idle_limit`."""
 
     text: TextId
     host: HostId
     timeout: int
-    keep: int = 0
+    idle_limit: int = 0
 
 
 @dataclass(slots=True)
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -247,7 +247,7 @@
     def _send(self, now: int, endpoint: Endpoint, submits: list[li.Submit]) -> None:
         stage = self.stage
         texts = [self.texts[each.text] for each in submits]
-        call = FleetCall(self, endpoint, texts, now, min(each.keep for each in submits))
+        call = FleetCall(self, endpoint, texts, now, min(each.idle_limit for each in submits))
         stage.count += 1
         call.number = stage.count
         self.calls[call.number] = call
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -563,7 +563,7 @@
                     )
                     self.soon()
                 case li.Submit(text, host, timeout):
-                    self._pack(calls, host, text, now + timeout, action.keep)
+                    self._pack(calls, host, text, now + timeout, action.idle_limit)
                 case li.Nack(text, advice) if text in self.owed:
                     wait = {"wait_ms": advice // li.MS} if advice else {}
                     self._end_later(self.owed[text], {"result": "bounced"} | wait)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,10 +36,10 @@
 S = 10_000
 NOW = 1_000 * S
 NOTICE, CHARGE, REPORT = 0, 1, 2
-HOST, TWIN, ROUTE = b"hosta1", b"hostb1", b"route1"
+HOST, OTHER_HOST, ROUTE = b"hosta1", b"hostb1", b"route1"
 
 
-class Bench:
+class PolicyHarness:
     """One relay and short ways to act on it."""
 
     def __init__(self, policy):
@@ -105,15 +105,17 @@
 
 @pytest.fixture
 def relay(policy_settings):
-    bench = Bench(Policy(policy_settings, NOW))
+    bench = PolicyHarness(Policy(policy_settings, NOW))
     bench.list(HOST)
     return bench
 
 
 @pytest.fixture
-def fleet(policy_settings):
+def fleet_relay(policy_settings):
     """One of hundreds of relays, whose list is asked for."""
-    bench = Bench(Policy(replace(policy_settings, relays=200, list_asked=True, ask_within=10 * S), NOW))
+    bench = PolicyHarness(
+        Policy(replace(policy_settings, relays=200, list_asked=True, ask_within=10 * S), NOW)
+    )
     bench.list(HOST)
     return bench
 
@@ -122,7 +124,7 @@
 
 # What follows is for tests that start the program: stand-ins on sockets and a client of the relay.
 
-WAIT = 10  # seconds after which something awaited is missing
+WAIT_TIMEOUT = 10  # seconds after which something awaited is missing
 SETTINGS = {
     "classes": [
         {"name": "notice", "effect": "token", "group": "zone", "dedupWindow": 10000, "deadline": 24000},
@@ -139,31 +141,31 @@
 }
 
 
-class Party(http.server.ThreadingHTTPServer):
+class HttpStub(http.server.ThreadingHTTPServer):
     """A stand-in for whoever the relay speaks HTTP to: each request goes to `asked`, `reply` answers it."""
 
     daemon_threads = True
 
     def __init__(self, reply):
-        super().__init__(("127.0.0.1", 0), PartyHandler)
-        self.reply, self.asked, self.released = reply, queue.Queue(), threading.Event()
+        super().__init__(("127.0.0.1", 0), HttpStubHandler)
+        self.reply, self.requests, self.released = reply, queue.Queue(), threading.Event()
         self.address = f"127.0.0.1:{self.server_address[1]}"
         threading.Thread(target=self.serve_forever, args=(0.02,), daemon=True).start()
 
     def next(self):
-        return self.asked.get(timeout=WAIT)
+        return self.requests.get(timeout=WAIT_TIMEOUT)
 
     def handle_error(self, request, client_address):
         pass  # the relay may close a connection at any time
 
 
-class PartyHandler(http.server.BaseHTTPRequestHandler):
+class HttpStubHandler(http.server.BaseHTTPRequestHandler):
     protocol_version, disable_nagle_algorithm = "HTTP/1.1", True
 
     def handle_any(self):
         body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-        request = Asked(self.path, self.headers, body, time.monotonic(), self)
-        self.server.asked.put(request)
+        request = ReceivedRequest(self.path, self.headers, body, time.monotonic(), self)
+        self.server.requests.put(request)
         answer = self.server.reply(request)
         if answer is not None:
             request.answer(*answer)
@@ -174,14 +176,14 @@
         pass
 
 
-class Asked(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """One request to a stand-in."""
 
     path: str
     headers: object
     body: bytes
     at: float
-    handler: PartyHandler
+    handler: HttpStubHandler
 
     def answer(self, status, body=b"", **headers):
         self.handler.send_response_only(status)
@@ -193,7 +195,7 @@
         self.handler.wfile.write(body)
 
     def hang(self):
-        self.handler.server.released.wait(WAIT)
+        self.handler.server.released.wait(WAIT_TIMEOUT)
         self.handler.close_connection = True
 
     def cut(self):
@@ -201,7 +203,7 @@
         self.handler.connection.shutdown(socket.SHUT_RDWR)
 
 
-class Agent(Party):
+class Agent(HttpStub):
     """Discovery and platform: keeps the list, tells changes to whoever watches, takes notices."""
 
     def __init__(self):
@@ -251,14 +253,14 @@
         request.handler.wfile.write(b"%x\r\n%s\r\n" % (len(raw), raw))
 
     def notice(self):
-        return self.notices.get(timeout=WAIT)
+        return self.notices.get(timeout=WAIT_TIMEOUT)
 
 
 class Client:
     """A client of the relay, on one connection."""
 
     def __init__(self, address):
-        self.socket = socket.create_connection(address, timeout=WAIT)
+        self.socket = socket.create_connection(address, timeout=WAIT_TIMEOUT)
         self.lines, self.count = self.socket.makefile("rb"), 0
 
     def ask(self, *words):
@@ -295,12 +297,12 @@
         } | more
         self.file.write_text(json.dumps(plan))
         self.process, self.environment = None, {}
-        self.said = []  # every line of its log, over all its processes
+        self.log_lines = []  # every line of its log, over all its processes
 
     def start(self):
         """Start it and wait until it says that it serves."""
         self.launch()
-        self.says("event=serving")
+        self.wait_for_log("event=serving")
         return self.client()
 
     def launch(self):
@@ -319,18 +321,18 @@
 
     def _read(self, process):
         for line in process.stderr:
-            self.said.append(f"{time.monotonic():.3f} {line}")
+            self.log_lines.append(f"{time.monotonic():.3f} {line}")
             self.log.put(line)
 
-    def says(self, words):
-        until = time.monotonic() + WAIT
+    def wait_for_log(self, words):
+        until = time.monotonic() + WAIT_TIMEOUT
         while words not in (line := self.log.get(timeout=max(0.0, until - time.monotonic()))):
             pass
         return line
 
     def kill(self):
         self.process.kill()
-        self.process.wait(WAIT)
+        self.process.wait(WAIT_TIMEOUT)
 
     def configure_file(self, **more):
         """Replace keys of the file; a process that is started reads them."""
@@ -365,12 +367,12 @@
 
 
 @pytest.fixture
-def party():
+def make_host():
     """Makes stand-ins for hosts."""
     made = []
 
     def make(reply=lambda request: (200,)):
-        made.append(Party(reply))
+        made.append(HttpStub(reply))
         return made[-1]
 
     yield make
@@ -380,7 +382,7 @@
 
 
 @pytest.fixture
-def plan(tmp_path, agent):
+def make_program(tmp_path, agent):
     """Makes the test's program, its configuration with these keys instead."""
     made = []
 
@@ -409,19 +411,19 @@
 
 
 @pytest.fixture
-def faulty(plan, faults):
+def make_faulty_program(make_program, faults):
     """Makes the test's program on a machine whose faults the test steers; its log is printed on failure."""
     made = []
 
     def make(**more):
-        made.append(plan(**more))
+        made.append(make_program(**more))
         made[-1].environment = faults.environment
         return made[-1]
 
     yield make
-    print("".join(line for each in made for line in each.said))
+    print("".join(line for each in made for line in each.log_lines))
 
 
 @pytest.fixture
-def program(plan):
-    return plan()
+def program(make_program):
+    return make_program()
--- a/tests/faults/flow.py
+++ b/tests/faults/flow.py
@@ -37,11 +37,11 @@
 class Flow:
     """A client, a host and the platform round one relay; `check` says what was broken."""
 
-    def __init__(self, program, agent, party, valid: float = 4.0) -> None:
+    def __init__(self, program, agent, make_host, valid: float = 4.0) -> None:
         self.program, self.agent, self.valid = program, agent, valid
         self.texts: dict[str, Text] = {}
         self.numbers = itertools.count(1)
-        self.host = party(self._called)
+        self.host = make_host(self._called)
         agent.list(self.host.address)
         self.client = None
         self._listening = threading.Thread(target=self._listen, daemon=True)
@@ -131,7 +131,7 @@
         if self.program.process.poll() is not None:
             wrong.append(f"the relay ended with {self.program.process.returncode}")
         faults = ("event=fault", "event=connection-not-served", "Traceback", "Unhandled")
-        wrong += [line for line in self.program.said if any(word in line for word in faults)]
+        wrong += [line for line in self.program.log_lines if any(word in line for word in faults)]
         return wrong
 
     @staticmethod
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 
 PARTS = 40  # places at which the request is cut: the rest comes in the moment of the close
 COMMAND_MS = 150
@@ -24,9 +24,9 @@
         return repr(error)
 
 
-def test_the_rest_of_a_command_that_comes_as_its_time_is_over_is_answered(plan, agent, party):
+def test_the_rest_of_a_command_that_comes_as_its_time_is_over_is_answered(make_program, agent, make_host):
     """A whole request, its last byte written round the moment in which half a command is closed."""
-    program, host = plan(client_command_ms=COMMAND_MS), party()
+    program, host = make_program(client_command_ms=COMMAND_MS), make_host()
     agent.list(host.address)
     program.start()
     clients = [program.client() for _ in range(PARTS)]
@@ -57,7 +57,7 @@
     program.start()
     for _ in range(20):
         client = program.client()
-        client.socket.settimeout(WAIT)
+        client.socket.settimeout(WAIT_TIMEOUT)
         client.socket.sendall(b"*x\r\n" + more)
         assert answer(client).startswith(b"-ERR Protocol error")
         for _ in range(3):
@@ -77,8 +77,8 @@
             client.socket.sendall(b"x" * 15_000)
 
 
-def test_a_client_that_gives_way_for_memory_hears_so_though_it_goes_on_writing(plan, agent):
-    program = plan(limits={"memory_mb": 1})  # of which an eighth
+def test_a_client_that_gives_way_for_memory_hears_so_though_it_goes_on_writing(make_program, agent):
+    program = make_program(limits={"memory_mb": 1})  # of which an eighth
     client = program.start()
     half = b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$2\r\nt1\r\n$20\r\nc=report,d=9000,dest\r\n$60000\r\n"
     large, others = program.client(), [program.client() for _ in range(2)]
@@ -90,24 +90,24 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_a_command_on_its_way_at_a_stop_is_answered(plan, agent):
+def test_a_command_on_its_way_at_a_stop_is_answered(make_program, agent):
     """Nothing is owed, and the relay could end at once."""
-    program = plan(stop_least_ms=100)
+    program = make_program(stop_least_ms=100)
     agent.list("127.0.0.1:1")
     program.start()
     client, whole = program.client(), request("t1")
     client.socket.sendall(whole[:30])
     threading.Event().wait(0.1)
     program.terminate()
-    program.says("event=stopping")
+    program.wait_for_log("event=stopping")
     threading.Event().wait(0.25)
     client.socket.sendall(whole[30:])
     assert answer(client) == b"-BUSY\r\n"
-    assert program.process.wait(WAIT) == 0
+    assert program.process.wait(WAIT_TIMEOUT) == 0
 
 
-def test_several_commands_at_once_are_all_answered_before_a_stop_closes(plan, agent, party):
-    program, host = plan(stop_least_ms=50), party()
+def test_several_commands_at_once_are_all_answered_before_a_stop_closes(make_program, agent, make_host):
+    program, host = make_program(stop_least_ms=50), make_host()
     agent.list(host.address)
     program.start()
     clients = [program.client() for _ in range(8)]
@@ -122,8 +122,8 @@
         assert len(told) == 10, answers
 
 
-def test_a_client_that_lingers_holds_its_descriptor_no_longer_than_half_a_second(plan, agent):
-    program = plan(client_command_ms=COMMAND_MS)
+def test_a_client_that_lingers_holds_its_descriptor_no_longer_than_half_a_second(make_program, agent):
+    program = make_program(client_command_ms=COMMAND_MS)
     agent.list("127.0.0.1:1")
     program.start()
     bad = program.client()
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import SETTINGS, WAIT
+from conftest import SETTINGS, WAIT_TIMEOUT
 
 from limelatch.client import wire
 from limelatch.client.wire import Ending
@@ -34,7 +34,7 @@
     )
 
 
-def run(*words, given=None, wait=WAIT):
+def run(*words, given=None, wait=WAIT_TIMEOUT):
     """Exit code, standard output and standard error."""
     process = start(*words, stdin=subprocess.PIPE)
     out, err = process.communicate(given, wait)
@@ -203,8 +203,8 @@
     return look(path)
 
 
-def test_relay_run_serves_a_toml_file_a_second_beside_it_and_a_third_is_kept_off(tmp_path, agent, party):
-    agent.list((host := party()).address)
+def test_relay_run_serves_a_toml_file_a_second_beside_it_and_a_third_is_kept_off(tmp_path, agent, make_host):
+    agent.list((host := make_host()).address)
     address = f"127.77.1.{os.getpid() % 250 + 1}:{20000 + os.getpid() % 20000}"
     (tmp_path / "state").mkdir()
     path = tmp_path / "relay.toml"
@@ -235,7 +235,7 @@
         third = run("relay", "run", "--config", path)
         assert third[0] == BAD_USE and third[2].count("\n") == 1 and "another relay uses" in third[2]
         beside.stdin.close()
-        assert beside.wait(WAIT) == DONE
+        assert beside.wait(WAIT_TIMEOUT) == DONE
         beside.stdout.close(), beside.stderr.close()
         code, out, err = run(
             "text", "submit", "--relay", address, "--product", "report", "--dest", "1", given="hi"
@@ -263,7 +263,7 @@
         )
         assert code == WRONG and json.loads(out.splitlines()[0])["ending"] == "error"
         relay.stdin.close()  # whoever started it has ended
-        assert relay.wait(WAIT) == DONE
+        assert relay.wait(WAIT_TIMEOUT) == DONE
         events = [json.loads(line)["event"] for line in relay.stderr]
         assert events[0] == "started" and "serving" in events and events[-1] == "stopped"
     finally:
@@ -346,7 +346,7 @@
 def test_the_demo_ends_by_itself_each_text_with_its_one_end(tmp_path, terminal):
     process, master = demo(tmp_path, terminal)
     shown = output(master)
-    assert process.wait(WAIT) == DONE, shown
+    assert process.wait(WAIT_TIMEOUT) == DONE, shown
     assert "each text got its one end: yes" in shown and left_behind(tmp_path) == []
     assert ("\x1b[" in shown) == terminal and re.search(r"partner 3 .* [1-9]\d* delivered", shown)
 
@@ -361,4 +361,8 @@
         assert (part := os.read(master, 65536)), shown  # it ended first: this once read on for ever
         shown += part.decode()
     process.send_signal(sent)
-    assert process.wait(WAIT) == 130 and "Traceback" not in output(master) and left_behind(tmp_path) == []
+    assert (
+        process.wait(WAIT_TIMEOUT) == 130
+        and "Traceback" not in output(master)
+        and left_behind(tmp_path) == []
+    )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import HOST, NOW, REPORT, SETTINGS, TWIN, WAIT, Bench, S
+from conftest import HOST, NOW, REPORT, SETTINGS, OTHER_HOST, WAIT_TIMEOUT, PolicyHarness, S
 from test_parts import GOOD, NAMES, Wire
 from twisted.internet.task import Clock as Reactor
 
@@ -42,7 +42,7 @@
 from limelatch.relay.platform import Notifier
 
 
-def until(true, wait=WAIT):
+def until(true, wait=WAIT_TIMEOUT):
     """Looks again until it is so; the relay has no other sign of it."""
     last = time.monotonic() + wait
     while not true():
@@ -76,8 +76,10 @@
     assert (entry.submits, entry.out, entry.ran_at, entry.ran_zone) == (2, False, 5, 1)
 
 
-def test_after_two_kills_and_a_refusal_a_text_stays_on_the_floor_where_it_may_have_run(program, agent, party):
-    first, other = party(lambda request: request.hang()), party()
+def test_after_two_kills_and_a_refusal_a_text_stays_on_the_floor_where_it_may_have_run(
+    program, agent, make_host
+):
+    first, other = make_host(lambda request: request.hang()), make_host()
     agent.list(first.address, zone="a")
     program.start().submit("t1", "notice", d=20_000)
     assert first.next().headers["X-Txn"] == "t1"
@@ -90,7 +92,7 @@
     agent.list(first.address, zone="a", status="leaving")
     agent.list(other.address, name="s-2", zone="b")
     assert program.start().submit("t2", "report") == "+OK"
-    assert other.next().headers["X-Txn"] == "t2" and other.asked.empty()
+    assert other.next().headers["X-Txn"] == "t2" and other.requests.empty()
 
 
 def test_texts_near_their_end_take_none_with_more_time_into_their_call(relay):
@@ -292,11 +294,11 @@
 def test_an_outage_that_one_process_finds_is_the_module_s_in_the_other(clock, driver, tmp_path):
     """From the module's word to the ledger, and from the other process's ledger to the module."""
     driver.handover.start()
-    driver._tell(clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, TWIN)])
-    driver.policy.log.append(LogLine("sick", TWIN, Health.OUTAGE))
+    driver._tell(clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, OTHER_HOST)])
+    driver.policy.log.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it, and has turned
-    assert driver.ledger.book.healths[TWIN].health is Health.OUTAGE
+    assert driver.ledger.book.healths[OTHER_HOST].health is Health.OUTAGE
     beside.found_health(HOST, Health.OUTAGE, clock.now())
     clock.advance(0.2)
     assert driver.policy.hosts[HOST].in_outage and driver.policy.process_count == 2
@@ -399,8 +401,8 @@
     assert list(after.entries) == [b"a", b"b"] and after.entries[b"b"].out
 
 
-def test_a_relay_whose_disk_is_full_turns_texts_away_and_goes_on(program, agent, party):
-    host = party()
+def test_a_relay_whose_disk_is_full_turns_texts_away_and_goes_on(program, agent, make_host):
+    host = make_host()
     agent.list(host.address)
     client = program.start()
     assert client.submit("t1") == "+OK" and host.next()
@@ -411,7 +413,7 @@
     assert client.ask("PING") == "+PONG"
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY,) * 2)
     assert client.submit("t4", "charge", key="k1") == "+OK" and host.next().headers["X-Txn"] == "t4"
-    assert host.asked.empty() and agent.notices.empty()
+    assert host.requests.empty() and agent.notices.empty()
 
 
 def test_a_successor_is_not_refused_while_the_old_process_looks_for_it(tmp_path):
@@ -430,15 +432,15 @@
 def test_what_a_restart_finds_untried_is_tried_in_its_time(policy_settings, relays, rate, late_list):
     """At the even part of a limit a fifth once ended with no call: 641 of 3,364 on a day with mass kills."""
     policy_settings = replace(policy_settings, relays=relays, rates_listed=True)
-    bench = Bench(Policy(policy_settings, NOW))
+    bench = PolicyHarness(Policy(policy_settings, NOW))
     if not late_list:
-        bench.list(HOST, TWIN, rate=rate)
+        bench.list(HOST, OTHER_HOST, rate=rate)
     texts = set()
     for number in range(8):
         texts.add(text := 500 + number)
         bench.policy.text_accepted(NOW, Text(text, 1, REPORT, NOW + 8 * S), TextHistory())
     if late_list:
-        bench.list(HOST, TWIN, rate=rate)
+        bench.list(HOST, OTHER_HOST, rate=rate)
     tried = set()
     for passed in range(0, 8 * S, 200):
         for text, host in bench.sent(NOW + passed).items():
@@ -448,7 +450,7 @@
 
 
 def test_what_a_restart_finds_untried_heeds_told_waits_and_outages(policy_settings):
-    bench = Bench(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
+    bench = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     for number in range(3):
         bench.policy.text_accepted(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), TextHistory())
@@ -460,7 +462,7 @@
 
 
 def test_a_new_text_that_can_t_be_sent_in_its_time_is_still_given_up_at_once(policy_settings):
-    bench = Bench(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
+    bench = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     bench.take(REPORT), bench.take(REPORT)
     assert len(bench.sent()) == 2  # what is saved up
@@ -516,8 +518,10 @@
 
 
 @pytest.mark.parametrize("broken", ["", "{", '{"listen": ', "away"])
-def test_a_broken_file_at_sighup_twice_and_in_a_stop_leaves_the_relay_at_work(program, agent, party, broken):
-    host = party(lambda request: None)
+def test_a_broken_file_at_sighup_twice_and_in_a_stop_leaves_the_relay_at_work(
+    program, agent, make_host, broken
+):
+    host = make_host(lambda request: None)
     agent.list(host.address)
     client, whole = program.start(), program.file.read_text()
     assert client.submit("t1", "charge", key="k1") == "+OK"
@@ -528,33 +532,35 @@
         program.file.write_text(broken)
     for _ in range(2):
         program.process.send_signal(signal.SIGHUP)
-        program.says("event=not-configured")
+        program.wait_for_log("event=not-configured")
     program.terminate()
-    program.says("event=stopping")
+    program.wait_for_log("event=stopping")
     program.process.send_signal(signal.SIGHUP)
-    program.says("event=not-configured")
+    program.wait_for_log("event=not-configured")
     program.file.write_text(whole)
     program.process.send_signal(signal.SIGHUP)
-    program.says("event=configured")
+    program.wait_for_log("event=configured")
     program.terminate()  # once more
     call.answer(200)
-    assert program.process.wait(WAIT) == 0 and agent.notices.empty()
+    assert program.process.wait(WAIT_TIMEOUT) == 0 and agent.notices.empty()
 
 
 def test_a_start_waits_a_moment_for_the_port_of_a_process_that_ends(program, agent):
     agent.list("127.0.0.1:1")
     ending = socket.create_server((program.address, program.port))
     program.launch()
-    program.says("event=port-taken")
+    program.wait_for_log("event=port-taken")
     ending.close()
-    program.says("event=serving")
+    program.wait_for_log("event=serving")
     assert program.client().ask("PING") == "+PONG"
 
 
-def test_texts_of_a_killed_relay_keep_their_product_and_customer_whatever_their_order(plan, agent, party):
+def test_texts_of_a_killed_relay_keep_their_product_and_customer_whatever_their_order(
+    make_program, agent, make_host
+):
     customers = [{"name": "acme"}, {"name": "bell"}]
-    program = plan(settings=SETTINGS | {"projects": customers})
-    host = party(lambda request: request.hang())
+    program = make_program(settings=SETTINGS | {"projects": customers})
+    host = make_host(lambda request: request.hang())
     agent.list(host.address, status="leaving")
     client = program.start()
     assert client.ask("SUBMIT", "k1", "t1", "c=charge,t=bell,d=9000,k=5c0f,dest=1", "x") == "+OK"
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 from test_crossings import Running, until
 from test_parts import Wire
 
@@ -166,7 +166,7 @@
     def end(self):
         self.over.set()
         for each in self.threads:
-            each.join(WAIT)
+            each.join(WAIT_TIMEOUT)
         for key in list(self.selector.get_map().values()):
             key.fileobj.close()
         self.selector.close()
@@ -182,10 +182,10 @@
 
 
 def test_under_a_crowd_that_comes_again_texts_are_answered_and_few_connections_come_in_a_turn(
-    descriptors, plan, agent, party
+    descriptors, make_program, agent, make_host
 ):
     """A turn of the reactor once took 20 connections more each time, each closed only after it."""
-    host, program = party(), plan(limits={"disk_mb": 3, "sockets": 2 * TABLE})
+    host, program = make_host(), make_program(limits={"disk_mb": 3, "sockets": 2 * TABLE})
     agent.list(host.address)
     program.start().socket.close()
     crowd = Crowd(program, 3 * TABLE)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import HOST, NOW, Bench, S
+from conftest import HOST, NOW, PolicyHarness, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_crossings import Running
@@ -537,7 +537,7 @@
 def on_demand(policy_settings):
     """A module that is told of destinations as it meets them."""
     policy_settings.hosts_on_demand = True
-    return Bench(Policy(policy_settings, NOW))
+    return PolicyHarness(Policy(policy_settings, NOW))
 
 
 def forgotten(relay, now):
@@ -656,8 +656,8 @@
 # The program.
 
 
-def test_numbers_over_65535_and_lists_over_a_megabyte_are_served(program, agent, party):
-    host = party()
+def test_numbers_over_65535_and_lists_over_a_megabyte_are_served(program, agent, make_host):
+    host = make_host()
     for number in range(9000):
         agent.list("127.0.0.1:1", f"s-{number:05}", dest=number)
     agent.list(host.address, "far", dest=180_000_000)
@@ -668,17 +668,19 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_a_relay_without_a_list_takes_nothing_on_and_says_so(plan, agent, party):
+def test_a_relay_without_a_list_takes_nothing_on_and_says_so(make_program, agent, make_host):
     agent.act = lambda request: (200, b'{"index": 1, "snapshot": true, "endpoints": [{"name"')
     agent.reply = agent.act
-    program = plan(list_ms=50)
+    program = make_program(list_ms=50)
     client = program.start()
-    assert client.submit("t1") == "-BUSY" and "no list" in program.says("event=no-list")
+    assert client.submit("t1") == "-BUSY" and "no list" in program.wait_for_log("event=no-list")
 
 
-def test_a_restart_serves_from_the_folder_s_copy_while_the_catalog_is_silent(plan, agent, party, clock):
-    host = party()
-    program = plan(list_ms=50)
+def test_a_restart_serves_from_the_folder_s_copy_while_the_catalog_is_silent(
+    make_program, agent, make_host, clock
+):
+    host = make_host()
+    program = make_program(list_ms=50)
     ledger = SimpleNamespace(beside=False, leave_room=lambda size: True)
     source = Catalog(
         clock,
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -6,14 +6,14 @@
 import time
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 
 
 class Caller:
     """An operator on one connection of the door."""
 
     def __init__(self, address):
-        self.socket = socket.create_connection(address, timeout=WAIT)
+        self.socket = socket.create_connection(address, timeout=WAIT_TIMEOUT)
         self.lines = self.socket.makefile("rb")
 
     def call(self, line: bytes | str) -> str:
@@ -22,9 +22,9 @@
 
 
 @pytest.fixture
-def door(plan):
+def door(make_program):
     """A relay with a door; it is started by the test."""
-    program = plan()
+    program = make_program()
     with socket.create_server((program.address, 0)) as spare:
         port = spare.getsockname()[1]
     program.file.write_text(
@@ -34,8 +34,8 @@
     return program
 
 
-def test_each_call_is_answered_and_each_bad_one_gets_an_error_on_a_usable_connection(door, agent, party):
-    agent.list(party().address, "s-1")
+def test_each_call_is_answered_and_each_bad_one_gets_an_error_on_a_usable_connection(door, agent, make_host):
+    agent.list(make_host().address, "s-1")
     door.start()
     caller = Caller(door.door)
     assert caller.call("STATUS").startswith("+OK serving")
@@ -56,8 +56,8 @@
     assert Caller(door.door).call("STATUS").startswith("+OK")
 
 
-def test_a_host_suspended_twice_is_drained_until_one_restore(door, agent, party):
-    first, second = party(), party()
+def test_a_host_suspended_twice_is_drained_until_one_restore(door, agent, make_host):
+    first, second = make_host(), make_host()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
     client = door.start()
@@ -67,15 +67,15 @@
     for number in range(4):
         assert client.submit(f"t{number}") == "+OK"
         assert second.next().headers["X-Txn"] == f"t{number}"
-    assert first.asked.empty()
+    assert first.requests.empty()
     assert json.loads((door.state / "out").read_text()) == {"s-1": 2}
     assert caller.call("RESTORE s-1") == "+OK s-1 back"
     assert json.loads((door.state / "out").read_text()) == {}
 
 
 @pytest.mark.parametrize("told", [0, 1])
-def test_a_host_suspended_at_one_process_of_an_upgrade_is_drained_by_both(door, agent, party, told):
-    first, second = party(), party()
+def test_a_host_suspended_at_one_process_of_an_upgrade_is_drained_by_both(door, agent, make_host, told):
+    first, second = make_host(), make_host()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
     client = door.start()
@@ -90,12 +90,12 @@
         callers = Caller(door.door), Caller((door.address, port))
         assert callers[told].call("SUSPEND s-1").startswith("+OK")
         time.sleep(1.0)  # from then on it holds, by the operators' page
-        while not first.asked.empty():
-            first.asked.get()
+        while not first.requests.empty():
+            first.requests.get()
         for number in range(30):
             assert door.client().submit(f"t{number + 1}") == "+OK"
             assert second.next().headers["X-Txn"]
-        assert first.asked.empty()
+        assert first.requests.empty()
         assert callers[1 - told].call("SUSPEND s-2").startswith("+OK")
         assert callers[1 - told].call("RESTORE s-1").startswith("+OK")
         time.sleep(1.0)
@@ -103,24 +103,24 @@
         while first.next().headers["X-Txn"] != "last":
             pass
         door.kill()
-        beside.says("event=taken-over")
+        beside.wait_for_log("event=taken-over")
         assert json.loads((door.state / "out").read_text()) == {"s-2": 1}
     finally:
         beside.kill()
 
 
-def test_hosts_out_outlast_the_process(door, agent, party):
-    first, second = party(), party()
+def test_hosts_out_outlast_the_process(door, agent, make_host):
+    first, second = make_host(), make_host()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
     (door.state / "out").write_text('{"s-1": 1}')
     client = door.start()
     assert client.submit("t1") == "+OK" and second.next().headers["X-Txn"] == "t1"
-    assert first.asked.empty()
+    assert first.requests.empty()
 
 
-def test_a_pause_says_no_to_ping_closes_resting_connections_and_resume_says_yes(door, agent, party):
-    host = party()
+def test_a_pause_says_no_to_ping_closes_resting_connections_and_resume_says_yes(door, agent, make_host):
+    host = make_host()
     agent.list(host.address, "s-1")
     client = door.start()
     caller = Caller(door.door)
@@ -132,7 +132,7 @@
     assert door.client().ask("PING") == "+PONG"
 
 
-def test_a_new_process_serves_beside_the_old_and_takes_over_what_it_owed(program, agent, party):
+def test_a_new_process_serves_beside_the_old_and_takes_over_what_it_owed(program, agent, make_host):
     asked = []
 
     def reply(request):
@@ -142,7 +142,7 @@
             return None
         return (200,)
 
-    host = party(reply)
+    host = make_host(reply)
     agent.list(host.address, "s-1")
     client = program.start()
     assert client.submit("t1", product="report") == "+OK"
@@ -151,9 +151,9 @@
     try:
         twin.start()  # same file: the same address and folder
         program.kill()  # as the old one is at the latest
-        assert "adopted=1" in twin.says("event=taken-over")
+        assert "adopted=1" in twin.wait_for_log("event=taken-over")
         assert twin.client().submit("t2") == "+OK"
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_TIMEOUT
         while not {"t1", "t2"} <= set(asked) and time.monotonic() < until:
             host.next()
         assert {"t1", "t2"} <= set(asked)
@@ -169,18 +169,18 @@
         return "reset"
 
 
-def test_an_old_process_told_to_stop_leaves_new_clients_to_its_successor(plan, agent, party):
-    agent.list(party().address, "s-1")
-    program = plan(stop_least_ms=3000)  # so that it is still there for the clients that come
+def test_an_old_process_told_to_stop_leaves_new_clients_to_its_successor(make_program, agent, make_host):
+    agent.list(make_host().address, "s-1")
+    program = make_program(stop_least_ms=3000)  # so that it is still there for the clients that come
     program.start()
     twin = copy.copy(program)
     twin.process = None
     try:
         twin.start()
         program.terminate()
-        assert "handed_over=true" in program.says("event=stopping")
+        assert "handed_over=true" in program.wait_for_log("event=stopping")
         answers = [ping(program) for _ in range(20)]
         assert "-ERR stopping" not in answers and answers.count("+PONG") >= 18
-        assert program.process.wait(WAIT) == 0
+        assert program.process.wait(WAIT_TIMEOUT) == 0
     finally:
         twin.kill()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 from faults.flow import Flow, drain
 
 from limelatch.relay.clients import ACCEPTS_MOST
@@ -40,8 +40,8 @@
 
 
 @pytest.fixture
-def flow(faulty, agent, party):
-    made = Flow(faulty(), agent, party)
+def flow(make_faulty_program, agent, make_host):
+    made = Flow(make_faulty_program(), agent, make_host)
     made.start()
     return made
 
@@ -74,9 +74,11 @@
 
 @pytest.mark.parametrize("place", ["clients", "hosts", "agent"])
 @pytest.mark.parametrize("call", ["recv", "send"])
-def test_reads_and_writes_that_come_short_change_nothing(faulty, faults, agent, party, place, call):
+def test_reads_and_writes_that_come_short_change_nothing(
+    make_faulty_program, faults, agent, make_host, place, call
+):
     """A byte a call, from the start on: the list, the watch, commands, calls, answers and notices."""
-    flow = Flow(faulty(), agent, party)
+    flow = Flow(make_faulty_program(), agent, make_host)
     rule = faults.rule(call, most=1, port=port_at(flow, place))
     flow.start()
     for _ in range(9):
@@ -99,7 +101,7 @@
         time.sleep(0.1)
     assert rule.hits < 100 * LONG * 1.5 * (1 if error == errno.ENFILE else ACCEPTS_MOST)
     assert processor_seconds(flow.program) - before < 0.3 * LONG
-    late.socket.settimeout(WAIT)
+    late.socket.settimeout(WAIT_TIMEOUT)
     assert late.ask("PING") == "+PONG"
     flow.settle()
     assert flow.check() == []
@@ -126,8 +128,10 @@
 
 
 @pytest.mark.parametrize("call", ["socket", "bind", "listen", "setsockopt"])
-def test_a_port_that_cannot_be_opened_for_a_moment_delays_a_start(faulty, faults, agent, party, call):
-    made = Flow(faulty(), agent, party)
+def test_a_port_that_cannot_be_opened_for_a_moment_delays_a_start(
+    make_faulty_program, faults, agent, make_host, call
+):
+    made = Flow(make_faulty_program(), agent, make_host)
     faults.fail(call, errno.ENOBUFS, seconds=2.0, port=0 if call == "socket" else made.program.port)
     made.start()
     made.hand_in(within=BACK)
@@ -137,7 +141,7 @@
 
 @pytest.mark.parametrize("name", "ENETUNREACH EHOSTUNREACH ETIMEDOUT ENOMEM ENOBUFS ECONNREFUSED EIO".split())
 def test_a_membership_socket_whose_read_or_write_fails_hears_and_speaks_again(
-    faulty, faults, agent, party, name
+    make_faulty_program, faults, agent, make_host, name
 ):
     """A datagram that nobody could have sent is dropped with a line: it has been read."""
     host = "127.{}.{}.{}".format(*(1 + number % 254 for number in os.urandom(3)))
@@ -146,24 +150,28 @@
         port = spare.getsockname()[1]
     own, other = f"{host}:{port}", f"{host}:1"
     membership = {"on": True, "address": own}
-    flow = Flow(faulty(peers=[own, other], peer_listen=own, membership=membership), agent, party)
+    flow = Flow(
+        make_faulty_program(peers=[own, other], peer_listen=own, membership=membership), agent, make_host
+    )
     flow.start()
-    flow.program.says("event=membership-joined")
+    flow.program.wait_for_log("event=membership-joined")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.sendto(b"noise", (host, port))
-        flow.program.says("event=datagram-dropped")
+        flow.program.wait_for_log("event=datagram-dropped")
         rule = faults.fail("recv", getattr(errno, name), times=3, port=port)
         faults.fail("send", getattr(errno, name), times=3, port=port)
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_TIMEOUT
         while rule.hits < 3 and time.monotonic() < until:
             stranger.sendto(b"noise", (host, port))
             flow.hand_in(within=BACK)
         drain(flow.program.log)
         heard = time.monotonic()
-        while "datagram-dropped" not in "".join(flow.program.said[-20:]) or time.monotonic() < heard + 1.2:
+        while (
+            "datagram-dropped" not in "".join(flow.program.log_lines[-20:]) or time.monotonic() < heard + 1.2
+        ):
             stranger.sendto(b"noise", (host, port))
             flow.hand_in(within=BACK)
-            assert time.monotonic() < heard + WAIT
-        flow.program.says("event=datagram-dropped")
+            assert time.monotonic() < heard + WAIT_TIMEOUT
+        flow.program.wait_for_log("event=datagram-dropped")
     flow.settle()
     assert flow.check() == []
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 from faults.flow import Flow
 
 from limelatch.storage_gate import StorageGate
@@ -22,8 +22,8 @@
 
 
 @pytest.fixture
-def flow(faulty, agent, party):
-    made = Flow(faulty(), agent, party)
+def flow(make_faulty_program, agent, make_host):
+    made = Flow(make_faulty_program(), agent, make_host)
     made.start()
     return made
 
@@ -61,7 +61,7 @@
     hand_in_for(flow, span)
     for _ in range(3):
         flow.hand_in(within=BACK)
-    flow.program.says("event=folder-mended")
+    flow.program.wait_for_log("event=folder-mended")
     held_over_a_kill(flow)
     assert flow.check() == []
 
@@ -99,10 +99,12 @@
     assert text.delivered and text.notice is None and flow.check() == []
 
 
-def test_an_early_end_is_told_only_once_a_restart_would_know_it(faulty, faults, agent, party):
+def test_an_early_end_is_told_only_once_a_restart_would_know_it(
+    make_faulty_program, faults, agent, make_host
+):
     """Told to wait beyond its time, it ends at once; neither outcome nor end is written before the kill, and
     the restart knows of no wait."""
-    flow = Flow(faulty(), agent, party)
+    flow = Flow(make_faulty_program(), agent, make_host)
     flow.host.reply = lambda request: request.answer(429, Retry_After="30")
     flow.start()
     faults.fail("write", errno.EIO, path=LEDGER, skip=2)
@@ -118,8 +120,10 @@
     assert flow.check() == []
 
 
-def test_an_end_before_its_time_waits_for_its_record_and_a_due_one_does_not(faulty, faults, agent, party):
-    flow = Flow(faulty(), agent, party)
+def test_an_end_before_its_time_waits_for_its_record_and_a_due_one_does_not(
+    make_faulty_program, faults, agent, make_host
+):
+    flow = Flow(make_faulty_program(), agent, make_host)
     flow.host.reply = lambda request: (500,) if request.headers["X-Txn"] == "t2" else request.hang()
     flow.start()
     early = flow.hand_in()  # t1, notice: out at a host that hangs until its time is up
@@ -159,9 +163,9 @@
     flow.host.reply = flow._called
     rule = faults.fail(call, getattr(errno, name), path="state", seconds=1.5)
     old.kill()
-    old.wait(WAIT)
+    old.wait(WAIT_TIMEOUT)
     flow.client = None
-    flow.program.says("event=taken-over")
+    flow.program.wait_for_log("event=taken-over")
     rule.end()
     for _ in range(3):
         flow.hand_in(within=BACK)
@@ -182,8 +186,8 @@
     before = {each: each.read_bytes() for each in flow.program.state.iterdir() if each.is_file()}
     faults.fail(call, getattr(errno, name), path="state" if call == "flock" else LEDGER)
     flow.program.launch()
-    assert flow.program.process.wait(WAIT) == 2
-    told = "".join(flow.program.said[-3:])
+    assert flow.program.process.wait(WAIT_TIMEOUT) == 2
+    told = "".join(flow.program.log_lines[-3:])
     assert (
         call in told and "state" in told and errno.errorcode[getattr(errno, name)] in told or "Errno" in told
     )
@@ -203,7 +207,7 @@
     flow.restart()
     assert flow.client.submit("t0", d=300) in ("+OK", "-BUSY 2000")
     threading.Event().wait(0.5)
-    assert flow.host.asked.empty() and flow.check() == []
+    assert flow.host.requests.empty() and flow.check() == []
 
 
 def test_a_torn_tail_that_cannot_be_cut_at_a_start_is_cut_before_the_first_write(flow, faults):
@@ -225,19 +229,19 @@
 @pytest.mark.parametrize("call, name", OTHER_CELLS)
 def test_the_folder_s_other_files_fail_without_harm(flow, faults, agent, path, call, name):
     """Both are written meanwhile: the wall clock is stepped, a host comes. A restart finds the timeline."""
-    watch = agent.watches.get(timeout=WAIT)
+    watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     rules = [faults.fail(each, getattr(errno, name), path=path) for each in {call, "unlink"}]
     faults.step(5)
     agent.list("127.0.0.1:1", "s-9", dest=9)
     agent.tell(watch)
-    flow.program.says("event=clock-stepped")
+    flow.program.wait_for_log("event=clock-stepped")
     for _ in range(3):
         flow.hand_in()
     for rule in rules:
         rule.end()
     flow.program.kill()
     flow.restart()
-    assert "by=same-boot" in "".join(flow.program.said[-4:])
+    assert "by=same-boot" in "".join(flow.program.log_lines[-4:])
     flow.hand_in(within=BACK)
     flow.settle()
     assert flow.check() == []
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 
 from limelatch.configuration import ConfigurationError
 from limelatch.configuration.model import Falls
@@ -354,12 +354,12 @@
         text=True,
         env=os.environ | {"TMPDIR": str(tmp_path)},
     )
-    until = time.monotonic() + WAIT
+    until = time.monotonic() + WAIT_TIMEOUT
     while not any(each.stat().st_size > 5000 for each in tmp_path.glob("limelatch-lab-*/load.part")):
         assert time.monotonic() < until and process.poll() is None
         time.sleep(0.05)
     process.send_signal(signal.SIGINT)
-    assert process.wait(WAIT) == 130, process.stderr.read()
+    assert process.wait(WAIT_TIMEOUT) == 130, process.stderr.read()
     process.stdout.close(), process.stderr.close()
     (record,) = tmp_path.glob(f"*{rec.SUFFIX}")
     figures = figures_of(record)
@@ -461,9 +461,9 @@
     assert lab("sweep", path, "--set", "clients.rate=x")[0] == 2
 
 
-def test_the_load_tool_steps_up_until_answers_are_late(plan, agent, party):
+def test_the_load_tool_steps_up_until_answers_are_late(plan, agent, make_host):
     program = plan()
-    agent.list(party().address)
+    agent.list(make_host().address)
     program.start()
     code, out, err = lab(
         "load",
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,6 +1,6 @@
 """What stands beside the design: health, pacing, order of held texts, room."""
 
-from conftest import CHARGE, HOST, NOTICE, NOW, REPORT, ROUTE, TWIN, S
+from conftest import CHARGE, HOST, NOTICE, NOW, REPORT, ROUTE, OTHER_HOST, S
 
 from limelatch.interface import CloseIdle, Listing, LogLine, Nack, Result, Submit, Text, Wake
 from limelatch.policy import GUIDE_TIME_OUT, REFUSED_OFTEN, SICK_SHARE, STALE_ONCE, TIME_OUT, TOLD_SHUT, Call
@@ -73,7 +73,7 @@
         relay.pending(text).due = now
     assert not relay.host().failing
     actions = [each for each in relay.decide(now=now) if isinstance(each, (CloseIdle, Submit))]
-    assert [type(each) for each in actions[:2]] == [CloseIdle, Submit] and actions[1].keep <= 0
+    assert [type(each) for each in actions[:2]] == [CloseIdle, Submit] and actions[1].idle_limit <= 0
     for action in actions[1::2]:
         relay.end(action.text, Result.DELIVERED, now, finished=True, idle=0)
     for _ in range(80):  # calls on new connections: it fades
@@ -109,40 +109,44 @@
     assert relay.host().failing == 0.0 and relay.policy.idle_most[0] < 2 * S
 
 
-def test_connections_are_kept_longer_only_where_no_connect_failed_for_as_long(fleet):
+def test_connections_are_kept_longer_only_where_no_connect_failed_for_as_long(fleet_relay):
     """Kept for 6 s at most, nine of ten calls once paid for a new connection; kept for longer from the start,
     relays killed together filled all tables in their first seconds."""
-    fleet.list(TWIN, dest=2)
-    for now, closed in ((NOW, [CloseIdle(TWIN)]), (NOW + 9 * S, [])):
-        fleet.out(fleet.take(REPORT, dest=2, now=now), Result.DELIVERED, now, finished=True)
-        assert fleet.decide(CloseIdle, now) == closed
-    text = fleet.take(REPORT, now=now)
-    fleet.out(text, Result.CONNECT, now)  # no delivery lately: half a sign of an outage
-    assert 0 < fleet.host().failing < SICK_SHARE and not fleet.host().in_outage
-    assert fleet.decide(CloseIdle, now) == [CloseIdle(TWIN), CloseIdle(HOST)]
-    fleet.out(text, Result.CONNECT, fleet.pending(text).due)  # the second is no table of this relay's making
-    assert fleet.host().in_outage and fleet.policy.idle_most[0] < S
-
-
-def test_one_product_failing_at_one_host_is_no_outage_and_goes_to_the_other(fleet):
+    fleet_relay.list(OTHER_HOST, dest=2)
+    for now, closed in ((NOW, [CloseIdle(OTHER_HOST)]), (NOW + 9 * S, [])):
+        fleet_relay.out(fleet_relay.take(REPORT, dest=2, now=now), Result.DELIVERED, now, finished=True)
+        assert fleet_relay.decide(CloseIdle, now) == closed
+    text = fleet_relay.take(REPORT, now=now)
+    fleet_relay.out(text, Result.CONNECT, now)  # no delivery lately: half a sign of an outage
+    assert 0 < fleet_relay.host().failing < SICK_SHARE and not fleet_relay.host().in_outage
+    assert fleet_relay.decide(CloseIdle, now) == [CloseIdle(OTHER_HOST), CloseIdle(HOST)]
+    fleet_relay.out(
+        text, Result.CONNECT, fleet_relay.pending(text).due
+    )  # the second is no table of this relay's making
+    assert fleet_relay.host().in_outage and fleet_relay.policy.idle_most[0] < S
+
+
+def test_one_product_failing_at_one_host_is_no_outage_and_goes_to_the_other(fleet_relay):
     """An endpoint that left one product unanswered once passed for a hung destination at each relay."""
-    fleet.list(HOST, TWIN)
-    fleet.policy.products[0] = {CHARGE, REPORT}
-    first = fleet.take(REPORT)
-    bad = fleet.out(first)
-    fleet.end(first, Result.TIMEOUT, NOW + 9 * S, host=bad)
-    good, now = TWIN if bad == HOST else HOST, fleet.pending(first).due
-    assert not fleet.host(bad).in_outage and not fleet.host(bad).failing
-    assert fleet.out(first, now=now) == good
+    fleet_relay.list(HOST, OTHER_HOST)
+    fleet_relay.policy.products[0] = {CHARGE, REPORT}
+    first = fleet_relay.take(REPORT)
+    bad = fleet_relay.out(first)
+    fleet_relay.end(first, Result.TIMEOUT, NOW + 9 * S, host=bad)
+    good, now = OTHER_HOST if bad == HOST else HOST, fleet_relay.pending(first).due
+    assert not fleet_relay.host(bad).in_outage and not fleet_relay.host(bad).failing
+    assert fleet_relay.out(first, now=now) == good
     for _ in range(4):
-        assert fleet.out(fleet.take(REPORT, now=now), Result.DELIVERED, now, finished=True) == good
-    fleet.end(first, Result.TIMEOUT, now + 9 * S, host=good)  # a second host: the destination hangs
-    assert fleet.host(good).in_outage and fleet.host(bad).in_outage
+        assert (
+            fleet_relay.out(fleet_relay.take(REPORT, now=now), Result.DELIVERED, now, finished=True) == good
+        )
+    fleet_relay.end(first, Result.TIMEOUT, now + 9 * S, host=good)  # a second host: the destination hangs
+    assert fleet_relay.host(good).in_outage and fleet_relay.host(bad).in_outage
 
 
 def test_of_two_hosts_drawn_the_one_with_an_idle_connection_is_taken(relay):
     """Calls spread over hosts at random once paid for a new connection each, beside an idle one."""
-    relay.list(HOST, TWIN)
+    relay.list(HOST, OTHER_HOST)
     kept = relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     for at in range(1, 6):
         assert relay.out(relay.take(REPORT), Result.DELIVERED, NOW + at * S, finished=True) == kept
@@ -169,17 +173,17 @@
     """Told waits of many relays reach far at a small limit and once looked like an outage."""
     relay.out(relay.take(REPORT), Result.FULL, retry_after=TOLD_SHUT + 1, limit_left=0.0)
     assert not relay.host().in_outage
-    relay.list(TWIN, dest=2)
+    relay.list(OTHER_HOST, dest=2)
     relay.out(relay.take(REPORT, dest=2), Result.FULL, retry_after=TOLD_SHUT + 1)
-    assert relay.host(TWIN).in_outage
+    assert relay.host(OTHER_HOST).in_outage
 
 
 def test_a_route_falls_sick_as_one_but_for_hosts_that_delivered_lately(relay):
     """Each relay once found out host by host that a whole destination was down."""
-    relay.list(TWIN, ROUTE)
+    relay.list(OTHER_HOST, ROUTE)
     relay.host(ROUTE).last_ok = NOW
     relay.policy._failed(NOW, relay.host(), "connect", 1.0)
-    assert [relay.host(name).in_outage for name in (HOST, TWIN, ROUTE)] == [True, True, False]
+    assert [relay.host(name).in_outage for name in (HOST, OTHER_HOST, ROUTE)] == [True, True, False]
 
 
 def test_the_parts_of_the_relays_that_know_add_up_to_what_is_safe(relay):
@@ -194,8 +198,8 @@
 
 def test_a_tick_looks_only_at_destinations_with_texts_waiting(relay):
     """Every tick once visited each destination of the list."""
-    relay.list(TWIN, dest=2)
-    relay.host(TWIN).in_outage, relay.host(TWIN).route.trial_at = True, NOW + S
+    relay.list(OTHER_HOST, dest=2)
+    relay.host(OTHER_HOST).in_outage, relay.host(OTHER_HOST).route.trial_at = True, NOW + S
     relay.take(REPORT, dest=2)
     assert relay.decide(Wake) == [Wake(S)] and list(relay.policy.active) == [2]
     assert not relay.policy.destinations[1].waiting
@@ -237,8 +241,8 @@
     """Replaced hosts of a shut destination were once taken as sound by all relays, and pushed over."""
     relay.policy._failed(NOW, relay.host(), "refused", 1.0)
     relay.list(HOST, listing=Listing.GONE)
-    relay.list(TWIN)
-    assert relay.host(TWIN).in_outage
+    relay.list(OTHER_HOST)
+    assert relay.host(OTHER_HOST).in_outage
 
 
 def test_cuts_in_a_row_without_a_delivery_are_an_outage(relay):
@@ -277,51 +281,53 @@
     assert grown[1] < grown[0] / 2
 
 
-def test_a_refusal_where_no_limit_is_known_paces_the_route_until_deliveries_lift_it(fleet):
+def test_a_refusal_where_no_limit_is_known_paces_the_route_until_deliveries_lift_it(fleet_relay):
     """Hundreds of relays once kept a limit used up by being refused, and knew two calls a second at most."""
-    fleet.out(fleet.take(REPORT), Result.FULL)
-    route, now = fleet.host().route, NOW + 8 * S
-    assert 0 < route.pace < 0.2 and fleet.sent(now) == {} and route.rate(200) == 2
+    fleet_relay.out(fleet_relay.take(REPORT), Result.FULL)
+    route, now = fleet_relay.host().route, NOW + 8 * S
+    assert 0 < route.pace < 0.2 and fleet_relay.sent(now) == {} and route.rate(200) == 2
     for step in [30 * S] * 40 + [S] * 20:
         now += step
-        fleet.out(fleet.take(REPORT, now=now), Result.DELIVERED, now, finished=True)
+        fleet_relay.out(fleet_relay.take(REPORT, now=now), Result.DELIVERED, now, finished=True)
     assert route.pace == 0 and 100 < route.rate(200) < 200
-    text = fleet.take(REPORT, now=now)
-    assert text in fleet.sent(now)
+    text = fleet_relay.take(REPORT, now=now)
+    assert text in fleet_relay.sent(now)
     route.pace = 1.0
-    fleet.end(text, Result.DELIVERED, now, finished=True)
+    fleet_relay.end(text, Result.DELIVERED, now, finished=True)
     assert route.pace > 1.0
 
 
-def test_a_time_out_on_a_kept_connection_is_half_a_sign_of_an_outage(fleet):
+def test_a_time_out_on_a_kept_connection_is_half_a_sign_of_an_outage(fleet_relay):
     """Paths that drop idle connections in silence once made sound destinations pass for hung."""
     for now, sick in ((NOW + 4 * S, False), (NOW + 14 * S, True)):
-        fleet.host().kept, fleet.host().used_at = True, now - 4 * S
-        text = fleet.take(REPORT, now=now)
-        fleet.out(text, Result.TIMEOUT, now, finished=True)
-        assert fleet.host().in_outage is sick and fleet.policy.stale[0] > STALE_ONCE
+        fleet_relay.host().kept, fleet_relay.host().used_at = True, now - 4 * S
+        text = fleet_relay.take(REPORT, now=now)
+        fleet_relay.out(text, Result.TIMEOUT, now, finished=True)
+        assert fleet_relay.host().in_outage is sick and fleet_relay.policy.stale[0] > STALE_ONCE
 
 
-def test_a_text_handed_in_again_paces_a_route_that_this_relay_does_not_know(fleet):
+def test_a_text_handed_in_again_paces_a_route_that_this_relay_does_not_know(fleet_relay):
     """Texts nacked at one relay once kept a limit used up by way of others, which sent them on at once."""
-    fleet.policy.text_accepted(NOW, Text(1, 1, REPORT, NOW + 40 * S, resubmitted=True))
-    assert fleet.sent() == {} and fleet.sent(NOW + 20 * S) == {1: HOST}
+    fleet_relay.policy.text_accepted(NOW, Text(1, 1, REPORT, NOW + 40 * S, resubmitted=True))
+    assert fleet_relay.sent() == {} and fleet_relay.sent(NOW + 20 * S) == {1: HOST}
 
 
-def test_one_of_many_relays_starts_at_its_even_part_and_follows_the_limit_told(fleet, relay):
+def test_one_of_many_relays_starts_at_its_even_part_and_follows_the_limit_told(fleet_relay, relay):
     """Forty relays that each started at the whole limit once used it up by refusals, all day."""
-    for bench, room in ((fleet, (0.1, 0.11)), (relay, (20.0, 20.0))):
+    for bench, room in ((fleet_relay, (0.1, 0.11)), (relay, (20.0, 20.0))):
         route = bench.host().route
         route.credit_at = NOW
         route.learn_limit(20.0, bench.policy.settings.relays)
         bench.out(bench.take(REPORT), Result.DELIVERED, limit_left=1.0, finished=True)
         assert room[0] <= route.pace <= room[1]
-    fleet.host().route.learn_limit(10.0, 200)  # once only refusals told each, late and alone
-    assert 0.05 <= fleet.host().route.pace < 0.06
+    fleet_relay.host().route.learn_limit(10.0, 200)  # once only refusals told each, late and alone
+    assert 0.05 <= fleet_relay.host().route.pace < 0.06
 
 
-def test_one_of_many_relays_saves_up_calls_for_texts_that_come_together(fleet):
-    (route := fleet.host().route).learn_limit(20.0, 200)
+def test_one_of_many_relays_saves_up_calls_for_texts_that_come_together(fleet_relay):
+    (route := fleet_relay.host().route).learn_limit(20.0, 200)
     route.credit_at = NOW
-    fleet.policy._advance(NOW + 60 * S, fleet.host())
-    assert {fleet.take(REPORT, now=NOW + 60 * S) for _ in range(2)} == set(fleet.sent(NOW + 60 * S))
+    fleet_relay.policy._advance(NOW + 60 * S, fleet_relay.host())
+    assert {fleet_relay.take(REPORT, now=NOW + 60 * S) for _ in range(2)} == set(
+        fleet_relay.sent(NOW + 60 * S)
+    )
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -88,7 +88,7 @@
         for relay in self.relays:
             relay.launch()
         for relay in self.relays:
-            relay.says("event=serving")
+            relay.wait_for_log("event=serving")
         self.until(lambda: all(view["alive"] == COUNT for view in self.views()))
 
     def views(self, *without):
@@ -111,18 +111,18 @@
         assert client.submit(f"t{self.count}", body=f"t{self.count}".encode()) == "+OK"
         client.socket.close()
 
-    def delivered(self, party):
+    def delivered(self, host):
         """Every text has come to the host exactly once."""
-        bodies = [party.next().body.decode() for _ in range(self.count)]
+        bodies = [host.next().body.decode() for _ in range(self.count)]
         assert sorted(bodies) == sorted(f"t{number + 1}" for number in range(self.count))
         with pytest.raises(queue.Empty):
-            party.asked.get(timeout=0.2)
+            host.requests.get(timeout=0.2)
 
 
 @pytest.fixture
-def fleet(tmp_path, agent, party, faults):
+def fleet(tmp_path, agent, make_host, faults):
     """The machine of relay 1 has faults that a test may steer."""
-    host = party()
+    host = make_host()
     agent.list(host.address)
     fleet = Fleet(tmp_path, agent)
     fleet.relays[1].environment = faults.environment
@@ -146,7 +146,7 @@
         assert f"first={fleet.peers[1]}:dead" in Caller(fleet.relays[number].door).call("MEMBERS")
         fleet.submit(number)
     fleet.relays[1].launch()
-    fleet.relays[1].says("event=serving")
+    fleet.relays[1].wait_for_log("event=serving")
     fleet.until(lambda: all(view["alive"] == COUNT for view in fleet.views()))
     assert fleet.relays[1].view()["incarnation"] > before
     fleet.submit(1)
@@ -165,9 +165,9 @@
     fleet.delivered(fleet.host)
 
 
-def test_a_process_that_is_gone_is_told_by_its_closed_port_within_5_s(tmp_path, agent, party):
+def test_a_process_that_is_gone_is_told_by_its_closed_port_within_5_s(tmp_path, agent, make_host):
     """Without a network between them, and with the spans as they are by default."""
-    agent.list(party().address)
+    agent.list(make_host().address)
     relays, peers = [], []
     host = "127.{}.{}.{}".format(*(1 + number % 254 for number in os.urandom(3)))
     peers = ["{}:{}".format(*address_of(host, socket.SOCK_DGRAM)) for _ in range(3)]
@@ -189,7 +189,7 @@
         relays[-1].launch()
     try:
         for relay in relays:
-            relay.says("event=serving")
+            relay.wait_for_log("event=serving")
         poll(lambda: all(relay.view()["alive"] == 3 for relay in relays))
         relays[2].kill()
         assert poll(lambda: all(relay.view()["dead"] == 1 for relay in relays[:2])) < 5
@@ -304,8 +304,8 @@
     fleet.delivered(fleet.host)
 
 
-def test_without_membership_the_call_says_so(plan, agent):
-    program = plan()
+def test_without_membership_the_call_says_so(make_program, agent):
+    program = make_program()
     host, port = address_of(program.address, socket.SOCK_STREAM)
     program.file.write_text(
         json.dumps(
--- a/tests/test_order_over_processes.py
+++ b/tests/test_order_over_processes.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 
 import pytest
-from conftest import SETTINGS, WAIT
+from conftest import SETTINGS, WAIT_TIMEOUT
 from test_crossings import until
 
 from limelatch.relay.inspection import look
@@ -29,13 +29,13 @@
 class Host:
     """A host that hangs on some texts and notes when each call comes and when its connection ends."""
 
-    def __init__(self, party, agent) -> None:
+    def __init__(self, make_host, agent) -> None:
         self.hanging: set[str] = set()
         self.refused: dict[str, str] = {}  # texts that are turned away, with the wait that is told
         self.began: dict[str, list[float]] = {}
         self.closed: dict[str, float] = {}  # when the relay gave a hanging call up
         self.came = threading.Condition()
-        self.party = party(self._called)
+        self.party = make_host(self._called)
         agent.list(self.party.address)
 
     def _called(self, request):
@@ -54,14 +54,14 @@
         request.handler.close_connection = True
         return None
 
-    def call(self, text: str, wait: float = WAIT) -> float:
+    def call(self, text: str, wait: float = WAIT_TIMEOUT) -> float:
         """When the first call with the text came."""
         with self.came:
             assert self.came.wait_for(lambda: text in self.began, wait), f"{text} was not sent: {self.began}"
         return self.began[text][0]
 
     def close_of(self, text: str) -> float:
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_TIMEOUT
         while text not in self.closed:
             assert time.monotonic() < until, f"the call with {text} is still out"
             time.sleep(0.005)
@@ -89,7 +89,7 @@
             beside.configure_file(**more)
         self.made.append(beside)
         beside.launch()
-        beside.says("event=serving")
+        beside.wait_for_log("event=serving")
         return beside
 
     def client_of_new(self):
@@ -110,18 +110,18 @@
 
 
 @pytest.fixture
-def relay(plan, agent):
+def relay(make_program, agent):
     relay = Relay(
-        plan(settings=RESTING, stop_least_ms=50, client_idle_ms=RESTS_MOST, log_level="debug"), agent
+        make_program(settings=RESTING, stop_least_ms=50, client_idle_ms=RESTS_MOST, log_level="debug"), agent
     )
     yield relay
     relay.end()
-    print("".join(line for each in relay.made for line in each.said))
+    print("".join(line for each in relay.made for line in each.log_lines))
 
 
 @pytest.fixture
-def host(party, agent):
-    return Host(party, agent)
+def host(make_host, agent):
+    return Host(make_host, agent)
 
 
 def charge(client, text, valid=LONG):
@@ -147,9 +147,11 @@
     assert rested(host, "t2", closed) >= 0
 
 
-def test_calls_that_an_old_process_cuts_as_it_ends_have_their_keys_rest(plan, agent, host):
+def test_calls_that_an_old_process_cuts_as_it_ends_have_their_keys_rest(make_program, agent, host):
     """Its end closes their connections; what it still writes of them must tell the rest."""
-    relay = Relay(plan(settings=RESTING, stop_least_ms=50, stop_ms=400, client_idle_ms=RESTS_MOST), agent)
+    relay = Relay(
+        make_program(settings=RESTING, stop_least_ms=50, stop_ms=400, client_idle_ms=RESTS_MOST), agent
+    )
     try:
         host.hanging = {"t1"}
         charge(relay.start(), "t1")
@@ -245,7 +247,7 @@
     closed = host.close_of("t1")
     assert relay.agent.notice()["ref"] == "t1"
     relay.program.kill()
-    second.says("event=taken-over")
+    second.wait_for_log("event=taken-over")
     relay.upgrade()
     charge(relay.client_of_new(), "t2")
     assert rested(host, "t2", closed) >= 0
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,6 +1,6 @@
 """The design's path: bucket, waits, window, caps."""
 
-from conftest import HOST, NOW, REPORT, TWIN, S
+from conftest import HOST, NOW, REPORT, OTHER_HOST, S
 
 from limelatch.interface import Nack, Result, Submit
 from limelatch.policy import BASE, CAP, TOKEN, TOKEN_BUCKET_SIZE
@@ -73,16 +73,16 @@
 
 
 def test_slots_are_never_passed(relay):
-    relay.list(TWIN, dest=2)
+    relay.list(OTHER_HOST, dest=2)
     for dest in (1, 2):
-        relay.host(HOST if dest == 1 else TWIN).route.window = 6
+        relay.host(HOST if dest == 1 else OTHER_HOST).route.window = 6
         for _ in range(10):
             relay.take(REPORT, dest=dest)
     assert len(relay.decide(Submit)) == 8
 
 
 def test_texts_share_a_call_up_to_the_kind_of_destination(relay):
-    relay.list(TWIN, dest=3, kind=1)
+    relay.list(OTHER_HOST, dest=3, kind=1)
     for _ in range(7):
         relay.take(REPORT, dest=3)
     assert len(relay.decide(Submit)) == 7 and relay.policy.slots_used == 2
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,7 +10,7 @@
 import time
 
 import pytest
-from conftest import SETTINGS, WAIT
+from conftest import SETTINGS, WAIT_TIMEOUT
 
 from limelatch.relay.inspection import look
 
@@ -19,8 +19,8 @@
     request.hang()
 
 
-def test_a_text_goes_out_as_it_came_and_is_delivered(program, agent, party):
-    host = party()
+def test_a_text_goes_out_as_it_came_and_is_delivered(program, agent, make_host):
+    host = make_host()
     agent.list(host.address)
     client = program.start()
     assert client.ask("PING") == "+PONG"
@@ -30,12 +30,12 @@
     assert (call.path, call.body, call.headers["X-Txn"]) == ("/v1/messages", body, "t1")
     assert call.headers["Idempotency-Key"] == "5c0f6e1a" and call.headers["X-Remaining"].endswith("m")
     assert client.submit("t2") == "+OK" and host.next().headers["X-Txn"] == "t2"
-    assert host.asked.empty() and agent.notices.empty()
+    assert host.requests.empty() and agent.notices.empty()
 
 
-def test_a_told_wait_is_heeded_by_every_text(plan, agent, party):
-    program = plan(settings=SETTINGS | {"familyInfo": {"slots": 1}})
-    host = party(lambda request: None)
+def test_a_told_wait_is_heeded_by_every_text(make_program, agent, make_host):
+    program = make_program(settings=SETTINGS | {"familyInfo": {"slots": 1}})
+    host = make_host(lambda request: None)
     agent.list(host.address)
     client = program.start()
     client.submit("t1")
@@ -48,8 +48,8 @@
     assert min(call.at for call in calls) - told >= 0.6
 
 
-def test_what_was_reset_and_may_not_run_twice_ends_by_a_notice_until_it_is_heard(program, agent, party):
-    host = party(lambda request: request.cut())
+def test_what_was_reset_and_may_not_run_twice_ends_by_a_notice_until_it_is_heard(program, agent, make_host):
+    host = make_host(lambda request: request.cut())
     agent.list(host.address)
     agent.notice_status = 503
     client = program.start()
@@ -57,7 +57,7 @@
     assert agent.notice() == agent.notice() == {"ref": "t1", "result": "dead"}
     agent.notice_status = 204
     agent.notice()
-    assert host.next() and host.asked.empty()
+    assert host.next() and host.requests.empty()
 
 
 def test_a_notice_lost_with_its_connection_goes_again(program, agent):
@@ -71,8 +71,8 @@
     assert agent.notice() == {"ref": "t2", "result": "bounced", "wait_ms": 2000}
 
 
-def test_the_next_text_of_a_key_waits_until_the_notice_is_answered(program, agent, party):
-    host = party(lambda request: request.cut() if request.headers["X-Txn"] == "t1" else (200,))
+def test_the_next_text_of_a_key_waits_until_the_notice_is_answered(program, agent, make_host):
+    host = make_host(lambda request: request.cut() if request.headers["X-Txn"] == "t1" else (200,))
     agent.list(host.address)
     agent.notice_status = 503
     client = program.start()
@@ -80,7 +80,7 @@
     client.submit("t2", "charge", key="k1")
     assert host.next().headers["X-Txn"] == "t1"
     agent.notice(), agent.notice()
-    assert host.asked.empty()
+    assert host.requests.empty()
     agent.notice_status = 204
     assert host.next().headers["X-Txn"] == "t2"
 
@@ -93,17 +93,17 @@
     assert client.submit("t2", d=50) == "-BUSY 2000"
 
 
-def test_texts_of_one_turn_share_a_batch(program, agent, party):
+def test_texts_of_one_turn_share_a_batch(program, agent, make_host):
     held = queue.Queue()
 
     def reply(request):
         if not request.path.endswith(":batch"):
-            held.get(timeout=WAIT)
+            held.get(timeout=WAIT_TIMEOUT)
             return (200,)
         rows = [{"id": row["id"], "state": "delivered"} for row in json.loads(request.body)]
         return 200, json.dumps(rows).encode()
 
-    host = party(reply)
+    host = make_host(reply)
     agent.list(host.address, kind="batching")
     client = program.start()
     for number in range(4):  # the window of a destination is half of eight slots at first
@@ -119,8 +119,8 @@
     assert json.loads(call.body)[0] == {"id": "b0", "body": "YjA=", "key": "5c0f"}
 
 
-def test_a_call_out_at_a_kill_is_not_sent_again_if_it_may_not_run_twice(program, agent, party):
-    host = party(hang)
+def test_a_call_out_at_a_kill_is_not_sent_again_if_it_may_not_run_twice(program, agent, make_host):
+    host = make_host(hang)
     agent.list(host.address)
     client = program.start()
     client.submit("t1", "charge", key="k1")
@@ -131,11 +131,11 @@
     program.start()
     assert agent.notice() == {"ref": "t1", "result": "dead"}
     assert host.next().headers["X-Txn"] == "t2"
-    assert host.asked.empty()
+    assert host.requests.empty()
 
 
-def test_a_call_out_at_a_kill_goes_again_with_its_key_where_a_repeat_is_known(program, agent, party):
-    host = party(hang)
+def test_a_call_out_at_a_kill_goes_again_with_its_key_where_a_repeat_is_known(program, agent, make_host):
+    host = make_host(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice", b"\0body", mark="5c0f6e1a")
     host.next()
@@ -147,7 +147,7 @@
     assert again.body == b"\0body"
 
 
-def test_texts_and_notices_owed_at_a_kill_outlast_it_and_a_torn_tail(program, agent, party):
+def test_texts_and_notices_owed_at_a_kill_outlast_it_and_a_torn_tail(program, agent, make_host):
     agent.notice_status = 503
     agent.list("127.0.0.1:1", status="leaving")
     client = program.start()
@@ -158,37 +158,37 @@
     with open(program.state / "ledger", "ab") as file:
         file.write(b"\0\0\0\x40torn")
     agent.notice_status = 204
-    host = party()
+    host = make_host()
     agent.list(host.address)
     program.start()
     assert agent.notice() == {"ref": "t1", "result": "bounced", "wait_ms": 2000}
     assert host.next().headers["X-Txn"] == "t2"
 
 
-def test_sigterm_lets_calls_finish_and_takes_nothing_new(program, agent, party):
-    host = party(lambda request: None)
+def test_sigterm_lets_calls_finish_and_takes_nothing_new(program, agent, make_host):
+    host = make_host(lambda request: None)
     agent.list(host.address)
     client = program.start()
     client.submit("t1", "charge", key="k1")
     call = host.next()
     program.terminate()
-    program.says("event=stopping")
+    program.wait_for_log("event=stopping")
     assert client.lines.readline() == b""  # closed between requests
     other = program.client()
     assert other.submit("t3").startswith("-BUSY") and other.lines.readline() == b""
     call.answer(200)
-    assert program.process.wait(WAIT) == 0
+    assert program.process.wait(WAIT_TIMEOUT) == 0
     assert agent.notices.empty()
 
 
-def test_sigterm_ends_in_time_with_a_call_out_and_the_text_is_still_owed(plan, agent, party):
-    program = plan(stop_ms=300)
-    host = party(hang)
+def test_sigterm_ends_in_time_with_a_call_out_and_the_text_is_still_owed(make_program, agent, make_host):
+    program = make_program(stop_ms=300)
+    host = make_host(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice")
     host.next()
     program.terminate()
-    assert program.process.wait(WAIT) == 0
+    assert program.process.wait(WAIT_TIMEOUT) == 0
     host.reply = lambda request: (200,)
     program.start()
     assert host.next().headers["X-Txn"] == "t1"
@@ -212,8 +212,8 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_a_peer_that_sends_nonsense_loses_its_connection_and_nothing_else(program, agent, party):
-    host = party(lambda request: request.handler.wfile.write(b"nonsense\r\n\r\n") and None)
+def test_a_peer_that_sends_nonsense_loses_its_connection_and_nothing_else(program, agent, make_host):
+    host = make_host(lambda request: request.handler.wfile.write(b"nonsense\r\n\r\n") and None)
     agent.list(host.address)
     client = program.start()
     bad = program.client()
@@ -224,8 +224,8 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_texts_handed_in_without_waiting_are_answered_in_turn(program, agent, party):
-    host = party()
+def test_texts_handed_in_without_waiting_are_answered_in_turn(program, agent, make_host):
+    host = make_host()
     agent.list(host.address)
     client = program.start()
     for number in range(5):
@@ -252,8 +252,8 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*2\r\n$6\r\nSUB", b"*5\r\n$6\r\nSUBMIT\r\n$60000\r\n"])
-def test_a_client_that_says_nothing_or_half_a_command_is_closed(plan, agent, sent):
-    program = plan(client_command_ms=150)
+def test_a_client_that_says_nothing_or_half_a_command_is_closed(make_program, agent, sent):
+    program = make_program(client_command_ms=150)
     good = program.start()
     bad = program.client()
     bad.socket.sendall(sent)
@@ -261,13 +261,13 @@
     assert good.ask("PING") == "+PONG" and bad.lines.read() == told and good.ask("PING") == "+PONG"
 
 
-def test_a_client_with_no_request_open_is_closed_in_time(plan, agent):
-    client = plan(client_idle_ms=150).start()
+def test_a_client_with_no_request_open_is_closed_in_time(make_program, agent):
+    client = make_program(client_idle_ms=150).start()
     assert client.ask("PING") == "+PONG" and client.lines.read() == b""
 
 
-def test_clients_that_ask_once_and_stay_are_closed_sooner_while_the_table_is_half_full(plan, agent):
-    program = plan(limits={"sockets": 64}, client_idle_ms=8000)
+def test_clients_that_ask_once_and_stay_are_closed_sooner_while_the_table_is_half_full(make_program, agent):
+    program = make_program(limits={"sockets": 64}, client_idle_ms=8000)
     clients = [program.start()] + [program.client() for _ in range(16)]
     assert [client.ask("PING") for client in clients] == ["+PONG"] * 17
     sockets = {client.socket: client for client in clients}
@@ -282,8 +282,8 @@
     assert len(lines) == 8 and all(line.startswith(b"-ERR") for line in lines)
 
 
-def test_half_sent_bodies_are_bounded_together(plan, agent):
-    program = plan(limits={"memory_mb": 1})  # of which an eighth
+def test_half_sent_bodies_are_bounded_together(make_program, agent):
+    program = make_program(limits={"memory_mb": 1})  # of which an eighth
     client = program.start()
     half = b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$2\r\nt1\r\n$20\r\nc=report,d=9000,dest\r\n$60000\r\n"
     large, others = program.client(), [program.client() for _ in range(2)]
@@ -293,46 +293,46 @@
     assert large.lines.read() == b"-BUSY\r\n" and client.ask("PING") == "+PONG"
 
 
-def test_a_full_table_closes_the_connection_that_is_silent_for_longest(plan, agent):
-    program = plan(limits={"sockets": 64})
+def test_a_full_table_closes_the_connection_that_is_silent_for_longest(make_program, agent):
+    program = make_program(limits={"sockets": 64})
     client = program.start()
     others = [program.client() for _ in range(32)]
     assert [other.ask("PING") for other in others[1:]] == ["+PONG"] * 31
     assert client.lines.readline() == b""
 
 
-def test_the_watch_tells_of_drains_and_is_opened_again_at_its_index(program, agent, party):
-    first, second = party(), party()
+def test_the_watch_tells_of_drains_and_is_opened_again_at_its_index(program, agent, make_host):
+    first, second = make_host(), make_host()
     agent.list(first.address)
     client = program.start()
-    watch = agent.watches.get(timeout=WAIT)
+    watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     agent.tell(watch, b"\n")
     agent.list(first.address, status="leaving")
     agent.list(second.address, "s-2")
     agent.tell(watch)
     agent.tell(watch, b"no json\n")
-    again = agent.watches.get(timeout=WAIT)
+    again = agent.watches.get(timeout=WAIT_TIMEOUT)
     assert again[1] == agent.index
     assert client.submit("t1") == "+OK" and second.next().headers["X-Txn"] == "t1"
-    assert first.asked.empty()
+    assert first.requests.empty()
 
 
-def test_sighup_moves_the_watch_and_owed_notices_to_the_new_address(program, agent, party, other_agent):
+def test_sighup_moves_the_watch_and_owed_notices_to_the_new_address(program, agent, make_host, other_agent):
     agent.list("127.0.0.1:1", status="leaving")
-    other_agent.list((host := party()).address, "s-2", dest=2)
+    other_agent.list((host := make_host()).address, "s-2", dest=2)
     agent.notice_status, agent.index = 503, 9  # an index that means nothing to the other
     client = program.start()
-    agent.watches.get(timeout=WAIT)
+    agent.watches.get(timeout=WAIT_TIMEOUT)
     client.submit("t1", d=150)
     assert agent.notice()["ref"] == "t1"
     program.configure(discovery=other_agent.address)
     assert other_agent.notice() == {"ref": "t1", "result": "bounced", "wait_ms": 2000}
-    assert other_agent.watches.get(timeout=WAIT)[1] == 2
+    assert other_agent.watches.get(timeout=WAIT_TIMEOUT)[1] == 2
     assert client.submit("t2", dest=2) == "+OK" and host.next().headers["X-Txn"] == "t2"
 
 
-def test_the_list_held_serves_until_a_new_catalog_has_told_its_own(program, agent, party):
-    host = party()
+def test_the_list_held_serves_until_a_new_catalog_has_told_its_own(program, agent, make_host):
+    host = make_host()
     agent.list(host.address)
     client = program.start()
     with socket.create_server(("127.0.0.1", 0)) as silent:
@@ -341,16 +341,18 @@
         assert client.submit("t1") == "+OK" and host.next().headers["X-Txn"] == "t1"
 
 
-def test_a_bad_configuration_is_logged_with_its_key_and_the_old_one_stays(program, agent, party, other_agent):
-    host = party()
+def test_a_bad_configuration_is_logged_with_its_key_and_the_old_one_stays(
+    program, agent, make_host, other_agent
+):
+    host = make_host()
     client = program.start()
-    watch = agent.watches.get(timeout=WAIT)
+    watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     program.configure(discovery=other_agent.address, limits={"sockets": "many"})
-    assert "limits.sockets" in program.says("event=not-configured")
+    assert "limits.sockets" in program.wait_for_log("event=not-configured")
     agent.list(host.address)
     agent.tell(watch)
     assert client.submit("t1") == "+OK" and host.next().headers["X-Txn"] == "t1"
-    assert other_agent.asked.empty()
+    assert other_agent.requests.empty()
 
 
 def test_a_wrong_key_is_named_on_one_plain_line(tmp_path):
@@ -369,27 +371,29 @@
         [sys.executable, "-m", "limelatch.relay"],
         capture_output=True,
         text=True,
-        timeout=WAIT,
+        timeout=WAIT_TIMEOUT,
         env=os.environ | {"RELAY_CONFIG": str(file)},
     )
     assert done.returncode == 2
     assert done.stderr.count("\n") == 1 and "settings.limits.maxOpen" in done.stderr
 
 
-def test_an_asked_list_is_watched_when_the_module_says_and_again_after_a_failure(plan, agent, party):
+def test_an_asked_list_is_watched_when_the_module_says_and_again_after_a_failure(
+    make_program, agent, make_host
+):
     """One build serves both shapes: with these settings the module says when the catalog is watched."""
-    first, second, rules = party(), party(), SETTINGS["rules"] | {"askEvery": 1000}
+    first, second, rules = make_host(), make_host(), SETTINGS["rules"] | {"askEvery": 1000}
     agent.list(first.address)
-    program = plan(settings=SETTINGS | {"discovery": "subscribe", "rules": rules}, list_ms=50)
+    program = make_program(settings=SETTINGS | {"discovery": "subscribe", "rules": rules}, list_ms=50)
     client = program.start()
-    agent.tell(agent.watches.get(timeout=WAIT), b"no json\n")
-    watch = agent.watches.get(timeout=WAIT)
+    agent.tell(agent.watches.get(timeout=WAIT_TIMEOUT), b"no json\n")
+    watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     agent.list(first.address, status="leaving")
     agent.list(second.address, "s-2")
     agent.tell(watch)
     agent.tell(watch, b"no json\n")  # so that the news before it has been read
-    assert agent.watches.get(timeout=WAIT)[1] == agent.index and client.submit("t1") == "+OK"
-    assert second.next().headers["X-Txn"] == "t1" and first.asked.empty()
+    assert agent.watches.get(timeout=WAIT_TIMEOUT)[1] == agent.index and client.submit("t1") == "+OK"
+    assert second.next().headers["X-Txn"] == "t1" and first.requests.empty()
 
 
 DIGEST = {"name": "digest", "effect": "pure", "deadline": 9000}
@@ -404,24 +408,24 @@
         ({"name": "digest", "effect": "pure"}, "settings.classes[1].deadline: is wanted"),
     ],
 )
-def test_a_broken_new_configuration_leaves_the_settings_whole(program, agent, party, broken, why):
-    agent.list(party().address)
+def test_a_broken_new_configuration_leaves_the_settings_whole(program, agent, make_host, broken, why):
+    agent.list(make_host().address)
     client = program.start()
     program.configure(settings=SETTINGS | {"classes": [SETTINGS["classes"][2], broken]})
-    assert why in program.says("event=not-configured")
+    assert why in program.wait_for_log("event=not-configured")
     assert client.submit("t1", product="digest").startswith("-ERR unknown class")
     assert client.submit("t2", product="charge", key="0007") == "+OK"
 
 
-def test_sighup_takes_new_products_and_open_texts_keep_their_rules(program, agent, party):
+def test_sighup_takes_new_products_and_open_texts_keep_their_rules(program, agent, make_host):
     held = []
-    host = party(lambda request: held.append(request) or request.hang())
+    host = make_host(lambda request: held.append(request) or request.hang())
     agent.list(host.address)
     client = program.start()
     assert client.submit("t1", product="charge", key="0007") == "+OK"
     host.next()  # out, and held there
     program.configure(settings=RETUNED)
-    assert "products=2 submits=4" in program.says("event=configured")
+    assert "products=2 submits=4" in program.wait_for_log("event=configured")
     assert client.submit("t2", product="digest") == "+OK"
     assert client.submit("t3", product="charge").startswith("-ERR unknown class")
     products = {entry.pairs["product"] for entry in look(str(program.state)).entries.values()}
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import HOST, REPORT, Bench, S
+from conftest import HOST, REPORT, PolicyHarness, S
 from test_crossings import Running
 from test_parts import GOOD, Wire
 
@@ -252,7 +252,7 @@
 def sends(policy_settings, start, told, seconds=10):
     """How many calls one of many relays makes at a limit of 40 calls a second, in each second, with work
     enough; the limit is listed, or told by each answer."""
-    bench = Bench(Policy(policy_settings, start))
+    bench = PolicyHarness(Policy(policy_settings, start))
     bench.list(HOST, rate=0.0 if told else 40.0, now=start)
     counts = [0] * seconds
     for step in range(50 * seconds):
@@ -277,7 +277,7 @@
 
 def test_a_limit_told_after_many_calls_finds_no_debt_from_the_time_without_a_pace(policy_settings):
     """Calls made while nothing was known would hold the next ones back for minutes."""
-    bench = Bench(Policy(replace(policy_settings, relays=20), WALL))
+    bench = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
     bench.list(HOST, now=WALL)
     for _ in range(30):
         bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True)
@@ -289,7 +289,7 @@
 
 
 def test_a_pace_learned_anew_does_not_grow_for_the_time_without_one(policy_settings):
-    bench = Bench(Policy(replace(policy_settings, relays=20), WALL))
+    bench = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
     bench.list(HOST, now=WALL)
     route = bench.host().route
     route.limit, route.pace, route.credit, route.credit_at = 0.0, 0.0, 0.0, WALL  # had one, long ago
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,7 @@
 """The six rules, each where it could break."""
 
 import pytest
-from conftest import CHARGE, FAILURES, HOST, NOTICE, NOW, REPORT, ROUTE, TWIN, S
+from conftest import CHARGE, FAILURES, HOST, NOTICE, NOW, REPORT, ROUTE, OTHER_HOST, S
 
 from limelatch.interface import Health, Listing, Nack, TextHistory, Result, Submit, Text, Undeliverable, Watch
 from limelatch.key_order import QueuedText
@@ -42,11 +42,11 @@
 
 
 def test_referenced_repeats_in_its_zone_and_window_only(relay):
-    relay.list(TWIN, zone=1)
+    relay.list(OTHER_HOST, zone=1)
     text = relay.take()
     first = relay.out(text, Result.TIMEOUT, NOW)
     relay.pending(text).due = NOW
-    other = TWIN if first == HOST else HOST
+    other = OTHER_HOST if first == HOST else HOST
     assert not relay.policy._gate(NOW + S, relay.pending(text), relay.host(other))
     assert relay.policy._gate(NOW + S, relay.pending(text), relay.host(first))
     assert not relay.policy._gate(NOW + 10 * S, relay.pending(text), relay.host(first))
@@ -65,8 +65,8 @@
     relay.list(HOST, listing=Listing.DRAINING)
     text = relay.take()
     assert relay.sent() == {}
-    relay.list(TWIN, whole=True)
-    assert relay.sent() == {text: TWIN}
+    relay.list(OTHER_HOST, whole=True)
+    assert relay.sent() == {text: OTHER_HOST}
 
 
 def test_a_host_listed_again_is_used_again(relay):
@@ -79,8 +79,8 @@
 def test_the_outcome_from_a_host_that_is_gone_still_counts(relay):
     text = relay.take(CHARGE)
     relay.out(text)
-    relay.list(TWIN, whole=True)
-    relay.list(TWIN)
+    relay.list(OTHER_HOST, whole=True)
+    relay.list(OTHER_HOST)
     relay.end(text, Result.TIMEOUT)
     assert relay.decide(Undeliverable) == [Undeliverable(text)]
 
@@ -127,7 +127,7 @@
 
 
 def test_a_told_wait_binds_the_whole_destination(relay):
-    relay.list(TWIN)
+    relay.list(OTHER_HOST)
     text = relay.take()
     relay.out(text, Result.FULL, retry_after=2 * S, limit_left=0.0)
     relay.take(REPORT)
@@ -137,10 +137,10 @@
 
 
 def test_a_told_wait_binds_only_its_route_where_routes_are_apart(relay):
-    relay.list(ROUTE, TWIN, dest=2, kind=2)
+    relay.list(ROUTE, OTHER_HOST, dest=2, kind=2)
     relay.host(ROUTE).route.wait_until = NOW + S
     text = relay.take(dest=2)
-    assert relay.sent() == {text: TWIN}
+    assert relay.sent() == {text: OTHER_HOST}
 
 
 def resume(relay, product, history, key=0):
@@ -173,9 +173,9 @@
 
 
 def test_a_repeat_after_a_restart_keeps_to_window_and_group(relay):
-    relay.list(TWIN, zone=1)
+    relay.list(OTHER_HOST, zone=1)
     text = resume(relay, NOTICE, TextHistory(1, NOW - 8 * S, 1, out=True))
-    assert relay.sent() == {text: TWIN}
+    assert relay.sent() == {text: OTHER_HOST}
     late = resume(relay, NOTICE, TextHistory(1, NOW - 11 * S, 1, out=True))
     assert relay.decide(Undeliverable) == [Undeliverable(late)]
 
@@ -218,25 +218,30 @@
     assert len(relay.sent(NOW + 3 * S)) == 1
 
 
-def test_an_asked_list_is_asked_for_at_random_and_again_after_each_failure(fleet, relay):
+def test_an_asked_list_is_asked_for_at_random_and_again_after_each_failure(fleet_relay, relay):
     """A relay that never asked was taken as told of drains, and sent to hosts that were gone."""
-    now, waits = fleet.policy.ask_at, set()
-    assert NOW <= now < NOW + 10 * S and not fleet.decide(Watch, now - 1)
+    now, waits = fleet_relay.policy.ask_at, set()
+    assert NOW <= now < NOW + 10 * S and not fleet_relay.decide(Watch, now - 1)
     for _ in range(6):
-        assert fleet.decide(Watch, now) and not fleet.decide(Watch, now)
-        fleet.policy.list_failed(now)
-        waits.add(fleet.policy.ask_at - now)
-        now = fleet.policy.ask_at
-    assert 0 <= min(waits) and max(waits) < 10 * S and len(waits) > 3 and fleet.sent(now) == {}
+        assert fleet_relay.decide(Watch, now) and not fleet_relay.decide(Watch, now)
+        fleet_relay.policy.list_failed(now)
+        waits.add(fleet_relay.policy.ask_at - now)
+        now = fleet_relay.policy.ask_at
+    assert 0 <= min(waits) and max(waits) < 10 * S and len(waits) > 3 and fleet_relay.sent(now) == {}
     relay.policy.list_failed(NOW)  # of a pushed one
-    assert not relay.decide(Watch, NOW + 100 * S) and fleet.out(fleet.take(REPORT, now=now), now=now) == HOST
+    assert (
+        not relay.decide(Watch, NOW + 100 * S)
+        and fleet_relay.out(fleet_relay.take(REPORT, now=now), now=now) == HOST
+    )
 
 
-def test_a_text_that_its_route_cannot_take_in_time_is_answered_at_once(fleet):
+def test_a_text_that_its_route_cannot_take_in_time_is_answered_at_once(fleet_relay):
     """Texts were once held at a paced route until their validity ended, though none could be sent before."""
-    fleet.out(fleet.take(REPORT, valid=90 * S), Result.FULL)
-    text, later = fleet.take(REPORT, valid=8 * S), fleet.take(REPORT, valid=40 * S)
-    assert fleet.decide((Nack, Undeliverable)) == [Nack(text, 2 * S)] and later in fleet.policy.texts
+    fleet_relay.out(fleet_relay.take(REPORT, valid=90 * S), Result.FULL)
+    text, later = fleet_relay.take(REPORT, valid=8 * S), fleet_relay.take(REPORT, valid=40 * S)
+    assert (
+        fleet_relay.decide((Nack, Undeliverable)) == [Nack(text, 2 * S)] and later in fleet_relay.policy.texts
+    )
 
 
 def test_a_key_open_in_the_process_before_an_upgrade_waits_and_its_text_goes_first(relay):
@@ -266,10 +271,12 @@
 
 def test_an_outage_that_the_other_process_found_is_known_here(relay):
     """In an upgrade: a returning host is not pushed over by a process that has seen nothing of its outage."""
-    relay.list(TWIN)
+    relay.list(OTHER_HOST)
     relay.policy.health_from_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
     texts = [relay.take(REPORT) for _ in range(8)]
-    assert relay.host().in_outage and relay.host(TWIN).in_outage  # one outage takes the hosts of a route
+    assert (
+        relay.host().in_outage and relay.host(OTHER_HOST).in_outage
+    )  # one outage takes the hosts of a route
     assert len(relay.sent(NOW + S // 10)) <= 1  # trials alone
     relay.policy.health_from_sibling(NOW + 2 * S, HOST, Health.WARMING, NOW + 2 * S)
     assert not relay.host().in_outage and relay.host().back_at == NOW + 2 * S
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -9,7 +9,7 @@
 import time
 
 import pytest
-from conftest import SETTINGS, WAIT
+from conftest import SETTINGS, WAIT_TIMEOUT
 from msgspec import structs
 
 from limelatch.relay.anchor_file import AnchorFile
@@ -29,11 +29,13 @@
     return answer
 
 
-def test_a_wall_clock_stepped_back_delays_no_answer_no_repeat_and_no_end(faulty, faults, agent, party):
+def test_a_wall_clock_stepped_back_delays_no_answer_no_repeat_and_no_end(
+    make_faulty_program, faults, agent, make_host
+):
     """The incident's machine n4: 17 s back while a text waits to be tried again, another is out."""
-    program = faulty()
-    host = party(lambda request: (429,) if request.headers["X-Txn"] == "refused" else (200,))
-    silent = party(lambda request: request.hang())
+    program = make_faulty_program()
+    host = make_host(lambda request: (429,) if request.headers["X-Txn"] == "refused" else (200,))
+    silent = make_host(lambda request: request.hang())
     agent.list(host.address)
     agent.list(silent.address, "s-2", dest=2)
     client = program.start()
@@ -75,10 +77,12 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_while_texts_wait_moves_no_end_no_told_wait_and_no_repeat(faulty, faults, agent, party, step):
-    program = faulty()
-    host = party(lambda request: request.answer(429, Retry_After="0.8"))
-    silent = party(hang)
+def test_a_step_while_texts_wait_moves_no_end_no_told_wait_and_no_repeat(
+    make_faulty_program, faults, agent, make_host, step
+):
+    program = make_faulty_program()
+    host = make_host(lambda request: request.answer(429, Retry_After="0.8"))
+    silent = make_host(hang)
     agent.list(host.address)
     agent.list(silent.address, "s-2", dest=2)
     client = program.start()
@@ -93,13 +97,13 @@
     assert again.headers["X-Txn"] == "told" and 0.8 <= again.at - refused.at < 2.5
     ends_in_time(agent, "out", taken, 1.5)
     assert answered(client, "after") == "+OK" and host.next().headers["X-Txn"] == "after"
-    told = program.says("event=clock-stepped")
+    told = program.wait_for_log("event=clock-stepped")
     assert abs(int(re.search(r"by_ms=(-?\d+)", told)[1]) - step * 1000) < 20
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_between_a_kill_and_the_restart_moves_no_text_s_time(faulty, faults, agent, step):
-    program = faulty()
+def test_a_step_between_a_kill_and_the_restart_moves_no_text_s_time(make_faulty_program, faults, agent, step):
+    program = make_faulty_program()
     agent.list("127.0.0.1:1", status="leaving")  # nobody takes texts for this destination
     client = program.start()
     taken = time.monotonic()
@@ -107,14 +111,16 @@
     program.kill()
     faults.step(step)
     program.start()
-    assert "by=same-boot" in next(line for line in program.said[::-1] if "event=clock-resumed" in line)
+    assert "by=same-boot" in next(line for line in program.log_lines[::-1] if "event=clock-resumed" in line)
     ends_in_time(agent, "t1", taken, 2.5)
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_between_a_kill_and_the_restart_moves_no_repeat_window(faulty, faults, agent, party, step):
+def test_a_step_between_a_kill_and_the_restart_moves_no_repeat_window(
+    make_faulty_program, faults, agent, make_host, step
+):
     """Back after the window: a clock that was set back must not have the text repeated."""
-    program, host = faulty(settings=SHORT), party(hang)
+    program, host = make_faulty_program(settings=SHORT), make_host(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice", d=20_000)
     first = host.next()
@@ -124,12 +130,14 @@
     host.reply = lambda request: (200,)
     client = program.start()
     assert agent.notice()["ref"] == "t1"
-    assert client.submit("t2") == "+OK" and host.next().headers["X-Txn"] == "t2" and host.asked.empty()
+    assert client.submit("t2") == "+OK" and host.next().headers["X-Txn"] == "t2" and host.requests.empty()
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_restart_within_the_window_repeats_whatever_the_step(faulty, faults, agent, party, step):
-    program, host = faulty(settings=WIDE), party(hang)
+def test_a_restart_within_the_window_repeats_whatever_the_step(
+    make_faulty_program, faults, agent, make_host, step
+):
+    program, host = make_faulty_program(settings=WIDE), make_host(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice", d=20_000)
     host.next()
@@ -141,8 +149,10 @@
 
 
 @pytest.mark.parametrize("step", [-3600, -3, 3, 3600])
-def test_a_step_between_the_two_processes_of_an_upgrade_moves_no_text_s_time(faulty, faults, agent, step):
-    program = faulty()
+def test_a_step_between_the_two_processes_of_an_upgrade_moves_no_text_s_time(
+    make_faulty_program, faults, agent, step
+):
+    program = make_faulty_program()
     agent.list("127.0.0.1:1", status="leaving")
     client = program.start()
     taken = time.monotonic()
@@ -151,22 +161,22 @@
     faults.step(step)
     program.start()
     old.kill()
-    old.wait(WAIT)
-    program.says("event=taken-over")
+    old.wait(WAIT_TIMEOUT)
+    program.wait_for_log("event=taken-over")
     ends_in_time(agent, "t1", taken, 3.0)
 
 
 @pytest.mark.parametrize("step", [-3600, 3600])
 def test_a_reboot_goes_on_by_the_wall_clock_and_repeats_nothing_that_may_have_run(
-    faulty, faults, agent, party, step
+    make_faulty_program, faults, agent, make_host, step
 ):
     """The wall clock was stepped while the machine was up, and seen to be: it counts for nothing after."""
-    program, host = faulty(settings=SHORT), party(hang)
+    program, host = make_faulty_program(settings=SHORT), make_host(hang)
     agent.list(host.address)
     agent.list("127.0.0.1:1", "s-2", dest=2, status="leaving")
     client = program.start()
     faults.step(step)
-    program.says("event=clock-stepped")
+    program.wait_for_log("event=clock-stepped")
     taken = time.monotonic()
     assert client.submit("held", dest=2, d=3000) == "+OK"
     assert client.submit("ran", "notice", d=20_000) == "+OK"
@@ -181,46 +191,50 @@
     assert agent.notice()["ref"] == "ran"
     ends_in_time(agent, "held", taken, 3.0)
     client = program.client()
-    assert client.submit("new") == "+OK" and host.next().headers["X-Txn"] == "new" and host.asked.empty()
+    assert client.submit("new") == "+OK" and host.next().headers["X-Txn"] == "new" and host.requests.empty()
 
 
 @pytest.mark.parametrize("step", [-3600, 3600])
-def test_a_step_at_sighup_and_in_a_stop_leaves_their_spans(faulty, faults, agent, party, step):
-    program, host = faulty(stop_ms=1500), party(hang)
+def test_a_step_at_sighup_and_in_a_stop_leaves_their_spans(
+    make_faulty_program, faults, agent, make_host, step
+):
+    program, host = make_faulty_program(stop_ms=1500), make_host(hang)
     agent.list(host.address)
     client = program.start()
     faults.step(step)
     program.configure()
-    program.says("event=configured")
+    program.wait_for_log("event=configured")
     assert answered(client, "t1", d=9000) == "+OK"
     host.next()
     program.terminate()
-    program.says("event=stopping")
+    program.wait_for_log("event=stopping")
     began = time.monotonic()
     faults.step(-step)
-    program.says("event=stopped")
+    program.wait_for_log("event=stopped")
     assert time.monotonic() - began < 1.5 + SLACK
-    assert program.process.wait(WAIT) == 0
+    assert program.process.wait(WAIT_TIMEOUT) == 0
     assert time.monotonic() - began < 1.5 + SLACK + ENDS_WITHIN
 
 
 @pytest.mark.parametrize("step", [-3600, 3600])
-def test_a_step_moves_neither_a_drain_nor_the_silence_of_a_client_or_the_catalog(faulty, faults, agent, step):
+def test_a_step_moves_neither_a_drain_nor_the_silence_of_a_client_or_the_catalog(
+    make_faulty_program, faults, agent, step
+):
     with socket.create_server(("127.0.0.1", 0)) as spare:
         door_port = spare.getsockname()[1]
-    program = faulty(operator=f"127.0.0.1:{door_port}", silence_ms=1000)
+    program = make_faulty_program(operator=f"127.0.0.1:{door_port}", silence_ms=1000)
     agent.list("127.0.0.1:1")
     client = program.start()
-    agent.watches.get(timeout=WAIT)
+    agent.watches.get(timeout=WAIT_TIMEOUT)
     half = program.client()
     half.socket.sendall(b"*3\r\n$6\r\nSUB")
     faults.step(step)
     began = time.monotonic()
-    agent.watches.get(timeout=WAIT)  # the silent watch is opened anew
+    agent.watches.get(timeout=WAIT_TIMEOUT)  # the silent watch is opened anew
     assert time.monotonic() - began < 1.0 + SLACK
     assert half.lines.read() == b"-ERR the command did not come whole in its time\r\n"
     assert time.monotonic() - began < 3.5
-    with socket.create_connection(("127.0.0.1", door_port), timeout=WAIT) as operator:
+    with socket.create_connection(("127.0.0.1", door_port), timeout=WAIT_TIMEOUT) as operator:
         operator.sendall(b"PAUSE\n")
         assert operator.recv(100).startswith(b"+OK")
         paused = time.monotonic()
@@ -228,8 +242,8 @@
         assert time.monotonic() - paused < 1.0 + SLACK
 
 
-def test_the_ledger_command_tells_real_spans_on_a_stepped_machine(faulty, faults, agent):
-    program = faulty()
+def test_the_ledger_command_tells_real_spans_on_a_stepped_machine(make_faulty_program, faults, agent):
+    program = make_faulty_program()
     agent.list("127.0.0.1:1", status="leaving")
     assert program.start().submit("t1", d=9000) == "+OK"
     faults.step(3600)
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import WAIT, Agent, Client, Program
+from conftest import WAIT_TIMEOUT, Agent, Client, Program
 from test_crossings import Doorstep, Running, until
 from test_parts import GOOD, Wire
 
@@ -147,7 +147,7 @@
     def end(self):
         self.over.set()
         for each in self.threads:
-            each.join(WAIT)
+            each.join(WAIT_TIMEOUT)
         for key in list(self.selector.get_map().values()):
             key.fileobj.close()
         self.selector.close()
@@ -204,16 +204,18 @@
 
 
 @pytest.mark.parametrize("most, sockets", [(64, 64), (128, 128), (100, 1024)])
-def test_with_idle_clients_at_the_limit_the_list_is_read_and_texts_are_delivered(tight, party, most, sockets):
+def test_with_idle_clients_at_the_limit_the_list_is_read_and_texts_are_delivered(
+    tight, make_host, most, sockets
+):
     """At a limit below the configured one clients once got it all; at the same one bursts did, for a turn."""
-    host, (program, place, crowd) = party(), tight(most, sockets)
+    host, (program, place, crowd) = make_host(), tight(most, sockets)
     answers = {text: hand_in(program, text) for text in map("d{}".format, range(12))}
     for _ in range(TRIES):
-        program.says("event=catalog-lost why=refused")
+        program.wait_for_log("event=catalog-lost why=refused")
     back_at = time.monotonic()
     agent = place.back(host.address)
     try:
-        assert agent.asked.get(timeout=WAIT).at - back_at < TOLD_WITHIN
+        assert agent.requests.get(timeout=WAIT_TIMEOUT).at - back_at < TOLD_WITHIN
         first = host.next()
         assert first.at - back_at < TOLD_WITHIN
         answers |= {text: hand_in(program, text) for text in map("b{}".format, range(12))}
@@ -233,9 +235,9 @@
         agent.shutdown()
 
 
-def next_of(party):
+def next_of(host):
     try:
-        return party.asked.get_nowait()
+        return host.requests.get_nowait()
     except queue.Empty:
         return None
 
@@ -244,7 +246,7 @@
     program = Tight(tmp_path, Place(), SOCKETS_LEAST - 1, 1024)
     program.launch()
     try:
-        assert program.process.wait(WAIT) == 2
+        assert program.process.wait(WAIT_TIMEOUT) == 2
     finally:
         program.kill()
     until(lambda: any("64 descriptors are needed" in line for line in program.lines))
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import SETTINGS, WAIT, S
+from conftest import SETTINGS, WAIT_TIMEOUT, S
 from test_crossings import Running, until
 from test_parts import GOOD
 
@@ -205,9 +205,9 @@
 
 
 @pytest.mark.parametrize("product", ["notice", "anywhere"])
-def test_a_process_killed_within_the_window_repeats_within_it_or_answers(plan, agent, party, product):
+def test_a_process_killed_within_the_window_repeats_within_it_or_answers(plan, agent, make_host, product):
     """On sockets: whether the start is quick enough is the machine's; one of both comes, and never both."""
-    host, program = party(lambda request: request.hang()), plan(settings=SHORT)
+    host, program = make_host(lambda request: request.hang()), plan(settings=SHORT)
     agent.list(host.address)
     program.start().submit("t1", product, d=20_000)
     first = host.next()
@@ -221,12 +221,12 @@
         assert host.next().headers["X-Txn"] == "t2" and agent.notices.empty()
     else:
         assert agent.notice()["result"] == ("dead" if product == "notice" else "bounced")
-        assert host.asked.empty()
+        assert host.requests.empty()
 
 
 @pytest.mark.parametrize("product", ["notice", "anywhere"])
-def test_a_process_back_after_the_window_answers_at_once(plan, agent, party, product):
-    host, program = party(lambda request: request.hang()), plan(settings=SHORT)
+def test_a_process_back_after_the_window_answers_at_once(plan, agent, make_host, product):
+    host, program = make_host(lambda request: request.hang()), plan(settings=SHORT)
     agent.list(host.address)
     program.start().submit("t1", product, d=20_000)
     first = host.next()
@@ -234,10 +234,10 @@
     until(lambda: time.monotonic() > first.at + 1.1 * WINDOW / S)
     host.reply = lambda request: (200,)
     client = program.start()
-    told = agent.notices.get(timeout=WAIT)
+    told = agent.notices.get(timeout=WAIT_TIMEOUT)
     assert told["ref"] == "t1" and told["result"] == ("dead" if product == "notice" else "bounced")
     client.submit("t2", "report")
-    assert host.next().headers["X-Txn"] == "t2" and host.asked.empty()
+    assert host.next().headers["X-Txn"] == "t2" and host.requests.empty()
 
 
 def end_early_unrecorded(life, monkeypatch):
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -134,23 +134,23 @@
     return made
 
 
-def test_two_processes_hold_no_more_descriptors_than_one_relay_may(plan, agent, party):
-    agent.list(party().address)
-    old = plan(limits={"disk_mb": 3, "sockets": SOCKETS})
+def test_two_processes_hold_no_more_descriptors_than_one_relay_may(make_program, agent, make_host):
+    agent.list(make_host().address)
+    old = make_program(limits={"disk_mb": 3, "sockets": SOCKETS})
     old.start()
     clients = crowd(old, SOCKETS)
     new = copy.copy(old)
     new.process = None
     try:
         new.launch()
-        new.says("event=serving")
+        new.wait_for_log("event=serving")
         most = 0
         for _ in range(6):
             clients += crowd(old, SOCKETS // 2)
             most = max(most, descriptors(old, new))
         assert most <= SOCKETS
         old.kill()
-        new.says("event=taken-over")
+        new.wait_for_log("event=taken-over")
         most = 0
         for _ in range(4):
             clients += crowd(new, SOCKETS // 4)
