--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -120,16 +120,17 @@
 
 @dataclass(slots=True)
 class TextHistory:
-    """What an earlier process of this relay did with a text that it took on and still owes its end.
+    """What an earlier process of this relay did with a text that is not finished yet.
 
-    `ran_at` and `ran_zone` say when and where the first submit went that may have run; `out`: one had no
-    outcome yet; `answered`: the text's final answer is given and only waits to be heard."""
+    `first_run_at` and `first_run_zone`: when and where the first submit that may have run was sent.
+    `in_flight`: one submit had no outcome yet. `is_answered`: the final answer has been given and only waits
+    to be acknowledged."""
 
-    submits: int = 0
-    ran_at: int | None = None
-    ran_zone: int | None = None
-    out: bool = False
-    answered: bool = False
+    submit_count: int = 0
+    first_run_at: int | None = None
+    first_run_zone: int | None = None
+    in_flight: bool = False
+    is_answered: bool = False
     in_order: bool | None = None  # as its product was when it was taken on; None: as its product is now
 
 
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -48,7 +48,7 @@
     Mutant(
         "the rest of a call that was out at its process's end",
         "policy.py",
-        "if history.out and held.key:",
+        "if history.in_flight and held.key:",
         "if False:",
     ),
     Mutant(
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -69,15 +69,15 @@
     def text_accepted(self, now: int, text: li.Text, history: li.TextHistory | None = None) -> None:
         history = history or li.TextHistory()
         self.texts[text.id] = PlainText(
-            text, history.submits, now, ran_at=history.ran_at, floor=history.ran_zone
+            text, history.submit_count, now, ran_at=history.first_run_at, floor=history.first_run_zone
         )
         self.waiting[text.id] = None
         heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
         if text.key and self.settings.products[text.product].in_order:
             self.lines.setdefault(text.key, []).append(text.id)
-            if history.out:
+            if history.in_flight:
                 self.rests[text.key] = now + self.settings.key_cooldown
-        if history.answered:
+        if history.is_answered:
             self.over[text.id] = self.texts.pop(text.id).text
             self.waiting.pop(text.id)
 
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -87,7 +87,7 @@
         self.text, self.row, self.submits, self.due, self.found = (
             text,
             row,
-            history.submits,
+            history.submit_count,
             0,
             history is not NO_HISTORY,
         )
@@ -96,7 +96,7 @@
         self.call = self.verdict = None  # the Call that it is out in, its final Action
         self.until = text.valid_until  # too late to send it: its validity period, or its product's window
         self.sla_at = text.valid_until - row.validity_period + row.sla_time
-        self.may_have_run(history.ran_at, history.ran_zone)
+        self.may_have_run(history.first_run_at, history.first_run_zone)
 
     def may_have_run(self, at: int | None, zone: int | None) -> None:
         if self.ran_at is None and at is not None:
@@ -265,10 +265,10 @@
         held = self.texts[text.id] = PendingText(text, self.settings.products[text.product], history)
         if held.key:
             received_at = now if text.received_at is None else text.received_at
-            self.key_order.add(held.key, QueuedText(text.id, received_at, history.submits > 0))
-        if history.out and held.key:
+            self.key_order.add(held.key, QueuedText(text.id, received_at, history.submit_count > 0))
+        if history.in_flight and held.key:
             self.key_order.start_cooldown(held.key, text.id, now + self.settings.key_cooldown)
-        if history.answered:
+        if history.is_answered:
             self.unacknowledged[text.id] = self.texts.pop(text.id)
         elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:
             self._end(now, held)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -152,12 +152,12 @@
 
 
 def test_what_may_have_run_before_a_restart_never_goes_again_if_once_only(relay):
-    text = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, out=True), key=5)
+    text = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, in_flight=True), key=5)
     assert relay.decide() == [Undeliverable(text)]
 
 
 def test_a_key_rests_after_a_call_that_was_out_at_the_restart(relay):
-    first = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, out=True), key=5)
+    first = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, in_flight=True), key=5)
     second = resume(relay, CHARGE, TextHistory(), key=5)
     relay.decide()
     relay.policy.text_finished(NOW, first)
@@ -165,7 +165,7 @@
 
 
 def test_a_notice_owed_from_before_a_restart_keeps_its_place_in_the_key(relay):
-    first = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, answered=True), key=5)
+    first = resume(relay, CHARGE, TextHistory(1, NOW - S, 0, is_answered=True), key=5)
     second = resume(relay, CHARGE, TextHistory(), key=5)
     assert relay.decide(Undeliverable) == [] and relay.sent(NOW + S) == {}
     relay.policy.text_finished(NOW + S, first)
@@ -174,9 +174,9 @@
 
 def test_a_repeat_after_a_restart_keeps_to_window_and_group(relay):
     relay.list(OTHER_HOST, zone=1)
-    text = resume(relay, NOTICE, TextHistory(1, NOW - 8 * S, 1, out=True))
+    text = resume(relay, NOTICE, TextHistory(1, NOW - 8 * S, 1, in_flight=True))
     assert relay.sent() == {text: OTHER_HOST}
-    late = resume(relay, NOTICE, TextHistory(1, NOW - 11 * S, 1, out=True))
+    late = resume(relay, NOTICE, TextHistory(1, NOW - 11 * S, 1, in_flight=True))
     assert relay.decide(Undeliverable) == [Undeliverable(late)]
 
 
