--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -148,7 +148,9 @@
     retry_after: int = 0
     limit_left: float | None = None
     limit_rate: float | None = None
-    idle: int | None = None  # how long its connection had stood idle; 0 if it was new, None if nobody knows
+    idle_time: int | None = (
+        None  # how long its connection had stood idle; 0 if it was new, None if nobody knows
+    )
     unsent: bool = False  # held back as its connection came up: no byte of it went, and no host counts it
 
 
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -48,7 +48,7 @@
     Mutant(
         "the rest of a call that was out at its process's end",
         "policy.py",
-        "if history.in_flight and held.key:",
+        "if history.in_flight and pending.key:",
         "if False:",
     ),
     Mutant(
@@ -66,20 +66,20 @@
     Mutant(
         "the window for repeats",
         "policy.py",
-        "self.until = min(self.until, at + self.row.retry_window)",
+        "self.deadline = min(self.deadline, at + self.product.retry_window)",
         "pass",
     ),
     Mutant(
         "the drain asked about as a connection has come up",
         "policy.py",
-        "ready = held and host and host.listing is Listing.READY and self._has_turn(now, held)",
-        "ready = held and host",
+        "ready = pending and host and host.listing is Listing.READY and self._has_turn(now, pending)",
+        "ready = pending and host",
     ),
     Mutant(
         "the drain asked about in the decision",
         "policy.py",
-        "if done or late or host.listing is not Listing.READY or not self._has_turn(now, held):",
-        "if done or late or not self._has_turn(now, held):",
+        "if is_taken or must_wait or host.listing is not Listing.READY or not self._has_turn(now, pending):",
+        "if is_taken or must_wait or not self._has_turn(now, pending):",
     ),
     Mutant(
         "the lock of the folder",
@@ -108,20 +108,21 @@
     Mutant(
         "once only, after a call that may have run",
         "policy.py",
-        "if held.row.effect is Effect.ONCE_ONLY or now >= held.until or elsewhere:",
-        "if now >= held.until or elsewhere:",
+        "if pending.product.effect is Effect.ONCE_ONLY or now >= pending.deadline or is_other_zone:",
+        "if now >= pending.deadline or is_other_zone:",
     ),
     Mutant(
         "once only, after a restart",
         "policy.py",
-        "elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:",
+        "elif pending.first_run_at is not None and pending.product.effect is Effect.ONCE_ONLY:",
         "elif False:",
     ),
     Mutant(
         "no nack of what may have run",
         "policy.py",
-        "return self.ran_at is None or effect is Effect.RESENDABLE or effect is Effect",
-        "return True or effect is Effect",
+        "self.first_run_at is None\n            or effect is "
+        "Effect.RESENDABLE\n            or effect is Effect",
+        "True\n            or effect is Effect",
     ),
     Mutant(
         "told waits",
@@ -157,15 +158,15 @@
     Mutant(
         "the floor of a repeat",
         "policy.py",
-        "elsewhere = not held.row.retry_anywhere and host.zone != held.zone",
-        "elsewhere = False",
+        "is_other_zone = not pending.product.retry_anywhere and host.zone != pending.first_run_zone",
+        "is_other_zone = False",
     ),
     Mutant(
         "trials of a destination in an outage",
         "policy.py",
         "return (\n                NEVER\n                "
-        "if any(each.in_outage and each.out for each in route.hosts)\n                "
-        "else self._trial_opens(route)\n            )",
+        "if any(each.in_outage and each.calls for each in route.hosts)\n                "
+        "else self._next_trial_time(route)\n            )",
         "return now",
     ),
 )
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -1,16 +1,23 @@
-"""limelatch's decisions: which host gets which text, when, and what a text's final answer is.
-
-One `Policy(settings, now)` a relay: tell it each event, call `decide(now)` and carry out its actions in order
-(limelatch/interface.py; reasons: docs/design/decisions.md). `_plan` sets the wanted state, `_gate` checks
-the rules for every send, `_emit` works out the difference; `may_go` asks again when a connection has come up.
-
-Beside the design (token bucket, jittered waits, delay window, slot caps) stand these mechanisms:
-  1. health by symptom: hosts that mostly fail or do not answer get trials, shared by the relays that know;
-  2. paced warm-up: a host back from an outage gets what is safe if all relays that know of it send too;
-  3. limit pacing: the limit told or listed, else a learned pace; down by refusals, up by what is left of it;
-  4. order of held texts: those that can still make their SLA time first, by revenue at stake;
-  5. room: when the relay is nearly full, held texts with the least at stake are nacked with advice;
-  6. connections: full tables and dead idle ones are told apart from outages, and few are kept idle.
+"""Decides which host gets which text, when, and what the final answer to each text is.
+
+A relay has one `Policy(settings, now)`. The relay calls one of its methods for each event, then
+`decide(now)`, and carries out the returned actions in order. The types are in limelatch/interface.py; the
+reasons are in docs/design/decisions.md. Inside, `_plan` chooses the texts to send, `_is_send_allowed` checks
+the rules before every send, and `_emit` returns the actions; `may_send` checks again when a connection has
+come up.
+
+Besides a token bucket, random backoff, a window of calls and limits on slots there are these mechanisms:
+  1. Health: a host whose calls mostly fail or get no answer is in an outage and gets only trial calls, at a
+     rate that all relays with texts for it share.
+  2. Warm-up: a host back from an outage gets what is safe if all relays that know of the outage send too.
+  3. Pace: calls keep to the host's limit where it is known, else to a pace learned from refusals. A refusal
+     lowers the pace; what is left of the limit raises it.
+  4. Order of waiting texts: those that can still make their SLA time first, then by the revenue at stake.
+  5. Memory: when the relay is nearly full, waiting texts with the least at stake are nacked with advice.
+  6. Connections: full connection tables and reset idle connections are distinguished from outages, and few
+     idle connections are kept.
+
+Times are in the units of limelatch/interface.py (tenths of a millisecond), rates in calls a second.
 """
 
 from __future__ import annotations
@@ -19,7 +26,6 @@
 from collections import defaultdict
 from math import sqrt
 
-from limelatch.random_source import RandomSource
 from limelatch.interface import (
     MS,
     SECOND,
@@ -33,158 +39,296 @@
     Listing,
     LogLine,
     Nack,
-    TextHistory,
+    PolicySettings,
     Product,
     Result,
     Submit,
     SubmitReport,
-    PolicySettings,
     Text,
+    TextHistory,
     TextId,
     Undeliverable,
     Wake,
     Watch,
 )
 from limelatch.key_order import KeyOrder, QueuedText
+from limelatch.random_source import RandomSource
 
-# The design's figures; tokens are counted in tenths.
-TOKEN_BUCKET_SIZE, REFILL, TOKEN = 200, 1, 10
-BASE, CAP, TIME_OUT, GUIDE_TIME_OUT = 600 * MS, 8 * SECOND, 9 * SECOND, 3 * SECOND  # the guide's: few slots
-TOLD_JITTER, RECENT_CALLS, USUAL_AT_FIRST = 150 * MS, 7, 400 * MS  # told waits; median held to the usual
-PERIOD, LAST_MOMENT, NEVER = 20 * MS, 100 * MS, 1 << 62  # ours from here: the timer's least wait; a submit's
-SICK_SHARE, FAIL_STEP, SILENT_STEP = 0.5, 0.3, 0.6  # smoothed share of failures of a sick host, and its steps
-OVERDUE_LEAST, OVERDUE_TIMES = 800 * MS, 4  # a call this late, with no success since, makes a host suspect
-GOOD_LATELY, KEEPERS = 2 * SECOND, 5  # since a delivery that speaks against an outage; more relays than these
-STALE_LEAST, KEEP_PART = 500 * MS, 0.9  # least idle time of connections; part of the hosts' own time
-STALE_STEP, STALE_FADE, STALE_SHARE, STALE_ONCE = 0.05, 0.02, 0.08, 0.02  # of kept connections reset
-LIMIT_USED_UP, TOLD_SHUT, REFUSED_OFTEN = 0.15, 3 * SECOND, 8  # share left; wait, cuts in a row of an outage
-PACE_CUT, PACE_LEAST, PACE_GROWTH, PACE_REST, PACE_BURST, PACE_APART = 0.6, 0.4, 0.05, 300 * MS, 0.4, 1.5
-PACE_STEP, FLOW_SPAN, SERVED_SPAN = 0.05, 5 * SECOND, 20 * SECOND  # growth by a delivery; spans of own rates
-# own rates have faded; age of what only deliveries would undo
-DESTINATION_IDLE_TIME, LEARNED_STATE_LIFETIME = SERVED_SPAN, 600 * SECOND
-PACE_FREE, PACE_LEARN, PACE_ROOM, PACE_SAVED = 4.0, 0.2, 0.02, 2.0  # no limit told; many relays: room
-ASK_PART, ASK_CAP, ASK_BY = 4, 3, 55 * SECOND // 10  # of the time to ask within; from the catalog's last word
-TRIAL_PART, SEEN_BEFORE, RATE_AT_FIRST = 0.7, 5 * SECOND, 2.0  # of what a cold one bears; age; unknown limit
-HELD_UP = 150 * MS  # what a relay may lose between its clock and a repeat's last byte, within the window
-SCARCE, ROOM_LEFT = 0.9, 0.92  # share of the slots for shorter time-outs, of the room for nacks of held texts
-NO_HISTORY = TextHistory()  # of a text that no process had before
-ANSWERED, UNANSWERED = (Result.ERROR, Result.MALFORMED), (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+# Token bucket of a destination, in tenths of a token: a repeat costs one token, a delivery earns a tenth.
+TOKEN_BUCKET_SIZE = 200
+TOKEN_REFILL = 1
+TOKEN_PRICE = 10
+
+# Repeats wait at random up to a bound that doubles with each submit.
+BACKOFF_BASE = 600 * MS
+MAX_BACKOFF = 8 * SECOND
+
+CALL_TIMEOUT = 9 * SECOND
+SHORT_CALL_TIMEOUT = 3 * SECOND  # while slots are scarce, and where a host's usual duration is unknown
+RETRY_AFTER_JITTER = 150 * MS  # spread of the relays' next calls after a Retry-After, at the least
+RECENT_CALL_COUNT = 7  # calls whose median is compared with the usual duration
+INITIAL_CALL_DURATION = 400 * MS  # taken as usual before a call has ended
+MIN_WAKE_INTERVAL = 20 * MS  # between two wake-ups of the timer
+EXPIRY_MARGIN = 100 * MS  # a text with less time left is not sent any more
+NEVER = 1 << 62  # a time that does not come
+
+# Health of a host, by the smoothed share of its calls that fail.
+OUTAGE_FAILURE_SHARE = 0.5  # above it the host is in an outage
+FAILURE_STEP = 0.3  # weight of one call in the share
+SILENCE_STEP = 0.6  # weight of a call without an answer, where nothing else speaks for the host
+MIN_OVERDUE_TIME = 800 * MS  # a call out for longer, with no success since, makes its host suspect
+OVERDUE_DURATION_RATIO = 4  # the same, in multiples of the route's usual duration
+RECENT_SUCCESS_TIME = 2 * SECOND  # a delivery within it speaks against an outage
+
+SMALL_FLEET_SIZE = 5  # relays; larger fleets share limits, trials and connection tables more carefully
+
+# Idle connections that are kept, and the smoothed share of calls on them that are reset ("stale").
+MIN_IDLE_LIMIT = 500 * MS
+IDLE_LIMIT_RATIO = 0.9  # of the time after which hosts close idle connections themselves
+STALE_SHARE_RISE = 0.05  # weight of a call on a kept connection in the share
+STALE_SHARE_DECAY = 0.02  # weight of a call on a new one
+MAX_STALE_SHARE = 0.08  # above it no connections are kept
+MAX_STALE_SHARE_ONCE_ONLY = 0.02  # the same for once-only texts, which a reset may end
+
+# Signs in refusals.
+EXHAUSTED_LIMIT_SHARE = 0.15  # a refusal with less of the limit left is one by the limit
+OUTAGE_RETRY_AFTER = 3 * SECOND  # a longer Retry-After, with the limit not used up, means an outage
+OUTAGE_CUT_COUNT = 8  # so many cuts of the pace in a row do as well
+
+# The pace: calls a second of this relay on a route.
+PACE_CUT_RATIO = 0.6  # of the pace that is left by a refusal
+MIN_PACE_RATIO = 0.4  # of this relay's even part of a known limit
+PACE_GROWTH_RATIO = 0.05  # growth a second, of the pace
+PACE_CUT_INTERVAL = 300 * MS  # refusals of calls that were out together cut the pace once
+PACE_BURST_SECONDS = 0.4  # of the pace that may be saved up
+CLOSED_HOST_CREDIT_SPREAD = 1.5  # calls: all relays are refused by a closed host at the same moment
+PACE_GROWTH_PER_DELIVERY = 0.05  # where the host does not report what is left of its limit
+CALL_RATE_SPAN = 5 * SECOND  # over which this relay's own calls are counted
+DELIVERY_RATE_SPAN = 20 * SECOND  # over which its deliveries are counted
+
+DESTINATION_IDLE_TIME = DELIVERY_RATE_SPAN  # until an idle destination is forgotten: its rates have faded
+LEARNED_STATE_LIFETIME = 600 * SECOND  # of what only deliveries would undo
+
+# The pace where no limit is known, and in large fleets.
+MAX_LEARNED_PACE = 4.0  # calls a second; above it a pace learned from refusals binds no longer
+LEARNED_PACE_GROWTH = 0.2  # by a delivery, where no limit is known
+SPARE_LIMIT_GROWTH = 0.02  # by a delivery, of the share of the limit that is left; in large fleets
+MAX_SAVED_CALLS = 2.0  # in large fleets, while no refusal has come
+
+# When a lost watch of the catalog is asked for again.
+WATCH_RETRY_DIVISOR = 4  # of the time within which relays have to ask
+MAX_WATCH_RETRY_STEPS = 3  # in such parts, however many calls have failed
+WATCH_RETRY_DEADLINE = 55 * SECOND // 10  # after the catalog's last data
+
+# Trials and warm-up.
+TRIAL_RATE_RATIO = 0.7  # of the rate that a cold host bears
+OUTAGE_LEAD_TIME = 5 * SECOND  # of texts before an outage's start whose relays may know of it
+INITIAL_RATE = 2.0  # calls a second of a route whose limit is unknown
+
+# Between the decision and the last byte of a repeat, which must come within the window of its text.
+RETRY_SEND_MARGIN = 150 * MS
+
+SCARCE_SLOTS_SHARE = 0.9  # of the slots in use, from which calls get a shorter timeout
+NACK_THRESHOLD_SHARE = 0.92  # of the texts that the relay may hold; beyond it waiting texts are nacked
+
+NO_HISTORY = TextHistory()  # of a text that no earlier process had
+ANSWERED_RESULTS = (Result.ERROR, Result.MALFORMED)
+UNANSWERED_RESULTS = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
 
 class Call:
-    """One call out at a host: the texts that share it take one slot until all have their outcomes."""
+    """One call in flight at a host: its texts share one slot until each of them has an outcome."""
 
-    def __init__(self, host: Host, sent: int) -> None:
-        self.host, self.sent, self.texts = host, sent, 0
-        apart = 0 if host.out else min(sent - host.used_at, host.gap_most)
-        self.idle, host.gap = apart if host.kept else 0, (host.gap + apart) // 2  # idle: of the connections
+    def __init__(self, host: Host, sent_at: int) -> None:
+        self.host, self.sent_at, self.text_count = host, sent_at, 0
+        gap = 0 if host.calls else min(sent_at - host.last_used_at, host.max_call_gap)
+        # how long the connection had been idle
+        self.idle_time, host.call_gap = gap if host.has_idle_connection else 0, (host.call_gap + gap) // 2
 
 
 class PendingText:
-    """A text that this relay has taken and not finally answered."""
+    """A text that this relay has accepted and not given a final answer."""
 
-    def __init__(self, text: Text, row: Product, history: TextHistory) -> None:
-        self.text, self.row, self.submits, self.due, self.found = (
+    def __init__(self, text: Text, product: Product, history: TextHistory) -> None:
+        self.text, self.product, self.submit_count, self.due_at, self.is_recovered = (
             text,
-            row,
+            product,
             history.submit_count,
             0,
             history is not NO_HISTORY,
         )
-        self.key = text.key if (row.in_order if history.in_order is None else history.in_order) else 0
-        self.ran_at = self.zone = None  # when and where the first submit that may have run was sent
-        self.call = self.verdict = None  # the Call that it is out in, its final Action
-        self.until = text.valid_until  # too late to send it: its validity period, or its product's window
-        self.sla_at = text.valid_until - row.validity_period + row.sla_time
-        self.may_have_run(history.first_run_at, history.first_run_zone)
-
-    def may_have_run(self, at: int | None, zone: int | None) -> None:
-        if self.ran_at is None and at is not None:
-            self.ran_at, self.zone = at, zone
-            if self.row.effect is Effect.REFERENCED:
-                self.until = min(self.until, at + self.row.retry_window)
+        self.key = text.key if (product.in_order if history.in_order is None else history.in_order) else 0
+        # When and to which zone the first submit that may have run was sent.
+        self.first_run_at = self.first_run_zone = None
+        self.call = self.final_action = None  # its Call in flight, its final Action
+        self.deadline = text.valid_until  # of sending: end of its validity period or of its retry window
+        self.sla_deadline = text.valid_until - product.validity_period + product.sla_time
+        self.record_possible_run(history.first_run_at, history.first_run_zone)
+
+    def record_possible_run(self, at: int | None, zone: int | None) -> None:
+        """A submit sent then to that zone may have run; None: none has. The first one counts."""
+        if self.first_run_at is None and at is not None:
+            self.first_run_at, self.first_run_zone = at, zone
+            if self.product.effect is Effect.REFERENCED:
+                self.deadline = min(self.deadline, at + self.product.retry_window)
 
     def may_nack(self) -> bool:
-        effect, anywhere = self.row.effect, self.row.retry_anywhere
-        return self.ran_at is None or effect is Effect.RESENDABLE or effect is Effect.REFERENCED and anywhere
+        """Whether a nack is true: submitting the text again elsewhere has no effect twice."""
+        effect, retry_anywhere = self.product.effect, self.product.retry_anywhere
+        return (
+            self.first_run_at is None
+            or effect is Effect.RESENDABLE
+            or effect is Effect.REFERENCED
+            and retry_anywhere
+        )
 
 
 class Route:
-    """Hosts that share one limit: a whole destination, or one host where routes are apart."""
+    """Hosts that share one limit: a whole destination, or one host where the kind has a limit for each host.
+
+    Holds the window of calls, the pace (calls a second of this relay), the credit (calls saved up by the
+    pace) and the schedule of trials in an outage."""
 
     def __init__(self, window: int) -> None:
-        self.hosts, self.recent = [], []  # each a Host; how long the last calls took
-        self.window, self.halved_at, self.calls, self.usual, self.seen = window, -1, 0, USUAL_AT_FIRST, 0
-        self.limit = self.pace = self.growth = 0.0  # calls a second; 0 while nothing is known
-        self.credit, self.credit_at, self.cut_at, self.cuts = PACE_SAVED, NEVER, 0, 0  # refilled: NEVER yet
-        self.flow, self.flow_at, self.served, self.served_at = 0.0, 0, 0.0, 0  # own calls, deliveries; fading
-        self.wait_until = self.down_at = self.tries = self.trial_at = self.tried_at = self.part = 0  # trials
-
-    def refill(self, now: int, relays: int) -> None:
-        before, passed, self.credit_at = self.pace, max(0, now - self.credit_at) / SECOND, now
+        self.hosts, self.recent_durations = [], []
+        self.window, self.window_halved_at, self.call_count, self.usual_duration, self.duration_count = (
+            window,
+            -1,
+            0,
+            INITIAL_CALL_DURATION,
+            0,
+        )
+        self.limit = self.pace = self.pace_growth = 0.0  # calls a second; 0: unknown, the pace unbounded
+        # credit_updated_at NEVER: no time has been counted yet
+        self.credit, self.credit_updated_at, self.pace_cut_at, self.cut_count = MAX_SAVED_CALLS, NEVER, 0, 0
+        # This relay's own calls and deliveries, counts that fade with time.
+        self.recent_calls, self.recent_calls_at, self.recent_deliveries, self.last_delivery_at = (
+            0.0,
+            0,
+            0.0,
+            0,
+        )
+        # wait_until: end of the wait that the host asked for; the others: its outage and trials
+        self.wait_until = self.outage_since = self.trial_count = self.next_trial_at = self.trial_base_at = (
+            self.trial_spread_percent
+        ) = 0
+
+    def update_pace(self, now: int, relays: int) -> None:
+        """Grow the pace and the credit by the time since the last update."""
+        old_pace, elapsed, self.credit_updated_at = (
+            self.pace,
+            max(0, now - self.credit_updated_at) / SECOND,
+            now,
+        )
         if self.limit:
-            self.growth = PACE_GROWTH * (self.pace + self.limit / relays) / (1 + self.cuts)
-            self.pace = min(self.limit, self.pace + self.growth * passed)
+            self.pace_growth = PACE_GROWTH_RATIO * (self.pace + self.limit / relays) / (1 + self.cut_count)
+            self.pace = min(self.limit, self.pace + self.pace_growth * elapsed)
         else:
-            self.grow(PACE_GROWTH * passed)
-        saved = max(PACE_SAVED if relays > KEEPERS and not self.cuts else 1.0, self.pace * PACE_BURST)
-        self.credit = min(saved, self.credit + (before + self.pace) / 2 * passed)
+            self.grow_pace(PACE_GROWTH_RATIO * elapsed)
+        max_credit = max(
+            MAX_SAVED_CALLS if relays > SMALL_FLEET_SIZE and not self.cut_count else 1.0,
+            self.pace * PACE_BURST_SECONDS,
+        )
+        self.credit = min(max_credit, self.credit + (old_pace + self.pace) / 2 * elapsed)
 
-    def saved_after(self) -> int:
-        """Until a call is saved up, as the pace grows: one saved up unseen would go with the next text."""
+    def time_until_credit(self) -> int:
+        """Time until the credit reaches one call, as the pace grows; 0 where it has.
+
+        Without this wake-up the credit would be noticed only when the next text comes."""
         missing = max(0.0, 1.0 - self.credit) if self.pace else 0.0
-        root = missing and sqrt(self.pace**2 + 2 * self.growth * missing * (self.pace < self.limit))
+        root = missing and sqrt(self.pace**2 + 2 * self.pace_growth * missing * (self.pace < self.limit))
         return 1 + int(2 * missing * SECOND / (self.pace + root)) if missing else 0
 
-    def grow(self, share: float) -> None:
-        """To the limit; learned from refusals alone, past what a relay has a use for it binds no longer."""
+    def grow_pace(self, share: float) -> None:
+        """Raise the pace by a share of itself, up to the limit.
+
+        A pace learned from refusals alone is dropped (0) once it is more than a relay needs."""
         grown = self.pace * (1 + share)
-        self.pace = min(self.limit, grown) if self.limit else grown if grown <= PACE_FREE else 0.0
+        self.pace = min(self.limit, grown) if self.limit else grown if grown <= MAX_LEARNED_PACE else 0.0
 
-    def rate(self, relays: int) -> float:
-        """What it takes from all relays together; where nobody tells, what their like deliveries come to."""
-        return self.limit or max(RATE_AT_FIRST, relays * (self.served - 1) * SECOND / SERVED_SPAN)
+    def total_rate(self, relays: int) -> float:
+        """Calls a second that the route takes from all relays together.
+
+        Where no limit is known: this relay's own deliveries times the number of relays."""
+        return self.limit or max(
+            INITIAL_RATE, relays * (self.recent_deliveries - 1) * SECOND / DELIVERY_RATE_SPAN
+        )
 
     def learn_limit(self, rate: float | None, relays: int) -> None:
-        if rate and rate > 0:  # many: each its even part, less as a limit falls; refusals use it up for all
-            many = relays > KEEPERS
-            scale = rate / self.limit if many and self.limit else 1.0
-            self.limit, self.pace = rate, self.pace * scale or (rate / relays if many else rate)
-
-    def learn_latency(self, took: int) -> bool:
-        """Follow the usual latency by steps; True when recent calls are twice as slow."""
-        self.seen += 1
-        step = abs(took - self.usual) // self.seen if self.seen <= 8 else self.usual >> 6
-        self.usual += step if took > self.usual else -step
-        self.recent = self.recent[1 - RECENT_CALLS :] + [took]
-        slow = len(self.recent) == RECENT_CALLS and sorted(self.recent)[RECENT_CALLS // 2] > 2 * self.usual
-        self.recent = [] if slow else self.recent
-        return slow
+        """Take in a reported limit in calls a second; None or 0 where none was reported.
+
+        In a large fleet each relay starts at its even part of the limit, and lowers its pace as the limit
+        falls: refusals use up the limit for all relays."""
+        if rate and rate > 0:
+            is_large_fleet = relays > SMALL_FLEET_SIZE
+            scale = rate / self.limit if is_large_fleet and self.limit else 1.0
+            self.limit, self.pace = rate, self.pace * scale or (rate / relays if is_large_fleet else rate)
+
+    def record_duration(self, duration: int) -> bool:
+        """Update the usual duration of calls; True when the recent calls took twice as long as usual."""
+        self.duration_count += 1
+        step = (
+            abs(duration - self.usual_duration) // self.duration_count
+            if self.duration_count <= 8
+            else self.usual_duration >> 6
+        )
+        self.usual_duration += step if duration > self.usual_duration else -step
+        self.recent_durations = self.recent_durations[1 - RECENT_CALL_COUNT :] + [duration]
+        is_slow = (
+            len(self.recent_durations) == RECENT_CALL_COUNT
+            and sorted(self.recent_durations)[RECENT_CALL_COUNT // 2] > 2 * self.usual_duration
+        )
+        self.recent_durations = [] if is_slow else self.recent_durations
+        return is_slow
 
 
 class Host:
-    def __init__(self, entry: HostEntry, dest: Destination, route: Route, keep: int) -> None:
+    """One host of a destination: its health, its warm-up and its connections."""
+
+    def __init__(self, entry: HostEntry, destination: Destination, route: Route, max_idle_time: int) -> None:
         self.id, self.zone, self.kind, self.listing = entry.host, entry.zone, entry.kind, entry.listing
-        # out: calls
-        self.dest, self.route, self.out, self.failing, self.in_outage = dest, route, [], 0.0, False
-        self.warm_credit, self.warm_at, self.back_at, self.last_ok = 0.0, 0, None, -GOOD_LATELY
-        self.gap = self.gap_most = keep  # time between calls, as far as hosts keep connections idle
-        self.sibling_told_at = -1  # of the last news of it by the other process of an upgrade
-        self.kept, self.sour, self.used_at = False, {}, 0  # an idle one there; products that fail: when
+        self.destination, self.route, self.calls, self.failure_share, self.in_outage = (
+            destination,
+            route,
+            [],
+            0.0,
+            False,
+        )
+        self.warm_up_credit, self.warm_up_updated_at, self.recovered_at, self.last_success_at = (
+            0.0,
+            0,
+            None,
+            -RECENT_SUCCESS_TIME,
+        )
+        # Smoothed time between calls, and its bound: hosts keep connections idle for no longer.
+        self.call_gap = self.max_call_gap = max_idle_time
+        self.sibling_news_at = -1  # when the other process of an upgrade last found its health
+        # failing_products: when each product last failed here
+        self.has_idle_connection, self.failing_products, self.last_used_at = False, {}, 0
 
-    def overdue(self, now: int) -> bool:
-        """A call is out for too long with no success since: one more a span, lest a silent host fills up."""
-        return bool(self.out) and self.last_ok < self.out[0].sent < now - self.patience()
+    def is_overdue(self, now: int) -> bool:
+        """Whether a call has been in flight for too long with no success since it was sent.
 
-    def patience(self) -> int:
-        return max(OVERDUE_LEAST, OVERDUE_TIMES * self.route.usual)
+        Such a host gets one more call only after each such span, so that it can't take up all slots."""
+        return bool(self.calls) and self.last_success_at < self.calls[0].sent_at < now - self.overdue_after()
+
+    def overdue_after(self) -> int:
+        """Time after which a call in flight makes its host suspect."""
+        return max(MIN_OVERDUE_TIME, OVERDUE_DURATION_RATIO * self.route.usual_duration)
 
 
 class Destination:
-    """One outside receiver: its token bucket, its hosts, and the texts held for it."""
+    """One outside receiver: its token bucket, its hosts, and the texts that wait for it."""
 
     def __init__(self) -> None:
-        self.tokens, self.calls, self.shared, self.look_at, self.rest_at, self.had = (
+        (
+            self.tokens,
+            self.call_count,
+            self.shared_route,
+            self.check_at,
+            self.idle_since,
+            self.outage_text_count,
+        ) = (
             TOKEN_BUCKET_SIZE,
             0,
             None,
@@ -192,595 +336,862 @@
             0,
             0,
         )
-        self.waiting: dict[TextId, PendingText] = {}  # its texts that are not out
+        self.waiting: dict[TextId, PendingText] = {}  # its texts that are in no call
         self.hosts: list[Host] = []
 
 
 class Policy:
+    """The decisions of one relay: takes in events and returns the actions to carry out."""
+
     def __init__(self, settings: PolicySettings, now: int) -> None:
         self.settings, self.random_source = settings, RandomSource(settings.seed)
         self.texts: dict[TextId, PendingText] = {}
-        # finally answered, and the answer is not known to be heard
+        # Their final answer has been given and is not acknowledged yet.
         self.unacknowledged: dict[TextId, PendingText] = {}
         self.hosts: dict[HostId, Host] = {}
         self.destinations: defaultdict[int, Destination] = defaultdict(Destination)
-        self.active: dict[int, Destination] = {}  # those with texts waiting; a tick looks at no others
-        # of this relay: 2 in an upgrade, which both send to a host back from an outage
+        # Those with waiting texts; `decide` looks at no others.
+        self.active_destinations: dict[int, Destination] = {}
+        # Processes of this relay: 2 in an upgrade, when both send to a host in its warm-up.
         self.process_count = 1
-        self.key_order = KeyOrder()  # of texts of products in order, over all processes of the relay
+        self.key_order = KeyOrder()
         self.expiries: list[tuple[int, TextId]] = []
         self.slots_used, self.wake_at, self.stop_at = 0, now, NEVER
-        # of a destination, until it may be forgotten
-        self.rest = DESTINATION_IDLE_TIME if settings.hosts_on_demand else NEVER
-        self.ask_at, self.asked = NEVER, 0  # when to ask for the list; calls for it that failed in a row
+        # Destinations are forgotten only where their hosts are listed again on demand.
+        self.destination_idle_time = DESTINATION_IDLE_TIME if settings.hosts_on_demand else NEVER
+        # When to ask for the host list, and how many calls for it have failed in a row.
+        self.watch_at, self.failed_watch_count = NEVER, 0
         self.list_failed(now, calls=0)
-        # how long connections may stand idle
-        self.max_idle_time = int(settings.connection_idle_limit * KEEP_PART)
-        self.idle_most = [self.max_idle_time // 2 if settings.relays > KEEPERS else NEVER] * len(
-            settings.kinds
-        )  # by kind
-        self.room_at = [now + settings.connection_idle_limit] * len(
-            settings.kinds
-        )  # when no connect has failed until then
-        self.stale = [0.0] * len(
-            settings.kinds
-        )  # smoothed share of calls on kept connections that were reset
-        self.products: list[set[int]] = [set() for _ in settings.kinds]  # that go to each kind
-        self.changed, self.closing, self.log = [], [], []  # texts to act on, hosts, lines
-        self.idle_destinations: dict[int, int] = {}  # destinations that lost a text: when to look at them
+        # How long connections may be idle; by kind of host, where full tables or resets have lowered it.
+        self.max_idle_time = int(settings.connection_idle_limit * IDLE_LIMIT_RATIO)
+        self.max_idle_by_kind = [
+            self.max_idle_time // 2 if settings.relays > SMALL_FLEET_SIZE else NEVER
+        ] * len(settings.kinds)
+        # If no connect fails until then, the hosts' connection tables are taken to have room.
+        # NEVER: a connect has failed.
+        self.room_assumed_at = [now + settings.connection_idle_limit] * len(settings.kinds)
+        # Smoothed share of calls on kept connections that were reset.
+        self.stale_share = [0.0] * len(settings.kinds)
+        self.products_by_kind: list[set[int]] = [set() for _ in settings.kinds]  # products sent to each kind
+        # What the next `_emit` turns into actions.
+        self.changed_texts, self.hosts_to_close, self.log_lines = [], [], []
+        # Destinations of which a text has finished, and when to check whether they can be forgotten.
+        self.idle_destinations: dict[int, int] = {}
 
     def hosts_listed(self, now: int, entries: list[HostEntry], whole: bool, news: bool = True) -> None:
-        """News of the list; what a whole list leaves out is gone. No news: of a destination met anew."""
-        self.asked = 0 if news else self.asked
+        """Take in lines of the host list.
+
+        `whole`: hosts that are not in `entries` are gone. `news` is False where the lines are only those of a
+        destination that was met just now, which says nothing about the watch of the list."""
+        self.failed_watch_count = 0 if news else self.failed_watch_count
         self.key_order.forget_expired_cooldowns(now)
         for host in self.hosts.values() if whole else ():
             host.listing = Listing.GONE
-        for host, entry in [(self._host(entry), entry) for entry in entries]:
+        for host, entry in [(self._host_for(entry), entry) for entry in entries]:
             host.listing = entry.listing
             if self.settings.rates_listed and not host.route.limit:
                 host.route.learn_limit(entry.rate, self.settings.relays)
         for number in (
             list(self.destinations) if whole else dict.fromkeys(entry.destination for entry in entries)
         ):
-            self._sort_hosts(self.destinations[number])
+            self._update_host_groups(self.destinations[number])
 
     def list_failed(self, now: int, heard_at: int = NEVER, calls: int = 1) -> None:
-        """A call for the list failed, or its watch ended, last heard then: ask again, apart and in time."""
+        """A call for the host list failed, or its watch ended; the last data came at `heard_at`.
+
+        Schedules the next call at random, so that the relays of a fleet don't all ask at once, and early
+        enough for the limit `ask_within`."""
         if self.settings.list_asked:
-            self.asked += calls
-            part = self.settings.ask_within // ASK_PART * min(self.asked + 1, ASK_CAP)
-            self.ask_at = now + self.random_source.next_below(min(part, max(0, heard_at + ASK_BY - now)))
+            self.failed_watch_count += calls
+            max_delay = (
+                self.settings.ask_within
+                // WATCH_RETRY_DIVISOR
+                * min(self.failed_watch_count + 1, MAX_WATCH_RETRY_STEPS)
+            )
+            self.watch_at = now + self.random_source.next_below(
+                min(max_delay, max(0, heard_at + WATCH_RETRY_DEADLINE - now))
+            )
 
-    def _sort_hosts(self, dest: Destination) -> None:
-        for host in [each for each in dest.hosts if each.listing is Listing.GONE and not each.out]:
-            dest.hosts.remove(host)
+    def _update_host_groups(self, destination: Destination) -> None:
+        """Drop the hosts that are gone and idle, and group the others by route."""
+        for host in [each for each in destination.hosts if each.listing is Listing.GONE and not each.calls]:
+            destination.hosts.remove(host)
             if self.hosts.get(host.id) is host:  # else it has moved to another destination
                 del self.hosts[host.id]
-        dest.look_at = 0
-        for host in dest.hosts:
-            host.route.hosts = [other for other in dest.hosts if other.route is host.route]
+        destination.check_at = 0
+        for host in destination.hosts:
+            host.route.hosts = [other for other in destination.hosts if other.route is host.route]
 
     def text_accepted(self, now: int, text: Text, history: TextHistory = NO_HISTORY) -> None:
-        """A text from a client or, with its past, from this relay's time before a restart, in its order."""
-        held = self.texts[text.id] = PendingText(text, self.settings.products[text.product], history)
-        if held.key:
+        """A client submitted a text, or a text comes from an earlier process of this relay, with its history.
+
+        Texts of earlier processes are passed in the order in which they were received."""
+        pending = self.texts[text.id] = PendingText(text, self.settings.products[text.product], history)
+        if pending.key:
             received_at = now if text.received_at is None else text.received_at
-            self.key_order.add(held.key, QueuedText(text.id, received_at, history.submit_count > 0))
-        if history.in_flight and held.key:
-            self.key_order.start_cooldown(held.key, text.id, now + self.settings.key_cooldown)
+            self.key_order.add(pending.key, QueuedText(text.id, received_at, history.submit_count > 0))
+        if history.in_flight and pending.key:
+            self.key_order.start_cooldown(pending.key, text.id, now + self.settings.key_cooldown)
         if history.is_answered:
             self.unacknowledged[text.id] = self.texts.pop(text.id)
-        elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:
-            self._end(now, held)
+        elif pending.first_run_at is not None and pending.product.effect is Effect.ONCE_ONLY:
+            self._finish(now, pending)
         else:
-            self._hold(held)
+            self._add_waiting(pending)
             for route in (
                 [host.route for host in self.destinations[text.destination].hosts] if text.resubmitted else ()
             ):
-                if not route.limit and not route.pace and now - route.served_at > FLOW_SPAN:
-                    route.pace, route.credit_at = PACE_CUT * SECOND / FLOW_SPAN, now  # as if refused here
+                if not route.limit and not route.pace and now - route.last_delivery_at > CALL_RATE_SPAN:
+                    # The client was nacked elsewhere: start at the pace after a refusal.
+                    route.pace, route.credit_updated_at = PACE_CUT_RATIO * SECOND / CALL_RATE_SPAN, now
                     route.credit = -self.random_source.next_below(1000) / 1000
 
-    def _hold(self, held: PendingText) -> None:
-        """The text waits for a submit, until it can no longer be sent in time."""
-        dest = self.active[held.text.destination] = self.destinations[held.text.destination]
-        dest.waiting[held.text.id], dest.look_at, dest.had = held, 0, dest.had + (held.submits == 0)
-        heapq.heappush(self.expiries, (held.until - LAST_MOMENT, held.text.id))
+    def _add_waiting(self, pending: PendingText) -> None:
+        """Have the text wait for a submit, until it can no longer be sent in time."""
+        destination = self.active_destinations[pending.text.destination] = self.destinations[
+            pending.text.destination
+        ]
+        destination.waiting[pending.text.id], destination.check_at, destination.outage_text_count = (
+            pending,
+            0,
+            destination.outage_text_count + (pending.submit_count == 0),
+        )
+        heapq.heappush(self.expiries, (pending.deadline - EXPIRY_MARGIN, pending.text.id))
 
     def submit_ended(self, now: int, report: SubmitReport) -> None:
-        if (held := self.texts.get(report.text)) is None or held.call is None:
+        """A submit has its outcome: finish the text, or have it wait for the next submit."""
+        if (pending := self.texts.get(report.text)) is None or pending.call is None:
             return
-        call, host, held.call = held.call, held.call.host, None
-        self._release(now, call)
-        self._learn(now, host, call, report, held.text.product)
-        if not host.out and host.gap > self.idle_most[host.kind]:
-            host.kept = False
-            self.closing.append(host)
-        if report.result in ANSWERED + UNANSWERED:  # it may have run
-            held.may_have_run(call.sent, host.zone)
-            if report.result is not Result.ERROR and held.key:
-                self.key_order.start_cooldown(held.key, held.text.id, now + self.settings.key_cooldown)
+        call, host, pending.call = pending.call, pending.call.host, None
+        self._release_call(now, call)
+        self._learn_from_report(now, host, call, report, pending.text.product)
+        if not host.calls and host.call_gap > self.max_idle_by_kind[host.kind]:
+            host.has_idle_connection = False
+            self.hosts_to_close.append(host)
+        if report.result in ANSWERED_RESULTS + UNANSWERED_RESULTS:  # it may have run
+            pending.record_possible_run(call.sent_at, host.zone)
+            if report.result is not Result.ERROR and pending.key:
+                self.key_order.start_cooldown(pending.key, pending.text.id, now + self.settings.key_cooldown)
         if report.finished:
-            return self._forget(now, held)
-        held.submits -= report.unsent
-        wait = self._jitter(max(1, held.submits))  # the design's test for a repeat, its token last
-        once_ran = held.row.effect is Effect.ONCE_ONLY and held.ran_at is not None
-        in_time = now + wait < held.until - (host.route.usual if held.ran_at is None else 0)
-        price = 0 if report.unsent else TOKEN
+            return self._forget_text(now, pending)
+        pending.submit_count -= report.unsent
+        delay = self._backoff(max(1, pending.submit_count))  # the token is taken last
+        may_not_repeat = pending.product.effect is Effect.ONCE_ONLY and pending.first_run_at is not None
+        is_in_time = now + delay < pending.deadline - (
+            host.route.usual_duration if pending.first_run_at is None else 0
+        )
+        price = 0 if report.unsent else TOKEN_PRICE
         if (
-            held.submits < self.settings.max_submits
-            and not once_ran
-            and in_time
-            and host.dest.tokens >= price
+            pending.submit_count < self.settings.max_submits
+            and not may_not_repeat
+            and is_in_time
+            and host.destination.tokens >= price
         ):
-            host.dest.tokens, held.due = host.dest.tokens - price, now + wait
-            self._hold(held)
+            host.destination.tokens, pending.due_at = host.destination.tokens - price, now + delay
+            self._add_waiting(pending)
         else:
-            self._end(now, held)
+            self._finish(now, pending)
 
     def text_finished(self, now: int, text: TextId) -> None:
-        """Its client left, or its final answer has been heard: only now may the next text of its key go."""
-        if (held := self.unacknowledged.pop(text, None) or self.texts.get(text)) and held.call is None:
-            self._forget(now, held)
+        """Its client left, or its final answer is acknowledged: only now may the next text of its key go."""
+        if (pending := self.unacknowledged.pop(text, None) or self.texts.get(text)) and pending.call is None:
+            self._forget_text(now, pending)
 
     def wait_from_sibling(self, host: HostId, until: int) -> None:
-        """The other process of this relay was told to wait: the wait binds both."""
+        """A host asked the other process of this relay to wait: the wait binds both."""
         if (known := self.hosts.get(host)) is not None:
             known.route.wait_until = max(known.route.wait_until, until)
 
     def health_from_sibling(self, now: int, host: HostId, health: Health, at: int) -> None:
-        """The other process of this relay found a host so at that time; what this one has seen since counts
-        more. Guards against a returning host that a process without knowledge of its outage pushes over."""
-        if (known := self.hosts.get(host)) is None or at <= known.sibling_told_at:
+        """The other process of this relay found the health of a host at the time `at`.
+
+        What this process has seen since counts more. Guards against overloading a returning host from a
+        process that does not know of its outage."""
+        if (known := self.hosts.get(host)) is None or at <= known.sibling_news_at:
             return
-        known.sibling_told_at, route = at, known.route
-        if known.in_outage and route.down_at > at:
+        known.sibling_news_at, route = at, known.route
+        if known.in_outage and route.outage_since > at:
             return
-        if health is Health.OUTAGE and not known.in_outage and known.last_ok < at:
+        if health is Health.OUTAGE and not known.in_outage and known.last_success_at < at:
             self._mark_outage(at, known)
-            self._next_trial(now, route)
-        elif health is Health.WARMING and now - at < self.settings.cold_time and known.back_at is None:
-            self._warm_up(now, known, at)
+            self._schedule_trial(now, route)
+        elif health is Health.WARMING and now - at < self.settings.cold_time and known.recovered_at is None:
+            self._start_warm_up(now, known, at)
             if not any(each.in_outage for each in route.hosts):
-                route.tries = 0
+                route.trial_count = 0
 
     def stopping(self, until: int) -> None:
+        """The relay stops: no call is sent that may not end by then."""
         self.stop_at = until
 
     def may_send(self, now: int, text: TextId, host: HostId) -> bool:
-        """Asked as the connection for a submit has come up: guards against a drain, a wait or an earlier text
-        of its key told since."""
-        held, host = self.texts.get(text), self.hosts.get(host)
-        ready = held and host and host.listing is Listing.READY and self._has_turn(now, held)
-        return bool(ready) and host.route.wait_until <= now < held.until - (held.ran_at is not None) * HELD_UP
+        """Whether the submit may still be sent, asked when its connection has come up.
+
+        Guards against a drain, a wait or an earlier text of its key that came up since the decision."""
+        pending, host = self.texts.get(text), self.hosts.get(host)
+        ready = pending and host and host.listing is Listing.READY and self._has_turn(now, pending)
+        return (
+            bool(ready)
+            and host.route.wait_until
+            <= now
+            < pending.deadline - (pending.first_run_at is not None) * RETRY_SEND_MARGIN
+        )
 
     def decide(self, now: int, submits: bool = True) -> list[Action]:
-        """All that is to be done now; without `submits` texts wait, and only what ends is told."""
-        self._give_up(now)
+        """Return the actions to carry out now. Without `submits` no text is sent, but texts still expire."""
+        self._expire_texts(now)
         if submits:
             self._plan(now)
-        self._let_go(now)
+        self._forget_idle_destinations(now)
         return self._emit(now)
 
-    def _let_go(self, now: int) -> None:
-        """What is at rest, and of which nothing is known but what the list tells, is forgotten again."""
+    def _forget_idle_destinations(self, now: int) -> None:
+        """Forget idle destinations of which nothing is known but what the host list says."""
         while next(iter(self.idle_destinations.values()), NEVER) <= now:
-            dest = self.destinations.get(number := next(iter(self.idle_destinations)))
+            destination = self.destinations.get(number := next(iter(self.idle_destinations)))
             del self.idle_destinations[number]
-            if dest and (
-                dest.waiting
-                or dest.calls
-                or now < dest.rest_at + DESTINATION_IDLE_TIME
-                or self._learned(now, dest)
+            if destination and (
+                destination.waiting
+                or destination.call_count
+                or now < destination.idle_since + DESTINATION_IDLE_TIME
+                or self._has_learned_state(now, destination)
             ):
-                self.idle_destinations[number] = now + self.rest
-            elif dest:
-                self._sort_hosts(self.destinations.pop(number))
-                self.log.append(Forget(number, [self.hosts.pop(host.id).id for host in dest.hosts]))
-
-    def _learned(self, now: int, dest: Destination) -> bool:
-        """Whether it knows what a new start would not; what only deliveries undo counts until it is old."""
-        aged, part = (
-            now > dest.rest_at + LEARNED_STATE_LIFETIME,
-            self.settings.relays if self.settings.relays > KEEPERS else 1,
-        )
-        for host in dest.hosts:
-            self._advance(now, host)
-            route, even = host.route, host.route.limit / part
-            slowed = route.pace > 0 and (not even or route.pace < even)
-            ailing = host.in_outage or host.back_at is not None or host.failing > FAIL_STEP / 2 and not aged
+                self.idle_destinations[number] = now + self.destination_idle_time
+            elif destination:
+                self._update_host_groups(self.destinations.pop(number))
+                self.log_lines.append(
+                    Forget(number, [self.hosts.pop(host.id).id for host in destination.hosts])
+                )
+
+    def _has_learned_state(self, now: int, destination: Destination) -> bool:
+        """Whether something is known of the destination that a new start would not know.
+
+        What only deliveries undo, such as a failure share, counts until it is old."""
+        is_old, sharers = (
+            now > destination.idle_since + LEARNED_STATE_LIFETIME,
+            self.settings.relays if self.settings.relays > SMALL_FLEET_SIZE else 1,
+        )
+        for host in destination.hosts:
+            self._advance_host(now, host)
+            route, even_share = host.route, host.route.limit / sharers
+            is_slowed = route.pace > 0 and (not even_share or route.pace < even_share)
+            is_impaired = (
+                host.in_outage
+                or host.recovered_at is not None
+                or host.failure_share > FAILURE_STEP / 2
+                and not is_old
+            )
             if (
-                ailing
-                or slowed
+                is_impaired
+                or is_slowed
                 or route.wait_until > now
-                or host.kept
-                and now < host.used_at + self.max_idle_time
+                or host.has_idle_connection
+                and now < host.last_used_at + self.max_idle_time
             ):
                 return True
-        return not aged and dest.tokens < TOKEN_BUCKET_SIZE
+        return not is_old and destination.tokens < TOKEN_BUCKET_SIZE
 
-    def _learn(self, now: int, host: Host, call: Call, report: SubmitReport, product: int) -> None:
-        """Take an outcome into the bucket, the window, the pace and the host's health."""
-        route, result, kind, counts = host.route, report.result, host.kind, call.texts == 0
+    def _learn_from_report(
+        self, now: int, host: Host, call: Call, report: SubmitReport, product: int
+    ) -> None:
+        """Update the token bucket, the window, the pace and the health of the host by an outcome."""
+        route, result, kind, is_call_done = host.route, report.result, host.kind, call.text_count == 0
         route.learn_limit(report.limit_rate, self.settings.relays)
-        self.products[kind].add(product)
-        idle, reset = call.idle if report.idle is None else report.idle, result is Result.RESET
-        many = self.settings.relays > KEEPERS and result in (Result.CONNECT, Result.TIMEOUT)
-        lost = idle > 0 and (reset or many and result is Result.TIMEOUT)
-        near, quick = now - host.last_ok < GOOD_LATELY, report.took < route.usual // 2
-        spared = near and result is Result.CONNECT or reset and quick and (idle or near)  # no outage
-        self.stale[kind] += (STALE_STEP if idle else STALE_FADE) * (lost - self.stale[kind])
-        table = many and result is Result.CONNECT and self.room_at[kind] < NEVER  # full of idle ones?
-        self.idle_most[kind] = max(
-            self.idle_most[kind], self.max_idle_time if self.room_at[kind] <= now else 0
-        )
-        if (many or reset) and (idle > STALE_LEAST or result is Result.CONNECT):
-            self.room_at[kind] = NEVER
-            self.idle_most[kind] = min(self.idle_most[kind], max(STALE_LEAST, idle * 3 // 4))
-            for each in self.hosts.values() if table else ():
-                if each.kind == kind and each.kept and not each.out and each is not host:
-                    each.kept = False
-                    self.closing.append(each)
-        if report.retry_after:  # of several texts in a call some may be delivered and the others told to wait
-            used_up = report.limit_left is not None and report.limit_left < LIMIT_USED_UP
-            spread = TOLD_JITTER if used_up else max(TOLD_JITTER, report.retry_after)
+        self.products_by_kind[kind].add(product)
+        idle_time, is_reset = (
+            call.idle_time if report.idle_time is None else report.idle_time,
+            result is Result.RESET,
+        )
+        may_be_full_table = self.settings.relays > SMALL_FLEET_SIZE and result in (
+            Result.CONNECT,
+            Result.TIMEOUT,
+        )
+        is_stale = idle_time > 0 and (is_reset or may_be_full_table and result is Result.TIMEOUT)
+        had_recent_success, is_fast = (
+            now - host.last_success_at < RECENT_SUCCESS_TIME,
+            report.took < route.usual_duration // 2,
+        )
+        # Refused or reset connections that are no sign of an outage.
+        is_excused = (
+            had_recent_success
+            and result is Result.CONNECT
+            or is_reset
+            and is_fast
+            and (idle_time or had_recent_success)
+        )
+        self.stale_share[kind] += (STALE_SHARE_RISE if idle_time else STALE_SHARE_DECAY) * (
+            is_stale - self.stale_share[kind]
+        )
+        # The host may refuse connections since idle ones fill its table.
+        is_table_full = may_be_full_table and result is Result.CONNECT and self.room_assumed_at[kind] < NEVER
+        self.max_idle_by_kind[kind] = max(
+            self.max_idle_by_kind[kind], self.max_idle_time if self.room_assumed_at[kind] <= now else 0
+        )
+        if (may_be_full_table or is_reset) and (idle_time > MIN_IDLE_LIMIT or result is Result.CONNECT):
+            self.room_assumed_at[kind] = NEVER
+            self.max_idle_by_kind[kind] = min(
+                self.max_idle_by_kind[kind], max(MIN_IDLE_LIMIT, idle_time * 3 // 4)
+            )
+            for each in self.hosts.values() if is_table_full else ():
+                if each.kind == kind and each.has_idle_connection and not each.calls and each is not host:
+                    each.has_idle_connection = False
+                    self.hosts_to_close.append(each)
+        if report.retry_after:  # also in a call that has delivered other texts
+            is_limit_exhausted = report.limit_left is not None and report.limit_left < EXHAUSTED_LIMIT_SHARE
+            spread = RETRY_AFTER_JITTER if is_limit_exhausted else max(RETRY_AFTER_JITTER, report.retry_after)
             route.wait_until = max(
                 route.wait_until, now + report.retry_after + self.random_source.next_below(spread)
             )
         if result is Result.DELIVERED or result is Result.MALFORMED and report.finished:
-            host.dest.tokens = min(TOKEN_BUCKET_SIZE, host.dest.tokens + REFILL)
-            host.sour.pop(product, None)
-            route.served = route.served * max(0.0, 1 - (now - route.served_at) / SERVED_SPAN) + 1.0
-            host.last_ok, route.served_at, route.cuts = now, now, 0
-            left, part = report.limit_left, PACE_ROOM if self.settings.relays > KEEPERS else 1.0
-            growth = PACE_STEP if left is None else part * max(0.0, left)  # by what others leave
-            route.grow(growth if route.limit else PACE_LEARN)
-            route.window = min(route.window + 1, self._window_cap(host))
-            if route.learn_latency(report.took):
-                self._halve(now, route, call)
-            host.failing *= 1 - FAIL_STEP
-            if host.in_outage:  # an outage mostly takes all hosts of a route, and so does its end
-                self._come_back(now, route)
-        elif result is Result.FULL and counts:
-            self._refused(now, host, report.retry_after, report.limit_left)
-        elif result not in (Result.FULL, Result.NOT_SENT, Result.CANCELLED) and counts and not spared:
-            self._halve(now, route, call)
-            ok = host.last_ok > call.sent - (0 if result is Result.TIMEOUT else GOOD_LATELY)
-            step = FAIL_STEP if ok or lost or table or result in ANSWERED else SILENT_STEP
-            if not self._one_product(now, host, product, result):
-                self._failed(now, host, result.value, step / 2 if ok and result is Result.TIMEOUT else step)
-
-    def _one_product(self, now: int, host: Host, product: int, result: Result) -> bool:
-        """Whether it fails one product alone, and no other host of its route does; few tell by shares."""
-        several = self.settings.relays > KEEPERS and len(self.products[host.kind]) > 1
-        if several and result not in (Result.CONNECT, Result.RESET):
-            host.sour[product] = now
+            host.destination.tokens = min(TOKEN_BUCKET_SIZE, host.destination.tokens + TOKEN_REFILL)
+            host.failing_products.pop(product, None)
+            route.recent_deliveries = (
+                route.recent_deliveries * max(0.0, 1 - (now - route.last_delivery_at) / DELIVERY_RATE_SPAN)
+                + 1.0
+            )
+            host.last_success_at, route.last_delivery_at, route.cut_count = now, now, 0
+            limit_left, growth_ratio = (
+                report.limit_left,
+                SPARE_LIMIT_GROWTH if self.settings.relays > SMALL_FLEET_SIZE else 1.0,
+            )
+            # by what the other relays leave of the limit
+            growth = PACE_GROWTH_PER_DELIVERY if limit_left is None else growth_ratio * max(0.0, limit_left)
+            route.grow_pace(growth if route.limit else LEARNED_PACE_GROWTH)
+            route.window = min(route.window + 1, self._max_window(host))
+            if route.record_duration(report.took):
+                self._halve_window(now, route, call)
+            host.failure_share *= 1 - FAILURE_STEP
+            if host.in_outage:  # an outage mostly affects all hosts of a route, and so does its end
+                self._end_outage(now, route)
+        elif result is Result.FULL and is_call_done:
+            self._record_refusal(now, host, report.retry_after, report.limit_left)
+        elif (
+            result not in (Result.FULL, Result.NOT_SENT, Result.CANCELLED) and is_call_done and not is_excused
+        ):
+            self._halve_window(now, route, call)
+            had_success_since = host.last_success_at > call.sent_at - (
+                0 if result is Result.TIMEOUT else RECENT_SUCCESS_TIME
+            )
+            step = (
+                FAILURE_STEP
+                if had_success_since or is_stale or is_table_full or result in ANSWERED_RESULTS
+                else SILENCE_STEP
+            )
+            if not self._is_one_product_failure(now, host, product, result):
+                self._record_failure(
+                    now,
+                    host,
+                    result.value,
+                    step / 2 if had_success_since and result is Result.TIMEOUT else step,
+                )
+
+    def _is_one_product_failure(self, now: int, host: Host, product: int, result: Result) -> bool:
+        """Whether the host fails only one product, while the other hosts of its route deliver.
+
+        Only in large fleets: a relay of a small one sees enough calls to tell by the failure share."""
+        has_several_products = (
+            self.settings.relays > SMALL_FLEET_SIZE and len(self.products_by_kind[host.kind]) > 1
+        )
+        if has_several_products and result not in (Result.CONNECT, Result.RESET):
+            host.failing_products[product] = now
         others = [each for each in host.route.hosts if each is not host and each.listing is Listing.READY]
         return (
             bool(others)
-            and host.sour.get(product) == now
+            and host.failing_products.get(product) == now
             and not host.in_outage
-            and not any(each.in_outage or self._sour(now, each) for each in others)
-            and len(self._sour(now, host)) == 1
+            and not any(each.in_outage or self._failing_products(now, each) for each in others)
+            and len(self._failing_products(now, host)) == 1
         )
 
-    def _sour(self, now: int, host: Host) -> list[int]:
-        return [product for product, at in host.sour.items() if at > now - SERVED_SPAN]
+    def _failing_products(self, now: int, host: Host) -> list[int]:
+        """Products that have failed at the host lately, with no delivery since."""
+        return [product for product, at in host.failing_products.items() if at > now - DELIVERY_RATE_SPAN]
 
-    def _halve(self, now: int, route: Route, call: Call) -> None:
-        if call.sent > route.halved_at:  # once for the calls that were out together
-            route.window, route.halved_at = max(1, route.window // 2), now
+    def _halve_window(self, now: int, route: Route, call: Call) -> None:
+        """Halve the window, once for all calls that were in flight together."""
+        if call.sent_at > route.window_halved_at:
+            route.window, route.window_halved_at = max(1, route.window // 2), now
 
-    def _failed(self, now: int, host: Host, why: str, step: float) -> None:
-        """A host that fails often is sick."""
-        route, sound = host.route, not host.in_outage
-        host.failing += (1 - host.failing) * step
-        if sound and host.failing > SICK_SHARE:
+    def _record_failure(self, now: int, host: Host, reason: str, weight: float) -> None:
+        """Raise the failure share of the host; above a bound the host is in an outage."""
+        route, was_healthy = host.route, not host.in_outage
+        host.failure_share += (1 - host.failure_share) * weight
+        if was_healthy and host.failure_share > OUTAGE_FAILURE_SHARE:
             self._mark_outage(now, host)
-            self.log.append(LogLine(f"sick: {why}, failing {host.failing:.2f}", host.id, Health.OUTAGE))
+            self.log_lines.append(
+                LogLine(f"sick: {reason}, failing {host.failure_share:.2f}", host.id, Health.OUTAGE)
+            )
         if host.in_outage:
-            self._next_trial(now, route)
+            self._schedule_trial(now, route)
 
     def _mark_outage(self, at: int, host: Host) -> None:
-        """The host is in an outage, and with it those of its route that have not delivered lately."""
-        route, dest = host.route, host.dest
+        """Mark the host, and those of its route without a recent delivery, as in an outage."""
+        route, destination = host.route, host.destination
         if not any(each.in_outage for each in route.hosts):
-            route.down_at, route.tries, dest.had = at, 0, 1 + dest.calls + len(dest.waiting)
-        for each in [one for one in route.hosts if one is host or one.last_ok < at - GOOD_LATELY]:
-            each.in_outage, each.back_at = True, None
+            route.outage_since, route.trial_count, destination.outage_text_count = (
+                at,
+                0,
+                1 + destination.call_count + len(destination.waiting),
+            )
+        for each in [
+            other
+            for other in route.hosts
+            if other is host or other.last_success_at < at - RECENT_SUCCESS_TIME
+        ]:
+            each.in_outage, each.recovered_at = True, None
+
+    def _record_refusal(self, now: int, host: Host, retry_after: int, limit_left: float | None) -> None:
+        """A refusal lowers the pace: from the relay's own rate, or towards its even part of a known limit.
 
-    def _refused(self, now: int, host: Host, told: int, left: float | None) -> None:
-        """A refusal lowers the pace: from the relay's own rate, where a limit is known towards its even part.
         Guards against hundreds of relays, each far under the limit, that use it up by being refused."""
-        route, even = host.route, (host.route.limit or RATE_AT_FIRST) / self.settings.relays
-        room = left is not None and left >= LIMIT_USED_UP  # not the limit, then: it is shut
-        if now - route.cut_at > PACE_REST or not route.pace:
-            route.refill(now, self.settings.relays)
-            own, weight = route.flow * SECOND / FLOW_SPAN, 1 / (route.flow + (1 if left is None else 2))
+        route, even_share = host.route, (host.route.limit or INITIAL_RATE) / self.settings.relays
+        # Refused though the limit is not used up: the host is closed.
+        has_room = limit_left is not None and limit_left >= EXHAUSTED_LIMIT_SHARE
+        if now - route.pace_cut_at > PACE_CUT_INTERVAL or not route.pace:
+            route.update_pace(now, self.settings.relays)
+            own_rate, weight = (
+                route.recent_calls * SECOND / CALL_RATE_SPAN,
+                1 / (route.recent_calls + (1 if limit_left is None else 2)),
+            )
             if route.limit:
-                mixed = (2 * own) ** (1 - weight) * even**weight
-                fair = min(route.pace, even if room and now - host.last_ok > GOOD_LATELY else mixed)
-                deeper = (
-                    route.cuts * weight if self.settings.relays > KEEPERS else 0.0
-                )  # few relays push less
-                route.pace = max(PACE_CUT * fair / (1 + deeper), PACE_LEAST * even)
-            else:  # the first may be chance; few relays have texts for it at one time
-                route.pace = max(PACE_CUT / (1 + min(route.cuts, 1)) * min(route.pace or own, own), 2 * even)
-            route.cut_at, route.cuts = now, route.cuts + 1
-        apart = PACE_APART if route.limit and room else 1.0  # all relays met it shut at one moment
+                weighted_rate = (2 * own_rate) ** (1 - weight) * even_share**weight
+                fair_rate = min(
+                    route.pace,
+                    even_share
+                    if has_room and now - host.last_success_at > RECENT_SUCCESS_TIME
+                    else weighted_rate,
+                )
+                # Repeated cuts go deeper; in a small fleet refusals come less often.
+                depth = route.cut_count * weight if self.settings.relays > SMALL_FLEET_SIZE else 0.0
+                route.pace = max(PACE_CUT_RATIO * fair_rate / (1 + depth), MIN_PACE_RATIO * even_share)
+            else:  # the first refusal may be chance; few relays have texts for the route at one time
+                route.pace = max(
+                    PACE_CUT_RATIO / (1 + min(route.cut_count, 1)) * min(route.pace or own_rate, own_rate),
+                    2 * even_share,
+                )
+            route.pace_cut_at, route.cut_count = now, route.cut_count + 1
+        # Relays that were refused by a closed host at the same moment spread their next calls.
+        spread = CLOSED_HOST_CREDIT_SPREAD if route.limit and has_room else 1.0
         route.credit = min(
-            route.credit, 0.5 * bool(route.limit) - apart * self.random_source.next_below(1000) / 1000
+            route.credit, 0.5 * bool(route.limit) - spread * self.random_source.next_below(1000) / 1000
         )
         if host.in_outage:
-            self._next_trial(now, route)
-        elif (told > TOLD_SHUT or route.cuts >= REFUSED_OFTEN) and (left is None or room):
-            self._failed(now, host, f"refused {route.cuts} times, told to wait {told // MS} ms", 1.0)
-
-    def _next_trial(self, now: int, route: Route) -> None:
-        """The next trial call comes after a wait of the design's kind, from a told wait's end on."""
-        route.tries, route.tried_at = route.tries + 1, max(now, route.wait_until) + 100 * MS
-        route.part = (50 if route.tries > 1 else 0) + self.random_source.next_below(
-            100
-        )  # the first: at any time of it
-        route.trial_at = route.tried_at + self._jitter(route.tries + 1)
-        self._trial_opens(route)
-
-    def _trial_opens(self, route: Route) -> int:
-        """Guards against hundreds of relays pushing over a cold destination by their trials alone."""
-        bearable = min(1.0, self.settings.cold_share * self.settings.fall_multiple * TRIAL_PART)
-        spacing = SECOND * self._seers(route.tried_at, route) / (bearable * route.rate(self.settings.relays))
-        route.trial_at = max(route.trial_at, route.tried_at + int(spacing * route.part / 100))
-        return route.trial_at
-
-    def _seers(self, now: int, route: Route) -> float:
-        """How many relays may know of an outage: by its texts, or by this one's if all are alike."""
-        relays, like = self.settings.relays, self.settings.relays * (route.hosts[0].dest.had - 1) / 2
-        seers = max(1.0, like, route.rate(relays) * (now - route.down_at + SEEN_BEFORE) / SECOND)
-        return min(relays, seers) * self.process_count
-
-    def _warm_up(self, now: int, host: Host, back_at: int) -> None:
-        """The host is back from an outage since then: it gets what a cold one bears."""
-        host.in_outage, host.back_at, host.failing, host.warm_at = False, back_at, FAIL_STEP / 2, now
-        host.warm_credit = (
-            self.random_source.next_below(1000) / 1000
-        )  # many small parts add up to what is safe
-
-    def _come_back(self, now: int, route: Route) -> None:
+            self._schedule_trial(now, route)
+        elif (retry_after > OUTAGE_RETRY_AFTER or route.cut_count >= OUTAGE_CUT_COUNT) and (
+            limit_left is None or has_room
+        ):
+            self._record_failure(
+                now, host, f"refused {route.cut_count} times, asked to wait {retry_after // MS} ms", 1.0
+            )
+
+    def _schedule_trial(self, now: int, route: Route) -> None:
+        """Schedule the next trial by the backoff, counted from the end of a wait that the host asked for."""
+        route.trial_count, route.trial_base_at = route.trial_count + 1, max(now, route.wait_until) + 100 * MS
+        # The first trial comes at any time within the spacing, the later ones around its end.
+        route.trial_spread_percent = (50 if route.trial_count > 1 else 0) + self.random_source.next_below(100)
+        route.next_trial_at = route.trial_base_at + self._backoff(route.trial_count + 1)
+        self._next_trial_time(route)
+
+    def _next_trial_time(self, route: Route) -> int:
+        """When the next trial may go: relays that know of the outage share the rate that a cold host bears.
+
+        Guards against hundreds of relays overloading a cold destination by their trials alone."""
+        cold_rate_share = min(1.0, self.settings.cold_share * self.settings.fall_multiple * TRIAL_RATE_RATIO)
+        spacing = (
+            SECOND
+            * self._informed_relay_count(route.trial_base_at, route)
+            / (cold_rate_share * route.total_rate(self.settings.relays))
+        )
+        route.next_trial_at = max(
+            route.next_trial_at, route.trial_base_at + int(spacing * route.trial_spread_percent / 100)
+        )
+        return route.next_trial_at
+
+    def _informed_relay_count(self, now: int, route: Route) -> float:
+        """How many relays may know of an outage.
+
+        Estimated from the route's rate since its start, and from the number of texts that this relay has had
+        for it, taken to be the same at all relays."""
+        relays, by_texts = (
+            self.settings.relays,
+            self.settings.relays * (route.hosts[0].destination.outage_text_count - 1) / 2,
+        )
+        informed = max(
+            1.0, by_texts, route.total_rate(relays) * (now - route.outage_since + OUTAGE_LEAD_TIME) / SECOND
+        )
+        return min(relays, informed) * self.process_count
+
+    def _start_warm_up(self, now: int, host: Host, recovered_at: int) -> None:
+        """The host is back from an outage since `recovered_at`: now it gets what a cold host bears."""
+        host.in_outage, host.recovered_at, host.failure_share, host.warm_up_updated_at = (
+            False,
+            recovered_at,
+            FAILURE_STEP / 2,
+            now,
+        )
+        # A random start: the small parts of many relays have to add up to what is safe.
+        host.warm_up_credit = self.random_source.next_below(1000) / 1000
+
+    def _end_outage(self, now: int, route: Route) -> None:
+        """A trial was delivered: all hosts of the route start their warm-up."""
         for host in [each for each in route.hosts if each.in_outage]:
-            self._warm_up(now, host, now)
-            self.log.append(LogLine(f"back after {route.tries} trials, warming", host.id, Health.WARMING))
-        route.tries = 0
+            self._start_warm_up(now, host, now)
+            self.log_lines.append(
+                LogLine(f"back after {route.trial_count} trials, warming", host.id, Health.WARMING)
+            )
+        route.trial_count = 0
 
     def _plan(self, now: int) -> None:
-        """Set the wanted state: for each destination in the order of what is at stake, its best texts out."""
-        looked = [each for each in self.active.items() if each[1].waiting and each[1].look_at <= now]
+        """Choose the texts to send, while slots are free: the most urgent text of all destinations first."""
+        candidates = [
+            each for each in self.active_destinations.items() if each[1].waiting and each[1].check_at <= now
+        ]
         queue = sorted(
             (self._rank(now, best[0]), number, best)
-            for number, dest in looked
-            if self.slots_used < self.settings.slots and (best := self._ready(now, dest))
+            for number, destination in candidates
+            if self.slots_used < self.settings.slots and (best := self._ready_texts(now, destination))
         )
         while queue and self.slots_used < self.settings.slots:
             _, number, ready = heapq.heappop(queue)
             if ready := self._fill_call(now, self.destinations[number], ready):
                 heapq.heappush(queue, (self._rank(now, ready[0]), number, ready))
-        self.active = {number: dest for number, dest in self.active.items() if dest.waiting}
-
-    def _ready(self, now: int, dest: Destination) -> list[PendingText]:
-        """The held texts of a destination whose turn and time have come, the best first. What can't be sent
-        in time ends at once, but what a restart found untried is tried, at the pace that it takes."""
-        for host in dest.hosts:
-            self._advance(now, host)
-        dest.look_at = min((self._opens_at(now, host) for host in dest.hosts), default=NEVER)
-        if dest.look_at > now:
-            found = sorted(
-                h.until - LAST_MOMENT - now
-                for h in dest.waiting.values()
-                if h.found and not h.submits and h.until > now + SECOND
+        self.active_destinations = {
+            number: destination
+            for number, destination in self.active_destinations.items()
+            if destination.waiting
+        }
+
+    def _ready_texts(self, now: int, destination: Destination) -> list[PendingText]:
+        """The waiting texts of a destination that may be sent now, the most urgent first.
+
+        Texts that can't be sent before their deadline are finished at once, but for those that a restart
+        found and that were never sent: the pace is raised so that they can be."""
+        for host in destination.hosts:
+            self._advance_host(now, host)
+        destination.check_at = min(
+            (self._available_at(now, host) for host in destination.hosts), default=NEVER
+        )
+        if destination.check_at > now:
+            times_left = sorted(
+                text.deadline - EXPIRY_MARGIN - now
+                for text in destination.waiting.values()
+                if text.is_recovered and not text.submit_count and text.deadline > now + SECOND
             )
-            for host in dest.hosts if found else ():
-                route, batch = host.route, self.settings.kinds[host.kind].texts_per_call
-                calls = [(at // batch + 2 - route.credit) / left for at, left in enumerate(found)]
-                route.pace = route.pace and max(route.pace, min(SECOND * max(calls), route.limit or NEVER))
-                dest.look_at = min(dest.look_at, self._opens_at(now, host))
-            for held in [h for h in dest.waiting.values() if h.until - LAST_MOMENT <= dest.look_at < NEVER]:
-                self._end(now, held)
+            for host in destination.hosts if times_left else ():
+                route, texts_per_call = host.route, self.settings.kinds[host.kind].texts_per_call
+                rates = [
+                    (index // texts_per_call + 2 - route.credit) / time_left
+                    for index, time_left in enumerate(times_left)
+                ]
+                route.pace = route.pace and max(route.pace, min(SECOND * max(rates), route.limit or NEVER))
+                destination.check_at = min(destination.check_at, self._available_at(now, host))
+            for pending in [
+                text
+                for text in destination.waiting.values()
+                if text.deadline - EXPIRY_MARGIN <= destination.check_at < NEVER
+            ]:
+                self._finish(now, pending)
             return []
-        if not (due := [held for held in dest.waiting.values() if held.due <= now]):
-            dest.look_at = min(held.due for held in dest.waiting.values())
+        if not (due := [pending for pending in destination.waiting.values() if pending.due_at <= now]):
+            destination.check_at = min(pending.due_at for pending in destination.waiting.values())
         return sorted(
-            [h for h in due if self._has_turn(now, h)],
-            key=lambda held: (not held.found or held.submits > 0, self._rank(now, held)),
+            [text for text in due if self._has_turn(now, text)],
+            key=lambda pending: (
+                not pending.is_recovered or pending.submit_count > 0,
+                self._rank(now, pending),
+            ),
         )
 
-    def _rank(self, now: int, held: PendingText) -> tuple:
-        """Texts that can still make their SLA time, the nearest first; then the late ones by revenue."""
-        late, text = now + USUAL_AT_FIRST > held.sla_at, held.text
-        stake = -held.row.revenue * held.row.late_share if late else held.sla_at
-        return late, stake, text.valid_until, text.id
+    def _rank(self, now: int, pending: PendingText) -> tuple:
+        """Sort key: texts that can still make their SLA time, the nearest first; then the late by revenue."""
+        is_late, text = now + INITIAL_CALL_DURATION > pending.sla_deadline, pending.text
+        urgency = -pending.product.revenue * pending.product.late_share if is_late else pending.sla_deadline
+        return is_late, urgency, text.valid_until, text.id
 
-    def _fill_call(self, now: int, dest: Destination, ready: list[PendingText]) -> list[PendingText]:
+    def _fill_call(self, now: int, destination: Destination, ready: list[PendingText]) -> list[PendingText]:
         """Choose a host for the best text and fill its call; return the texts still to be placed."""
-        while (host := self._choose(now, dest, ready[0])) is None:
+        while (host := self._choose_host(now, destination, ready[0])) is None:
             if not (ready := ready[1:]):
                 return []
-        call, route, rest, soon = Call(host, now), host.route, [], now + host.patience()
-        most = 1 if host.in_outage or host.overdue(now) else self.settings.kinds[host.kind].texts_per_call
-        ends = ready[0].until < soon  # such a call may be given up: it takes no text with more time left
-        for held in ready:
-            if call.texts < most and (held.until < soon) == ends and self._gate(now, held, host):
-                held.call, call.texts = call, call.texts + 1
-                del dest.waiting[held.text.id]
-                self.changed.append(held)
+        call, route, remaining, overdue_at = Call(host, now), host.route, [], now + host.overdue_after()
+        max_texts = (
+            1 if host.in_outage or host.is_overdue(now) else self.settings.kinds[host.kind].texts_per_call
+        )
+        # A call that may be given up early takes no text with more time left.
+        ends_early = ready[0].deadline < overdue_at
+        for pending in ready:
+            if (
+                call.text_count < max_texts
+                and (pending.deadline < overdue_at) == ends_early
+                and self._is_send_allowed(now, pending, host)
+            ):
+                pending.call, call.text_count = call, call.text_count + 1
+                del destination.waiting[pending.text.id]
+                self.changed_texts.append(pending)
             else:
-                rest.append(held)
-        host.out.append(call)
-        route.calls, dest.calls, self.slots_used = route.calls + 1, dest.calls + 1, self.slots_used + 1
-        route.credit, host.warm_credit = route.credit - bool(route.pace), host.warm_credit - 1.0
-        route.flow, route.flow_at = route.flow * max(0.0, 1 - (now - route.flow_at) / FLOW_SPAN) + 1.0, now
-        return rest
-
-    def _choose(self, now: int, dest: Destination, held: PendingText) -> Host | None:
-        """Two hosts drawn at random, the one that this relay's own counts favour."""
-        able = [h for h in dest.hosts if self._opens_at(now, h) <= now and self._gate(now, held, h)]
-        able = [h for h in able if held.text.product not in self._sour(now, h)] or able
-        drawn = [able.pop(self.random_source.next_below(len(able))) for _ in range(min(2, len(able)))]
+                remaining.append(pending)
+        host.calls.append(call)
+        route.call_count, destination.call_count, self.slots_used = (
+            route.call_count + 1,
+            destination.call_count + 1,
+            self.slots_used + 1,
+        )
+        route.credit, host.warm_up_credit = route.credit - bool(route.pace), host.warm_up_credit - 1.0
+        route.recent_calls, route.recent_calls_at = (
+            route.recent_calls * max(0.0, 1 - (now - route.recent_calls_at) / CALL_RATE_SPAN) + 1.0,
+            now,
+        )
+        return remaining
+
+    def _choose_host(self, now: int, destination: Destination, pending: PendingText) -> Host | None:
+        """Draw two available hosts at random and return the less loaded and healthier one."""
+        available = [
+            each
+            for each in destination.hosts
+            if self._available_at(now, each) <= now and self._is_send_allowed(now, pending, each)
+        ]
+        available = [
+            each for each in available if pending.text.product not in self._failing_products(now, each)
+        ] or available
+        drawn = [
+            available.pop(self.random_source.next_below(len(available)))
+            for _ in range(min(2, len(available)))
+        ]
         return min(
             drawn,
             key=lambda host: (
-                len(host.out),
-                host.failing > FAIL_STEP / 2,
-                not host.kept or now - host.used_at > self.max_idle_time,
-                host.failing,
+                len(host.calls),
+                host.failure_share > FAILURE_STEP / 2,
+                not host.has_idle_connection or now - host.last_used_at > self.max_idle_time,
+                host.failure_share,
             ),
             default=None,
         )
 
-    def _gate(self, now: int, held: PendingText, host: Host) -> bool:
-        """The rules, for every send: no text twice out, no effect twice, drains, waits and order kept."""
-        done = held.verdict is not None or held.call is not None or held.submits >= self.settings.max_submits
-        late = host.route.wait_until > now or now + host.patience() > self.stop_at
-        if done or late or host.listing is not Listing.READY or not self._has_turn(now, held):
+    def _is_send_allowed(self, now: int, pending: PendingText, host: Host) -> bool:
+        """Check the rules for every send.
+
+        A text is in one call at a time; no effect happens twice; drains, waits and the order of keys are
+        kept; once-only texts don't go to a host that may be in an outage while other texts can try it."""
+        is_taken = (
+            pending.final_action is not None
+            or pending.call is not None
+            or pending.submit_count >= self.settings.max_submits
+        )
+        must_wait = host.route.wait_until > now or now + host.overdue_after() > self.stop_at
+        if is_taken or must_wait or host.listing is not Listing.READY or not self._has_turn(now, pending):
             return False
-        if held.ran_at is not None and held.row.effect is not Effect.RESENDABLE:
-            elsewhere = not held.row.retry_anywhere and host.zone != held.zone
-            if held.row.effect is Effect.ONCE_ONLY or now >= held.until or elsewhere:
+        if pending.first_run_at is not None and pending.product.effect is not Effect.RESENDABLE:
+            is_other_zone = not pending.product.retry_anywhere and host.zone != pending.first_run_zone
+            if pending.product.effect is Effect.ONCE_ONLY or now >= pending.deadline or is_other_zone:
                 return False
-        sound = held.row.effect is not Effect.ONCE_ONLY or not host.in_outage and not host.overdue(now)
-        return sound or all(other.row.effect is Effect.ONCE_ONLY for other in host.dest.waiting.values())
-
-    def _has_turn(self, now: int, held: PendingText) -> bool:
-        """A product in order: only the first text of its key, and after the key's rest."""
-        return not held.key or self.key_order.block_reason(now, held.key, held.text.id) is None
-
-    def _opens_at(self, now: int, host: Host) -> int:
-        """When the host takes one more call of this relay: slots, window, pace, health, warm-up."""
-        route, cap = host.route, self._window_cap(host)
-        full = self.slots_used >= self.settings.slots or route.calls >= min(cap, route.window)
-        if full or host.dest.calls >= cap or host.listing is not Listing.READY:
+        is_host_safe = (
+            pending.product.effect is not Effect.ONCE_ONLY or not host.in_outage and not host.is_overdue(now)
+        )
+        return is_host_safe or all(
+            other.product.effect is Effect.ONCE_ONLY for other in host.destination.waiting.values()
+        )
+
+    def _has_turn(self, now: int, pending: PendingText) -> bool:
+        """Whether a text of a product in order is the first of its key, and the key is in no cooldown."""
+        return not pending.key or self.key_order.block_reason(now, pending.key, pending.text.id) is None
+
+    def _available_at(self, now: int, host: Host) -> int:
+        """When the host may get one more call of this relay, by slots, window, pace, health and warm-up.
+
+        NEVER where only another event can change that."""
+        route, max_window = host.route, self._max_window(host)
+        is_full = self.slots_used >= self.settings.slots or route.call_count >= min(max_window, route.window)
+        if is_full or host.destination.call_count >= max_window or host.listing is not Listing.READY:
             return NEVER
         if host.in_outage:
             return (
                 NEVER
-                if any(each.in_outage and each.out for each in route.hosts)
-                else self._trial_opens(route)
+                if any(each.in_outage and each.calls for each in route.hosts)
+                else self._next_trial_time(route)
             )
-        if host.overdue(now):
-            return max(route.wait_until, host.out[-1].sent + host.patience())
-        cold = host.back_at is not None and host.warm_credit < 1.0
-        return max(now + route.saved_after(), route.wait_until, now + PERIOD if cold else now)
+        if host.is_overdue(now):
+            return max(route.wait_until, host.calls[-1].sent_at + host.overdue_after())
+        is_warming = host.recovered_at is not None and host.warm_up_credit < 1.0
+        return max(
+            now + route.time_until_credit(), route.wait_until, now + MIN_WAKE_INTERVAL if is_warming else now
+        )
+
+    def _max_window(self, host: Host) -> int:
+        """Calls in flight at a destination: half of the slots after or in an outage, else three quarters."""
+        is_impaired = any(each.in_outage or each.recovered_at is not None for each in host.destination.hosts)
+        return max(1, self.settings.slots // 2 if is_impaired else self.settings.slots * 3 // 4)
 
-    def _window_cap(self, host: Host) -> int:
-        unwell = any(each.in_outage or each.back_at is not None for each in host.dest.hosts)
-        return max(1, self.settings.slots // 2 if unwell else self.settings.slots * 3 // 4)
+    def _advance_host(self, now: int, host: Host) -> None:
+        """Bring the pace and the warm-up of a host to now.
 
-    def _advance(self, now: int, host: Host) -> None:
-        """Bring a host's pace and warm-up to now: what it bears if all that know of its outage send."""
+        In the warm-up the host gets what it bears if all relays that know of its outage send."""
         settings, route = self.settings, host.route
-        route.refill(
+        route.update_pace(
             now, settings.relays
         )  # also with no pace, so that the time without one fills no later one
-        if host.back_at is None:
+        if host.recovered_at is None:
             return
-        since, passed, seers = now - host.back_at, now - host.warm_at, self._seers(host.back_at, route)
-        if since >= settings.cold_time:
-            host.back_at = None
-            return self.log.append(LogLine(f"warm after {since // SECOND} s", host.id))
-        early = max(0, host.back_at - max(route.tried_at, route.down_at)) / 2 * (settings.relays > KEEPERS)
+        warm_up_time, elapsed, informed = (
+            now - host.recovered_at,
+            now - host.warm_up_updated_at,
+            self._informed_relay_count(host.recovered_at, route),
+        )
+        if warm_up_time >= settings.cold_time:
+            host.recovered_at = None
+            return self.log_lines.append(LogLine(f"warm after {warm_up_time // SECOND} s", host.id))
+        recovery_estimate = (
+            max(0, host.recovered_at - max(route.trial_base_at, route.outage_since))
+            / 2
+            * (settings.relays > SMALL_FLEET_SIZE)
+        )
         share = min(
-            1.0, settings.cold_share + (1 - settings.cold_share) * (since + early) / settings.cold_time
+            1.0,
+            settings.cold_share
+            + (1 - settings.cold_share) * (warm_up_time + recovery_estimate) / settings.cold_time,
+        )
+        rate = (
+            route.total_rate(settings.relays) * share * settings.fall_multiple / len(route.hosts) / informed
+        )
+        host.warm_up_credit, host.warm_up_updated_at = (
+            min(1.0, host.warm_up_credit + rate * elapsed / SECOND),
+            now,
         )
-        rate = route.rate(settings.relays) * share * settings.fall_multiple / len(route.hosts) / seers
-        host.warm_credit, host.warm_at = min(1.0, host.warm_credit + rate * passed / SECOND), now
 
-    def _give_up(self, now: int) -> None:
-        """End texts that are out of time; nearly full, nack those with the least at stake to leave room."""
+    def _expire_texts(self, now: int) -> None:
+        """Finish expired texts; when the relay is nearly full, nack those with the least at stake."""
         while self.expiries and self.expiries[0][0] <= now:
-            held = self.texts.get(heapq.heappop(self.expiries)[1])
-            if held and held.call is None and held.verdict is None and held.until - LAST_MOMENT <= now:
-                self._end(now, held)
-        if (excess := len(self.texts) - int(self.settings.max_texts * ROOM_LEFT)) > 0:
-            idle = [h for h in self.texts.values() if h.call is None and h.verdict is None and h.may_nack()]
-            for held in sorted(idle, key=lambda held: self._rank(now, held), reverse=True)[:excess]:
-                self._end(now, held)
-
-    def _end(self, now: int, held: PendingText) -> None:
-        """The final answer: a nack with advice where coming again is harmless, else undeliverable."""
-        text = held.text.id
-        self.destinations[held.text.destination].waiting.pop(text, None)
-        held.verdict = Nack(text, self.settings.max_advice) if held.may_nack() else Undeliverable(text)
-        self.changed.append(held)
+            pending = self.texts.get(heapq.heappop(self.expiries)[1])
+            if (
+                pending
+                and pending.call is None
+                and pending.final_action is None
+                and pending.deadline - EXPIRY_MARGIN <= now
+            ):
+                self._finish(now, pending)
+        if (excess := len(self.texts) - int(self.settings.max_texts * NACK_THRESHOLD_SHARE)) > 0:
+            nackable = [
+                each
+                for each in self.texts.values()
+                if each.call is None and each.final_action is None and each.may_nack()
+            ]
+            for pending in sorted(nackable, key=lambda pending: self._rank(now, pending), reverse=True)[
+                :excess
+            ]:
+                self._finish(now, pending)
+
+    def _finish(self, now: int, pending: PendingText) -> None:
+        """Give the final answer: a nack with advice where a repeat is harmless, else undeliverable."""
+        text = pending.text.id
+        self.destinations[pending.text.destination].waiting.pop(text, None)
+        pending.final_action = (
+            Nack(text, self.settings.max_advice) if pending.may_nack() else Undeliverable(text)
+        )
+        self.changed_texts.append(pending)
 
     def _emit(self, now: int) -> list[Action]:
-        """The difference between the wanted and the present state, as actions."""
+        """Return the actions for all that has changed since the last call, and the next wake-up."""
         actions: list[Action] = []
-        for held in self.changed:
-            if held.verdict is not None and held.text.id in self.texts:
-                actions.append(held.verdict)
-                self.unacknowledged[held.text.id] = self.texts.pop(held.text.id)
-            elif held.call is not None:
-                left, host, call = held.text.valid_until - now, held.call.host, held.call
-                keep = min(self._keep(host.kind, False), self.max_idle_time)
-                if call.idle > self._keep(host.kind, held.row.effect is Effect.ONCE_ONLY):
-                    call.idle = 0
+        for pending in self.changed_texts:
+            if pending.final_action is not None and pending.text.id in self.texts:
+                actions.append(pending.final_action)
+                self.unacknowledged[pending.text.id] = self.texts.pop(pending.text.id)
+            elif pending.call is not None:
+                time_left, host, call = pending.text.valid_until - now, pending.call.host, pending.call
+                idle_limit = min(self._idle_limit(host.kind, False), self.max_idle_time)
+                if call.idle_time > self._idle_limit(host.kind, pending.product.effect is Effect.ONCE_ONLY):
+                    call.idle_time = 0
                     actions.append(CloseIdle(host.id))
-                actions.append(Submit(held.text.id, host.id, min(self._time_out(held), left), keep))
-                held.submits += 1
-        actions += [CloseIdle(host.id) for host in self.closing if not host.out] + self.log
-        if self.ask_at <= now:
-            self.ask_at = NEVER
+                actions.append(
+                    Submit(pending.text.id, host.id, min(self._timeout(pending), time_left), idle_limit)
+                )
+                pending.submit_count += 1
+        actions += [CloseIdle(host.id) for host in self.hosts_to_close if not host.calls] + self.log_lines
+        if self.watch_at <= now:
+            self.watch_at = NEVER
             actions.append(Watch())
-        looks = [self.ask_at, next(iter(self.idle_destinations.values()), NEVER)]
-        looks += [dest.look_at for dest in self.active.values() if self.slots_used < self.settings.slots]
-        looks += [due for due, _ in self.expiries[:1] if self.active]
-        wake_at = max(now + PERIOD, min(looks))
+        wake_times = [self.watch_at, next(iter(self.idle_destinations.values()), NEVER)]
+        wake_times += [
+            destination.check_at
+            for destination in self.active_destinations.values()
+            if self.slots_used < self.settings.slots
+        ]
+        wake_times += [expires_at for expires_at, _ in self.expiries[:1] if self.active_destinations]
+        wake_at = max(now + MIN_WAKE_INTERVAL, min(wake_times))
         if wake_at < NEVER and (wake_at < self.wake_at or self.wake_at <= now):
             self.wake_at = wake_at
             actions.append(Wake(wake_at - now))
-        self.changed, self.closing, self.log = [], [], []
+        self.changed_texts, self.hosts_to_close, self.log_lines = [], [], []
         return actions
 
-    def _keep(self, kind: int, once: bool) -> int:
-        """How long connections stand idle; -1: not at all, lest calls go to those closed after an answer."""
-        return -1 if self.stale[kind] > (STALE_ONCE if once else STALE_SHARE) else self.idle_most[kind]
-
-    def _time_out(self, held: PendingText) -> int:
-        """The design's; a referenced text keeps time for its repeat; scarce slots wait for no lost answer."""
-        scarce = self.slots_used > min(SCARCE * self.settings.slots, self.settings.slots - 1.5)
-        known = held.call.host.patience() if held.call.host.route.seen >= RECENT_CALLS else GUIDE_TIME_OUT
-        least = held.row.retry_window // 4 if held.row.effect is Effect.REFERENCED else TIME_OUT
-        whole = min(TIME_OUT, max(2 * known, GUIDE_TIME_OUT if scarce else least))
-        return known if scarce and held.row.effect is not Effect.ONCE_ONLY else whole
-
-    def _host(self, entry: HostEntry) -> Host:
-        """The entry's host; a new one where it has moved: what is out at the old place ends there."""
-        dest = self.destinations[entry.destination]
-        if (host := self.hosts.get(entry.host)) and host.dest is dest:
+    def _idle_limit(self, kind: int, is_once_only: bool) -> int:
+        """How long connections to hosts of a kind may be idle.
+
+        -1: not at all, since too many were reset; guards against calls on connections that a host closes
+        after each answer."""
+        return (
+            -1
+            if self.stale_share[kind] > (MAX_STALE_SHARE_ONCE_ONLY if is_once_only else MAX_STALE_SHARE)
+            else self.max_idle_by_kind[kind]
+        )
+
+    def _timeout(self, pending: PendingText) -> int:
+        """Timeout of the call of a text, before its deadline is counted.
+
+        A referenced text keeps time for a repeat in its window. While slots are scarce a call waits for no
+        more than its expected duration, so that lost answers don't hold slots."""
+        is_scarce = self.slots_used > min(SCARCE_SLOTS_SHARE * self.settings.slots, self.settings.slots - 1.5)
+        expected = (
+            pending.call.host.overdue_after()
+            if pending.call.host.route.duration_count >= RECENT_CALL_COUNT
+            else SHORT_CALL_TIMEOUT
+        )
+        preferred = (
+            pending.product.retry_window // 4 if pending.product.effect is Effect.REFERENCED else CALL_TIMEOUT
+        )
+        timeout = min(CALL_TIMEOUT, max(2 * expected, SHORT_CALL_TIMEOUT if is_scarce else preferred))
+        return expected if is_scarce and pending.product.effect is not Effect.ONCE_ONLY else timeout
+
+    def _host_for(self, entry: HostEntry) -> Host:
+        """The host of a list entry; a new one where it has moved, its calls in flight stay at the old one."""
+        destination = self.destinations[entry.destination]
+        if (host := self.hosts.get(entry.host)) and host.destination is destination:
             return host
         elif host:
             host.listing = Listing.GONE
-        apart, window = self.settings.kinds[entry.kind].routes_apart, max(1, self.settings.slots // 2)
-        route = dest.shared = Route(window) if apart else dest.shared or Route(window)
-        host = self.hosts[entry.host] = Host(entry, dest, route, self.max_idle_time)
-        host.in_outage = route.tries > 0 and all(each.in_outage for each in route.hosts)  # new in an outage
-        dest.hosts.append(host)
+        routes_apart, window = self.settings.kinds[entry.kind].routes_apart, max(1, self.settings.slots // 2)
+        route = destination.shared_route = (
+            Route(window) if routes_apart else destination.shared_route or Route(window)
+        )
+        host = self.hosts[entry.host] = Host(entry, destination, route, self.max_idle_time)
+        # listed during an outage
+        host.in_outage = route.trial_count > 0 and all(each.in_outage for each in route.hosts)
+        destination.hosts.append(host)
         return host
 
-    def _jitter(self, submits: int) -> int:
-        return self.random_source.next_below(min(CAP, BASE << min(submits - 1, 20)) + 1)
-
-    def _release(self, now: int, call: Call) -> None:
-        host, route, dest = call.host, call.host.route, call.host.dest
-        call.texts -= 1
-        if call.texts == 0:
-            host.out.remove(call)
-            host.used_at, host.kept, dest.look_at = now, True, 0
-            route.calls, dest.calls, self.slots_used = route.calls - 1, dest.calls - 1, self.slots_used - 1
-
-    def _forget(self, now: int, held: PendingText) -> None:
-        self.texts.pop(held.text.id, None)
-        if (dest := self.destinations.get(held.text.destination)) is not None:
-            dest.waiting.pop(held.text.id, None)
-            dest.rest_at = now
-            self.idle_destinations.setdefault(held.text.destination, now + self.rest)
-        if held.key:
-            self.key_order.remove(held.key, held.text.id)
+    def _backoff(self, submit_count: int) -> int:
+        """A random wait before the next submit, up to a bound that doubles with each submit."""
+        return self.random_source.next_below(min(MAX_BACKOFF, BACKOFF_BASE << min(submit_count - 1, 20)) + 1)
+
+    def _release_call(self, now: int, call: Call) -> None:
+        """One text of the call has its outcome; with the last one the call frees its slot."""
+        host, route, destination = call.host, call.host.route, call.host.destination
+        call.text_count -= 1
+        if call.text_count == 0:
+            host.calls.remove(call)
+            host.last_used_at, host.has_idle_connection, destination.check_at = now, True, 0
+            route.call_count, destination.call_count, self.slots_used = (
+                route.call_count - 1,
+                destination.call_count - 1,
+                self.slots_used - 1,
+            )
+
+    def _forget_text(self, now: int, pending: PendingText) -> None:
+        """The text is finished: drop it, and let the next text of its key go."""
+        self.texts.pop(pending.text.id, None)
+        if (destination := self.destinations.get(pending.text.destination)) is not None:
+            destination.waiting.pop(pending.text.id, None)
+            destination.idle_since = now
+            self.idle_destinations.setdefault(pending.text.destination, now + self.destination_idle_time)
+        if pending.key:
+            self.key_order.remove(pending.key, pending.text.id)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -295,7 +295,7 @@
     """From the module's word to the ledger, and from the other process's ledger to the module."""
     driver.handover.start()
     driver._tell(clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, OTHER_HOST)])
-    driver.policy.log.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
+    driver.policy.log_lines.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it, and has turned
     assert driver.ledger.book.healths[OTHER_HOST].health is Health.OUTAGE
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -572,7 +572,12 @@
         now += 10 * S
         relay.policy.decide(now)
     policy = relay.policy
-    assert not policy.destinations and not policy.hosts and not policy.idle_destinations and not policy.active
+    assert (
+        not policy.destinations
+        and not policy.hosts
+        and not policy.idle_destinations
+        and not policy.active_destinations
+    )
 
 
 REFUSED = {"limit_left": 0.5, "limit_rate": 8.0}
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -3,19 +3,19 @@
 from conftest import HOST, NOW, REPORT, OTHER_HOST, S
 
 from limelatch.interface import Nack, Result, Submit
-from limelatch.policy import BASE, CAP, TOKEN, TOKEN_BUCKET_SIZE
+from limelatch.policy import BACKOFF_BASE, MAX_BACKOFF, TOKEN_PRICE, TOKEN_BUCKET_SIZE
 
 
 def test_a_repeat_takes_a_token_and_a_delivery_gives_a_tenth(relay):
-    dest, text = relay.host().dest, relay.take(REPORT)
+    dest, text = relay.host().destination, relay.take(REPORT)
     relay.out(text, Result.FULL)
-    assert dest.tokens == TOKEN_BUCKET_SIZE - TOKEN
+    assert dest.tokens == TOKEN_BUCKET_SIZE - TOKEN_PRICE
     relay.out(text, Result.DELIVERED, NOW + 15 * S, finished=True)
-    assert dest.tokens == TOKEN_BUCKET_SIZE - TOKEN + 1
+    assert dest.tokens == TOKEN_BUCKET_SIZE - TOKEN_PRICE + 1
 
 
 def test_without_a_token_the_answer_comes_at_once(relay):
-    relay.host().dest.tokens = TOKEN - 1
+    relay.host().destination.tokens = TOKEN_PRICE - 1
     text = relay.take(REPORT)
     relay.out(text, Result.FULL)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
@@ -23,15 +23,18 @@
 
 def test_submits_stop_at_the_told_most(relay):
     text = relay.take(REPORT)
-    relay.pending(text).submits = 3
+    relay.pending(text).submit_count = 3
     relay.out(text, Result.CONNECT)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
 
 
 def test_waits_are_jittered_under_a_doubling_capped_ceiling(relay):
-    waits = [[relay.policy._jitter(n) for _ in range(200)] for n in (1, 2, 20)]
-    assert [max(w) <= ceiling for w, ceiling in zip(waits, (BASE, 2 * BASE, CAP), strict=True)] == [True] * 3
-    assert max(waits[0]) < max(waits[1]) < max(waits[2]) and min(waits[2]) < BASE
+    waits = [[relay.policy._backoff(n) for _ in range(200)] for n in (1, 2, 20)]
+    assert [
+        max(w) <= ceiling
+        for w, ceiling in zip(waits, (BACKOFF_BASE, 2 * BACKOFF_BASE, MAX_BACKOFF), strict=True)
+    ] == [True] * 3
+    assert max(waits[0]) < max(waits[1]) < max(waits[2]) and min(waits[2]) < BACKOFF_BASE
 
 
 def test_a_wait_that_ends_too_late_is_not_waited(relay):
@@ -54,22 +57,22 @@
 
 def test_the_window_halves_when_the_median_is_twice_the_usual(relay):
     route = relay.host().route
-    route.usual, route.seen = 1000, 50
-    slow = [route.learn_latency(2500) for _ in range(7)]
+    route.usual_duration, route.duration_count = 1000, 50
+    slow = [route.record_duration(2500) for _ in range(7)]
     assert slow == [False] * 6 + [True]
 
 
 def test_one_slow_call_halves_nothing(relay):
     route = relay.host().route
-    route.usual, route.seen = 1000, 50
-    assert not any(route.learn_latency(took) for took in (900, 900, 900, 900, 900, 900, 30_000))
+    route.usual_duration, route.duration_count = 1000, 50
+    assert not any(route.record_duration(took) for took in (900, 900, 900, 900, 900, 900, 30_000))
 
 
 def test_three_quarters_of_the_slots_when_healthy_half_otherwise(relay):
     host = relay.host()
-    assert relay.policy._window_cap(host) == 6
+    assert relay.policy._max_window(host) == 6
     host.in_outage = True
-    assert relay.policy._window_cap(host) == 4
+    assert relay.policy._max_window(host) == 4
 
 
 def test_slots_are_never_passed(relay):
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -199,7 +199,7 @@
     assert set(driver.notifier.owed) == (set() if again else {text.encode() for text in texts})
     assert set(driver.owed) == {text.encode() for text in texts}
     if again:
-        assert {held.ran_at for held in driver.policy.texts.values()} == {call.sent}
+        assert {held.first_run_at for held in driver.policy.texts.values()} == {call.sent}
 
 
 def test_a_wait_that_is_told_too_late_for_the_text_is_heeded_all_the_same(driver, loop):
@@ -292,7 +292,7 @@
     bench = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
     bench.list(HOST, now=WALL)
     route = bench.host().route
-    route.limit, route.pace, route.credit, route.credit_at = 0.0, 0.0, 0.0, WALL  # had one, long ago
+    route.limit, route.pace, route.credit, route.credit_updated_at = 0.0, 0.0, 0.0, WALL  # had one, long ago
     now = WALL + 600 * S
     bench.out(bench.take(REPORT, now=now), Result.DELIVERED, now, finished=True, limit_rate=40.0)
     bench.decide(now=now)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 
 from limelatch.interface import Health, Listing, Nack, TextHistory, Result, Submit, Text, Undeliverable, Watch
 from limelatch.key_order import QueuedText
-from limelatch.policy import TOLD_JITTER
+from limelatch.policy import RETRY_AFTER_JITTER
 
 
 def test_a_text_that_expires_is_answered_once(relay):
@@ -45,20 +45,20 @@
     relay.list(OTHER_HOST, zone=1)
     text = relay.take()
     first = relay.out(text, Result.TIMEOUT, NOW)
-    relay.pending(text).due = NOW
+    relay.pending(text).due_at = NOW
     other = OTHER_HOST if first == HOST else HOST
-    assert not relay.policy._gate(NOW + S, relay.pending(text), relay.host(other))
-    assert relay.policy._gate(NOW + S, relay.pending(text), relay.host(first))
-    assert not relay.policy._gate(NOW + 10 * S, relay.pending(text), relay.host(first))
+    assert not relay.policy._is_send_allowed(NOW + S, relay.pending(text), relay.host(other))
+    assert relay.policy._is_send_allowed(NOW + S, relay.pending(text), relay.host(first))
+    assert not relay.policy._is_send_allowed(NOW + 10 * S, relay.pending(text), relay.host(first))
 
 
 def test_a_refusal_after_a_time_out_counts_as_one(relay):
     text = relay.take()
     relay.out(text, Result.TIMEOUT)
-    relay.pending(text).due = NOW
+    relay.pending(text).due_at = NOW
     relay.host().in_outage = False
     relay.out(text, Result.FULL, NOW + S // 2)
-    assert relay.pending(text).ran_at == NOW and not relay.pending(text).may_nack()
+    assert relay.pending(text).first_run_at == NOW and not relay.pending(text).may_nack()
 
 
 def test_nothing_new_to_a_draining_or_missing_host(relay):
@@ -88,7 +88,7 @@
 def test_a_returning_host_gets_no_more_than_its_part(relay):
     host = relay.host()
     host.route.learn_limit(10.0, 3)
-    host.back_at = host.warm_at = NOW
+    host.recovered_at = host.warm_up_updated_at = NOW
     sent = 0
     for step in range(100):  # two seconds of deciding every 20 ms with texts always held
         relay.take(REPORT)
@@ -98,15 +98,15 @@
 
 def test_the_warm_up_ends_after_the_cold_time(relay):
     host = relay.host()
-    host.back_at = host.warm_at = NOW
+    host.recovered_at = host.warm_up_updated_at = NOW
     relay.take()
-    assert len(relay.sent(NOW + 12 * S)) == 1 and host.back_at is None
+    assert len(relay.sent(NOW + 12 * S)) == 1 and host.recovered_at is None
 
 
 @pytest.mark.parametrize("result", [Result.TIMEOUT, Result.MALFORMED])
 def test_texts_of_a_key_go_in_turn_and_rest_after_what_may_still_run(relay, result):
     first, second = relay.take(CHARGE, key=5), relay.take(CHARGE, key=5)
-    relay.host().last_ok = NOW + 1
+    relay.host().last_success_at = NOW + 1
     relay.out(first, result)
     assert relay.sent(NOW) == {} and relay.sent(NOW + 3000) == {}  # its answer is not heard yet
     relay.policy.text_finished(NOW + 3000, first)
@@ -118,7 +118,7 @@
     first, second = relay.take(CHARGE, key=5), relay.take(CHARGE, key=5)
     relay.out(first, Result.MALFORMED, finished=True)
     assert relay.sent(NOW + 2990) == {} and relay.sent(NOW + 3200) == {second: HOST}
-    assert not relay.host().failing
+    assert not relay.host().failure_share
 
 
 def test_another_key_does_not_wait(relay):
@@ -132,7 +132,7 @@
     relay.out(text, Result.FULL, retry_after=2 * S, limit_left=0.0)
     relay.take(REPORT)
     assert relay.sent(NOW + 2 * S - 1) == {}
-    assert relay.host().route.wait_until < NOW + 2 * S + TOLD_JITTER
+    assert relay.host().route.wait_until < NOW + 2 * S + RETRY_AFTER_JITTER
     assert relay.sent(NOW + 20 * S)  # the pace that the refusal leaves may hold it for longer
 
 
@@ -204,7 +204,7 @@
     text = relay.take(REPORT)
     tokens = relay.policy.destinations[1].tokens
     relay.out(text, Result.NOT_SENT, unsent=True)
-    assert relay.pending(text).submits == 0 and relay.policy.destinations[1].tokens == tokens
+    assert relay.pending(text).submit_count == 0 and relay.policy.destinations[1].tokens == tokens
     assert relay.sent(NOW + S) == {text: HOST}
     relay.end(text, Result.FULL, NOW + S)
     assert relay.decide((Nack, Undeliverable), NOW + S) == [Nack(text, 2 * S)]  # that one was sent
@@ -220,13 +220,13 @@
 
 def test_an_asked_list_is_asked_for_at_random_and_again_after_each_failure(fleet_relay, relay):
     """A relay that never asked was taken as told of drains, and sent to hosts that were gone."""
-    now, waits = fleet_relay.policy.ask_at, set()
+    now, waits = fleet_relay.policy.watch_at, set()
     assert NOW <= now < NOW + 10 * S and not fleet_relay.decide(Watch, now - 1)
     for _ in range(6):
         assert fleet_relay.decide(Watch, now) and not fleet_relay.decide(Watch, now)
         fleet_relay.policy.list_failed(now)
-        waits.add(fleet_relay.policy.ask_at - now)
-        now = fleet_relay.policy.ask_at
+        waits.add(fleet_relay.policy.watch_at - now)
+        now = fleet_relay.policy.watch_at
     assert 0 <= min(waits) and max(waits) < 10 * S and len(waits) > 3 and fleet_relay.sent(now) == {}
     relay.policy.list_failed(NOW)  # of a pushed one
     assert (
@@ -279,7 +279,7 @@
     )  # one outage takes the hosts of a route
     assert len(relay.sent(NOW + S // 10)) <= 1  # trials alone
     relay.policy.health_from_sibling(NOW + 2 * S, HOST, Health.WARMING, NOW + 2 * S)
-    assert not relay.host().in_outage and relay.host().back_at == NOW + 2 * S
+    assert not relay.host().in_outage and relay.host().recovered_at == NOW + 2 * S
     assert len(relay.sent(NOW + 2 * S + 1)) <= 2 < len(texts)
 
 
@@ -288,7 +288,7 @@
     relay.policy.health_from_sibling(NOW, HOST, Health.OUTAGE, NOW - S)
     assert not relay.host().in_outage
     relay.policy.health_from_sibling(NOW, HOST, Health.WARMING, NOW - 30 * S)  # long warm again
-    assert relay.host().back_at is None
+    assert relay.host().recovered_at is None
     relay.policy.health_from_sibling(NOW, b"unknown", Health.OUTAGE, NOW)
 
 
@@ -297,5 +297,5 @@
     for processes in (1, 2):
         relay.policy.process_count = processes
         route = relay.host().route
-        rates.append(relay.policy._seers(NOW, route))
+        rates.append(relay.policy._informed_relay_count(NOW, route))
     assert rates[1] == 2 * rates[0]
--- a/tests/test_terms_cold.py
+++ b/tests/test_terms_cold.py
@@ -30,7 +30,7 @@
     Text,
     Wake,
 )
-from limelatch.policy import CAP, Policy, Route
+from limelatch.policy import MAX_BACKOFF, Policy, Route
 
 NOW, OUTAGE, LATENCY, VALID = 100 * SECOND, 10 * SECOND, 40 * MS, 60 * SECOND
 SYMPTOMS = {
@@ -268,14 +268,14 @@
     the next look at the pace of its beginning."""
     looked, once = (Route(8) for _ in range(2))
     for route in (looked, once):
-        route.limit, route.pace, route.credit, route.cuts = 6.0, 0.06, -0.5, 1
-        route.refill(NOW, 60)
-    due = once.saved_after()
+        route.limit, route.pace, route.credit, route.cut_count = 6.0, 0.06, -0.5, 1
+        route.update_pace(NOW, 60)
+    due = once.time_until_credit()
     for at in range(NOW, NOW + due // 2, 10 * MS):
-        looked.refill(at, 60)
-    looked.refill(NOW + due // 2, 60), once.refill(NOW + due // 2, 60)
+        looked.update_pace(at, 60)
+    looked.update_pace(NOW + due // 2, 60), once.refill(NOW + due // 2, 60)
     assert looked.credit == pytest.approx(once.credit, abs=0.03)
-    once.refill(NOW + due, 60)
+    once.update_pace(NOW + due, 60)
     assert once.credit == pytest.approx(1.0, abs=0.05) and 10 * SECOND < due < 1.2 / 0.06 * SECOND
 
 
@@ -292,7 +292,7 @@
     for patient in (False, True):
         world = World(cold, 20, 30, 3, patient=patient).run()
         sent, let = world.half_after()
-        assert sent <= let + CAP / SECOND / 2 and world.worst() <= 0, (sent, let)
+        assert sent <= let + MAX_BACKOFF / SECOND / 2 and world.worst() <= 0, (sent, let)
 
 
 @EACH
