--- a/limelatch/configuration/__init__.py
+++ b/limelatch/configuration/__init__.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 
 from limelatch.configuration.checks import retune_faults
-from limelatch.configuration.faults import ConfigurationError, Fault
+from limelatch.configuration.errors import ConfigurationError, Fault
 from limelatch.configuration.files import Form, Found, load, told_path
 from limelatch.configuration.plan import Address, Names, RelayPlan, bench_terms, plan_of
 from limelatch.configuration.units import to_units
--- a/limelatch/configuration/checks.py
+++ b/limelatch/configuration/checks.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from limelatch.configuration.faults import Fault
+from limelatch.configuration.errors import Fault
 from limelatch.configuration.model import Installation, Membership, News
 from limelatch.configuration.reading import read_address
 from limelatch.configuration.units import write_span
--- a/limelatch/configuration/files.py
+++ b/limelatch/configuration/files.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from limelatch.configuration.checks import doubts, mixed
-from limelatch.configuration.faults import ConfigurationError, Fault
+from limelatch.configuration.errors import ConfigurationError, Fault
 from limelatch.configuration.model import Installation
 from limelatch.configuration.platform import UNITS, read_platform
 from limelatch.configuration.reading import OWN, Reader, Unit
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from limelatch import interface as li
-from limelatch.configuration.faults import ConfigurationError
+from limelatch.configuration.errors import ConfigurationError
 from limelatch.configuration.model import (
     Falls,
     Installation,
--- a/limelatch/configuration/platform.py
+++ b/limelatch/configuration/platform.py
@@ -12,7 +12,7 @@
 from msgspec import inspect
 
 from limelatch.configuration.checks import mixed
-from limelatch.configuration.faults import Fault, wrong
+from limelatch.configuration.errors import Fault, wrong
 from limelatch.configuration.model import Falls, Installation, Known, News, Rates
 from limelatch.configuration.reading import ADDRESS, Key, Reader, Unit, keys_of
 from limelatch.configuration.units import MEGABYTE, to_units
--- a/limelatch/configuration/reading.py
+++ b/limelatch/configuration/reading.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import inspect
 
-from limelatch.configuration.faults import Fault, wrong
+from limelatch.configuration.errors import Fault, wrong
 from limelatch.configuration.model import Installation
 from limelatch.configuration.units import read_size, read_span, write_size, write_span
 
--- a/limelatch/lab/scenario/check.py
+++ b/limelatch/lab/scenario/check.py
@@ -6,7 +6,7 @@
 from fnmatch import fnmatchcase
 
 from limelatch.configuration.checks import names_twice
-from limelatch.configuration.faults import Fault
+from limelatch.configuration.errors import Fault
 from limelatch.configuration.units import write_span
 from limelatch.interface import SECOND, Effect
 from limelatch.lab.scenario.model import ENDPOINTS_MOST, FaultKeys, LimitForm, PartnerKeys, Scenario, What
