--- a/limelatch/command/config.py
+++ b/limelatch/command/config.py
@@ -21,13 +21,13 @@
 def read(path: str, form: str | None = None):
     """The file as it was read; faults end the command with exit 2, a line each."""
     from limelatch.configuration import ConfigurationError, Form, load
-    from limelatch.configuration.files import fault_lines, form_of
+    from limelatch.configuration.files import error_lines, form_of
 
     chosen = Form(form) if form else form_of(path)
     try:
         return load(path, chosen)
     except ConfigurationError as error:
-        for line in fault_lines(error, path, chosen):
+        for line in error_lines(error, path, chosen):
             click.echo(line, err=True)
         raise SystemExit(BAD_USE) from None
 
@@ -43,7 +43,7 @@
     \b
     Example:  limelatch config check relay.toml
     """
-    from limelatch.configuration.files import fault_line
+    from limelatch.configuration.files import error_line
 
     bad = False
     for path in paths:
@@ -53,7 +53,7 @@
             bad = True
             continue
         for doubt in found.doubts():
-            click.echo(f"doubt: {fault_line(path, doubt)}", err=True)
+            click.echo(f"doubt: {error_line(path, doubt)}", err=True)
         click.echo(f"{path}: good ({found.form.value}, {len(found.told)} keys told)")
     if bad:
         raise SystemExit(BAD_USE)
--- a/limelatch/command/lab.py
+++ b/limelatch/command/lab.py
@@ -55,7 +55,7 @@
 def scenario_of(name: str) -> tuple[str, str]:
     """What a scenario is called, and its text; all its faults end the command."""
     from limelatch.configuration import ConfigurationError, Form
-    from limelatch.configuration.files import fault_lines
+    from limelatch.configuration.files import error_lines
     from limelatch.lab.scenario.load import parse, text_of
 
     path = name
@@ -63,7 +63,7 @@
         path, text = text_of(name)
         return parse(path, text).scenario.name, text
     except ConfigurationError as error:
-        for line in fault_lines(error, path, Form.OWN):
+        for line in error_lines(error, path, Form.OWN):
             click.echo(line, err=True)
         raise SystemExit(BAD_USE) from None
 
@@ -132,7 +132,7 @@
 @click.argument("paths", metavar="SCENARIO...", nargs=-1, required=True)
 def check(paths: tuple[str, ...]) -> None:
     """Tell all that is wrong with scenarios, with lines; exit 2 where one can't be played."""
-    from limelatch.configuration.files import fault_line
+    from limelatch.configuration.files import error_line
     from limelatch.lab.scenario.load import doubts, parse
 
     bad = False
@@ -143,7 +143,7 @@
             bad = True
             continue
         for doubt in doubts(parse(path, text)):
-            click.echo(f"doubt: {fault_line(path, doubt)}", err=True)
+            click.echo(f"doubt: {error_line(path, doubt)}", err=True)
         click.echo(f"{path}: good ({name})")
     if bad:
         raise SystemExit(BAD_USE)
@@ -417,7 +417,7 @@
         parse("scenario", varied)
         return varied
     except ConfigurationError as error:
-        raise BadUse("; ".join(str(fault) for fault in error.faults)) from None
+        raise BadUse("; ".join(str(fault) for fault in error.errors)) from None
 
 
 @lab.command()
--- a/limelatch/configuration/__init__.py
+++ b/limelatch/configuration/__init__.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from limelatch.configuration.checks import retune_faults
-from limelatch.configuration.errors import ConfigurationError, Fault
+from limelatch.configuration.checks import reload_errors
+from limelatch.configuration.errors import ConfigurationError, ConfigError
 from limelatch.configuration.files import Form, Found, load, told_path
 from limelatch.configuration.plan import Address, Names, RelayPlan, bench_terms, plan_of
 from limelatch.configuration.units import to_units
@@ -18,7 +18,7 @@
 __all__ = [
     "Address",
     "ConfigurationError",
-    "Fault",
+    "ConfigError",
     "Form",
     "Found",
     "Names",
@@ -27,7 +27,7 @@
     "load",
     "plan_of",
     "relay_plan",
-    "retuned_plan",
+    "reloaded_plan",
     "to_units",
 ]
 
@@ -39,16 +39,16 @@
     return plan_of(load(path or told_path(environment), form, environment).installation)
 
 
-def retuned_plan(
+def reloaded_plan(
     environment: Mapping[str, str], path: str | None = None, form: Form | None = None
 ) -> RelayPlan:
     """The plan of a new configuration at SIGHUP; ConfigurationError where it can't be taken, and the one in
     force stays whole."""
     found = load(path or told_path(environment), form, environment)
-    faults = [
+    errors = [
         replace(each, path=found.reader.where(each.path))
-        for each in retune_faults(found.installation, found.told)
+        for each in reload_errors(found.installation, found.told)
     ]
-    if faults:
-        raise ConfigurationError(faults, found.text)
+    if errors:
+        raise ConfigurationError(errors, found.text)
     return plan_of(found.installation)
--- a/limelatch/configuration/errors.py
+++ b/limelatch/configuration/errors.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class Fault:
+class ConfigError:
     """One fault. `line` counts from 1; 0 where it is not known."""
 
     path: str
@@ -22,9 +22,9 @@
 class ConfigurationError(Exception):
     """A configuration that can't be used; it holds every fault that was found, in the order of the model."""
 
-    def __init__(self, faults: list[Fault], text: str = "") -> None:
-        super().__init__("\n".join(str(fault) for fault in faults))
-        self.faults, self.text = faults, text  # the file's, where it could be read at all
+    def __init__(self, errors: list[ConfigError], text: str = "") -> None:
+        super().__init__("\n".join(str(fault) for fault in errors))
+        self.errors, self.text = errors, text  # the file's, where it could be read at all
 
 
 def shown(value: object) -> str:
@@ -39,6 +39,6 @@
     return word if len(word) <= SHOWN_MOST + 2 else word[: SHOWN_MOST - 2] + "..."
 
 
-def wrong(path: str, wanted: str, value: object) -> Fault:
+def wrong(path: str, wanted: str, value: object) -> ConfigError:
     """The fault of a value that is not what was wanted."""
-    return Fault(path, f"{wanted} is wanted, not {shown(value)}")
+    return ConfigError(path, f"{wanted} is wanted, not {shown(value)}")
--- a/limelatch/configuration/files.py
+++ b/limelatch/configuration/files.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from limelatch.configuration.checks import doubts, mixed
-from limelatch.configuration.errors import ConfigurationError, Fault
+from limelatch.configuration.errors import ConfigurationError, ConfigError
 from limelatch.configuration.model import Installation
 from limelatch.configuration.platform import UNITS, read_platform
 from limelatch.configuration.reading import OWN, Reader, Unit
@@ -55,10 +55,10 @@
         """The paths of the keys that it tells; all others have their defaults."""
         return self.reader.told
 
-    def doubts(self) -> list[Fault]:
+    def doubts(self) -> list[ConfigError]:
         """What is taken as it is, though it can't be right."""
         found = [replace(each, path=self.reader.where(each.path)) for each in doubts(self.installation)]
-        return located(found, self.text, self.form)
+        return with_lines(found, self.text, self.form)
 
 
 def form_of(path: str) -> Form:
@@ -72,16 +72,18 @@
         with open(path, "rb", opener=lambda name, flags: os.open(name, flags | os.O_NONBLOCK)) as file:
             status = os.fstat(file.fileno())
             if not stat.S_ISREG(status.st_mode):
-                raise ConfigurationError([Fault(path, "a file is wanted, and this is none")])
+                raise ConfigurationError([ConfigError(path, "a file is wanted, and this is none")])
             if status.st_size > most:
                 raise ConfigurationError(
-                    [Fault(path, f"a file of {most} bytes at most is wanted, not of {status.st_size}")]
+                    [ConfigError(path, f"a file of {most} bytes at most is wanted, not of {status.st_size}")]
                 )
             raw = file.read(most + 1)
     except (OSError, ValueError) as error:
-        raise ConfigurationError([Fault(path, getattr(error, "strerror", None) or str(error))]) from None
+        raise ConfigurationError(
+            [ConfigError(path, getattr(error, "strerror", None) or str(error))]
+        ) from None
     if not raw.strip():
-        raise ConfigurationError([Fault(path, "the file is empty")])
+        raise ConfigurationError([ConfigError(path, "the file is empty")])
     return raw
 
 
@@ -90,7 +92,7 @@
         return raw.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         line = raw.count(b"\n", 0, error.start) + 1
-        raise ConfigurationError([Fault(path, f"byte {error.start} is not UTF-8", line)]) from None
+        raise ConfigurationError([ConfigError(path, f"byte {error.start} is not UTF-8", line)]) from None
 
 
 def parse_json(path: str, text: str) -> object:
@@ -110,29 +112,32 @@
     try:
         raw = json.loads(text, object_pairs_hook=pairs, parse_constant=constant)
     except json.JSONDecodeError as error:
-        raise ConfigurationError([Fault(path, f"no JSON: {error.msg}", error.lineno)]) from None
+        raise ConfigurationError([ConfigError(path, f"no JSON: {error.msg}", error.lineno)]) from None
     except RecursionError:
-        raise ConfigurationError([Fault(path, "nested too deeply")]) from None
+        raise ConfigurationError([ConfigError(path, "nested too deeply")]) from None
     except ValueError as error:
-        raise ConfigurationError([Fault(path, f"no JSON: {error}")]) from None
+        raise ConfigurationError([ConfigError(path, f"no JSON: {error}")]) from None
     if twice:
         raise ConfigurationError(
-            [Fault(path, f"the key {name!r} stands twice in one object") for name in dict.fromkeys(twice)]
+            [
+                ConfigError(path, f"the key {name!r} stands twice in one object")
+                for name in dict.fromkeys(twice)
+            ]
         )
     return raw
 
 
 def parse_toml(path: str, text: str) -> object:
     if any(QUOTED_ADDRESS.sub("", line).count(".") > KEY_MOST for line in text.split("\n")):
-        raise ConfigurationError([Fault(path, "nested too deeply")])
+        raise ConfigurationError([ConfigError(path, "nested too deeply")])
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ConfigurationError([Fault(path, f"no TOML: {error}")]) from None
+        raise ConfigurationError([ConfigError(path, f"no TOML: {error}")]) from None
     except RecursionError:
-        raise ConfigurationError([Fault(path, "nested too deeply")]) from None
+        raise ConfigurationError([ConfigError(path, "nested too deeply")]) from None
     except ValueError as error:  # a number with too many digits, a date that is none
-        raise ConfigurationError([Fault(path, f"no TOML: {error}")]) from None
+        raise ConfigurationError([ConfigError(path, f"no TOML: {error}")]) from None
 
 
 def load(path: str, form: Form | None = None, environment: Mapping[str, str] | None = None) -> Found:
@@ -144,7 +149,7 @@
     if form is Form.OWN:
         reader = Reader(OWN, strict=True)
         installation = reader.read(parse_toml(path, text))
-        faults = reader.faults
+        errors = reader.errors
     else:
         raw = parse_json(path, text)
         if isinstance(raw, dict):
@@ -154,39 +159,39 @@
                 if word in (environment or {})
             }
             raw = told | {key: value for key, value in raw.items() if value is not None}
-        installation, faults, reader = read_platform(raw)
+        installation, errors, reader = read_platform(raw)
     if form is Form.OWN and installation is not None:  # the platform's is taken as it is
-        faults = faults + mixed(installation, own=True) + doubts(installation)
-    if faults:
-        raise ConfigurationError(faults, text)
+        errors = errors + mixed(installation, own=True) + doubts(installation)
+    if errors:
+        raise ConfigurationError(errors, text)
     return Found(path, form, text, installation, reader)
 
 
-def located(faults: list[Fault], text: str, form: Form) -> list[Fault]:
+def with_lines(errors: list[ConfigError], text: str, form: Form) -> list[ConfigError]:
     """The faults with the lines where they stand, if the library that finds them is at hand."""
-    if not faults or not 0 < len(text) <= LINES_MOST:
-        return faults
+    if not errors or not 0 < len(text) <= LINES_MOST:
+        return errors
     try:
         from limelatch.configuration.places import lines_of
     except ImportError:  # the platform's build does without it
-        return faults
+        return errors
     try:
         lines = lines_of(text, form is Form.OWN)
     except RecursionError:
-        return faults
-    found = [each if each.line else replace(each, line=line_for(each.path, lines)) for each in faults]
+        return errors
+    found = [each if each.line else replace(each, line=line_for(each.path, lines)) for each in errors]
     return sorted(found, key=lambda each: each.line)
 
 
-def fault_line(path: str, fault: Fault) -> str:
+def error_line(path: str, fault: ConfigError) -> str:
     """A fault as compilers print theirs: file, line, key, what is wanted."""
     place = f"{path}:{fault.line}" if fault.line else path
     return f"{place}: {fault.wanted}" if fault.path == path else f"{place}: {fault.path}: {fault.wanted}"
 
 
-def fault_lines(error: ConfigurationError, path: str, form: Form) -> list[str]:
+def error_lines(error: ConfigurationError, path: str, form: Form) -> list[str]:
     """All faults of a file, a line each, by their lines."""
-    return [fault_line(path, fault) for fault in located(error.faults, error.text, form)]
+    return [error_line(path, fault) for fault in with_lines(error.errors, error.text, form)]
 
 
 def line_for(path: str, lines: Mapping[str, int]) -> int:
@@ -200,5 +205,5 @@
     """The file that $RELAY_CONFIG names."""
     path = environment.get("RELAY_CONFIG")
     if not path:
-        raise ConfigurationError([Fault("RELAY_CONFIG", "the path of a file is wanted")])
+        raise ConfigurationError([ConfigError("RELAY_CONFIG", "the path of a file is wanted")])
     return path
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -165,9 +165,9 @@
     """The terms of an instance that is told nothing but the platform's settings."""
     anywhere = "0.0.0.0:0"
     raw = {"listen": anywhere, "discovery": anywhere, "state": ".", "settings": settings}
-    installation, faults, _ = read_platform(raw)
+    installation, errors, _ = read_platform(raw)
     if installation is None:
-        raise ConfigurationError(faults)
+        raise ConfigurationError(errors)
     return terms_of(installation, seed)
 
 
--- a/limelatch/configuration/platform.py
+++ b/limelatch/configuration/platform.py
@@ -12,7 +12,7 @@
 from msgspec import inspect
 
 from limelatch.configuration.checks import mixed
-from limelatch.configuration.errors import Fault, wrong
+from limelatch.configuration.errors import ConfigError, wrong
 from limelatch.configuration.model import Falls, Installation, Known, News, Rates
 from limelatch.configuration.reading import ADDRESS, Key, Reader, Unit, keys_of
 from limelatch.configuration.units import MEGABYTE, to_units
@@ -73,7 +73,7 @@
     """The platform's object in the model's shape; `place` tells where a key of the model stands in it."""
 
     def __init__(self, raw: object) -> None:
-        self.raw, self.faults, self.places = raw, [], {}
+        self.raw, self.errors, self.places = raw, [], {}
         self.broken: set[str] = set()
         self.own = self._translate() if isinstance(raw, dict) else raw
 
@@ -87,7 +87,7 @@
             if not isinstance(at, dict):
                 if path not in self.broken:
                     self.broken.add(path)
-                    self.faults.append(wrong(path, "an object", at))
+                    self.errors.append(wrong(path, "an object", at))
                 return None
             at, path = at.get(name), f"{path}.{name}" if path else name
             if at is None:
@@ -97,7 +97,7 @@
     def _listed(self, place: str) -> list:
         found = self.get(place)
         if found is not None and not isinstance(found, list):
-            self.faults.append(wrong(place, "a list", found))
+            self.errors.append(wrong(place, "a list", found))
             return []
         return found or []
 
@@ -142,7 +142,7 @@
         """Clients are told when to come again only where the platform says so."""
         told = self.get(ADVICE_FLAG)
         if told is not None and not isinstance(told, bool):
-            self.faults.append(wrong(ADVICE_FLAG, "true or false", told))
+            self.errors.append(wrong(ADVICE_FLAG, "true or false", told))
         elif not told:
             limits.pop("advice", None)
 
@@ -194,16 +194,16 @@
     return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value <= 1
 
 
-def read_platform(raw: object) -> tuple[Installation | None, list[Fault], Reader]:
+def read_platform(raw: object) -> tuple[Installation | None, list[ConfigError], Reader]:
     """The model of the platform's object, all that is wrong with it, and the reader with what was told."""
     translation = Translation(raw)
-    reader = Reader(UNITS, strict=False, where=translation.place, faults=translation.faults)
+    reader = Reader(UNITS, strict=False, where=translation.place, errors=translation.errors)
     found = reader.read(translation.own)
     for each in mixed(found, own=False) if found is not None else ():
         found = None
-        reader.faults.append(Fault(translation.place(each.path), each.wanted))
+        reader.errors.append(ConfigError(translation.place(each.path), each.wanted))
     broken = tuple(f"{path}." for path in translation.broken)  # what is missing there is told already
-    return found, [each for each in reader.faults if not broken or not each.path.startswith(broken)], reader
+    return found, [each for each in reader.errors if not broken or not each.path.startswith(broken)], reader
 
 
 def put(raw: dict, place: str, value: object) -> None:
--- a/limelatch/configuration/reading.py
+++ b/limelatch/configuration/reading.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import inspect
 
-from limelatch.configuration.errors import Fault, wrong
+from limelatch.configuration.errors import ConfigError, wrong
 from limelatch.configuration.model import Installation
 from limelatch.configuration.units import read_size, read_span, write_size, write_span
 
@@ -118,22 +118,22 @@
     strict: bool  # whether an unknown key is a fault
     where: Callable[[str], str] = str  # a key's path in the model, as the file has it
     root: type[msgspec.Struct] = Installation
-    faults: list[Fault] = field(default_factory=list)
+    errors: list[ConfigError] = field(default_factory=list)
     told: set[str] = field(default_factory=set)
 
     def read(self, raw: object) -> msgspec.Struct | None:
         """The model, of the root's type; None where anything is wrong."""
         found = self.table(self.root, raw, "")
-        return found if not self.faults else None
+        return found if not self.errors else None
 
-    def fault(self, path: str, wanted: str, value: object) -> None:
-        self.faults.append(wrong(self.where(path), wanted, value))
+    def add_error(self, path: str, wanted: str, value: object) -> None:
+        self.errors.append(wrong(self.where(path), wanted, value))
 
     def table(self, kind: type[msgspec.Struct], raw: object, path: str) -> msgspec.Struct | None:
         if not isinstance(raw, dict):
-            self.fault(path or "the configuration", "a table", raw)
+            self.add_error(path or "the configuration", "a table", raw)
             return None
-        keys, values, count = keys_of(kind), {}, len(self.faults)
+        keys, values, count = keys_of(kind), {}, len(self.errors)
         if self.strict:
             for name in raw:
                 if name not in keys or keys[name].notes.get("own", True) is False:
@@ -147,8 +147,8 @@
                 values[name] = self.table(key.type.cls, {}, at)  # so that each key that is missing is named
             elif key.required:
                 wanted = bounds(key, self.units.get(key.unit))
-                self.faults.append(Fault(self.where(at), f"{wanted} is wanted; it is missing"))
-        return kind(**values) if len(self.faults) == count else None
+                self.errors.append(ConfigError(self.where(at), f"{wanted} is wanted; it is missing"))
+        return kind(**values) if len(self.errors) == count else None
 
     def unknown(self, kind: type[msgspec.Struct], name: str, path: str) -> None:
         """A key that the model has not: name the nearest that it has, here or in another table."""
@@ -163,7 +163,7 @@
         else:
             near = get_close_matches(name, elsewhere, 1, NEAR)
             hint = f"; did you mean {elsewhere[near[0]]}.{near[0]}?" if near else ""
-        self.faults.append(Fault(self.where(full), f"no such key{hint}"))
+        self.errors.append(ConfigError(self.where(full), f"no such key{hint}"))
 
     def value(self, key: Key, raw: object, path: str) -> object:
         kind = key.type
@@ -183,30 +183,30 @@
                 raise ValueError(raw)
             return found
         except (ValueError, TypeError, OverflowError, msgspec.ValidationError):
-            self.fault(path, bounds(key, unit), raw)
+            self.add_error(path, bounds(key, unit), raw)
             return None
 
     def rows(self, key: Key, raw: object, path: str) -> list:
         kind = key.type
         if not isinstance(raw, list) or len(raw) < (kind.min_length or 0):
-            self.fault(path, "a list with a row at least" if kind.min_length else "a list", raw)
+            self.add_error(path, "a list with a row at least" if kind.min_length else "a list", raw)
             return []
         if kind.max_length is not None and len(raw) > kind.max_length:
-            self.fault(path, f"at most {kind.max_length} rows", raw)
+            self.add_error(path, f"at most {kind.max_length} rows", raw)
             return []
         return [self.table(kind.item_type.cls, row, f"{path}[{at}]") for at, row in enumerate(raw)]
 
     def words(self, kind: inspect.DictType, raw: object, path: str) -> dict:
         """A table whose keys are free and whose values are of one type."""
         if not isinstance(raw, dict):
-            self.fault(path, "a table", raw)
+            self.add_error(path, "a table", raw)
             return {}
         found = {}
         for name, value in raw.items():
             try:
                 found[name] = msgspec.convert(value, kind.value_type.cls)
             except msgspec.ValidationError:
-                self.fault(f"{path}.{name}", ", ".join(each.value for each in kind.value_type.cls), value)
+                self.add_error(f"{path}.{name}", ", ".join(each.value for each in kind.value_type.cls), value)
         return found
 
 
--- a/limelatch/lab/experiments.py
+++ b/limelatch/lab/experiments.py
@@ -19,7 +19,7 @@
 import msgspec
 import tomlkit
 
-from limelatch.configuration import ConfigurationError, Fault
+from limelatch.configuration import ConfigurationError, ConfigError
 from limelatch.lab import play
 from limelatch.lab.figures import Figures, figures_of
 from limelatch.lab.record import SUFFIX
@@ -142,7 +142,7 @@
             at = at[step]
         at[parts[-1]] = tomllib.loads(f"value = {value}")["value"]
     except (KeyError, IndexError, TypeError, tomllib.TOMLDecodeError):
-        raise ConfigurationError([Fault(key, f"no such key, or no value of TOML: {value!r}")]) from None
+        raise ConfigurationError([ConfigError(key, f"no such key, or no value of TOML: {value!r}")]) from None
     return tomlkit.dumps(document)
 
 
--- a/limelatch/lab/scenario/check.py
+++ b/limelatch/lab/scenario/check.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from fnmatch import fnmatchcase
 
-from limelatch.configuration.checks import names_twice
-from limelatch.configuration.errors import Fault
+from limelatch.configuration.checks import duplicate_names
+from limelatch.configuration.errors import ConfigError
 from limelatch.configuration.units import write_span
 from limelatch.interface import SECOND, Effect
 from limelatch.lab.scenario.model import ENDPOINTS_MOST, FaultKeys, LimitForm, PartnerKeys, Scenario, What
@@ -60,11 +60,11 @@
             yield f"{group.name}-{number}", group
 
 
-def faults_of(scenario: Scenario) -> list[Fault]:
+def faults_of(scenario: Scenario) -> list[ConfigError]:
     """All that makes it unplayable, by key."""
-    found: list[Fault] = []
+    found: list[ConfigError] = []
     for table in ("products", "customers", "kinds", "floors", "partners"):
-        found += names_twice(table, [row.name for row in getattr(scenario, table)])
+        found += duplicate_names(table, [row.name for row in getattr(scenario, table)])
     found += partners_faults(scenario)
     found += products_faults(scenario)
     names = {
@@ -77,88 +77,92 @@
     for at, fault in enumerate(scenario.faults):
         found += fault_faults(scenario, f"faults[{at}]", fault, names)
     if scenario.scenario.warm_up >= scenario.scenario.seconds:
-        found.append(Fault("scenario.warm_up", "it is no shorter than the scenario"))
+        found.append(ConfigError("scenario.warm_up", "it is no shorter than the scenario"))
     if scenario.clients.rate <= 0:
-        found.append(Fault("clients.rate", "no text would come"))
+        found.append(ConfigError("clients.rate", "no text would come"))
     return found
 
 
-def partners_faults(scenario: Scenario) -> list[Fault]:
+def partners_faults(scenario: Scenario) -> list[ConfigError]:
     found, kinds = [], [row.name for row in scenario.kinds]
     products = [row.name for row in scenario.products]
     endpoints = sum(group.count * group.endpoints for group in scenario.partners)
     if endpoints > ENDPOINTS_MOST:
-        found.append(Fault("partners", f"{endpoints} endpoints in all, {ENDPOINTS_MOST} at most"))
+        found.append(ConfigError("partners", f"{endpoints} endpoints in all, {ENDPOINTS_MOST} at most"))
     for at, group in enumerate(scenario.partners):
         path = f"partners[{at}]"
         if group.kind and group.kind not in kinds:
-            found.append(Fault(f"{path}.kind", f"no such kind: {group.kind!r}"))
+            found.append(ConfigError(f"{path}.kind", f"no such kind: {group.kind!r}"))
         for name in group.products:
             if name not in products:
-                found.append(Fault(f"{path}.products", f"no such product: {name!r}"))
+                found.append(ConfigError(f"{path}.products", f"no such product: {name!r}"))
         if not group.capacity:
-            found.append(Fault(f"{path}.capacity", "it can do nothing"))
+            found.append(ConfigError(f"{path}.capacity", "it can do nothing"))
         if group.limit.form is not LimitForm.NONE and not group.limit.of_capacity:
-            found.append(Fault(f"{path}.limit.of_capacity", "it would take nothing"))
+            found.append(ConfigError(f"{path}.limit.of_capacity", "it would take nothing"))
     if not any(group.share for group in scenario.partners):
-        found.append(Fault("partners", "none has a share of the texts"))
+        found.append(ConfigError("partners", "none has a share of the texts"))
     return found
 
 
-def products_faults(scenario: Scenario) -> list[Fault]:
+def products_faults(scenario: Scenario) -> list[ConfigError]:
     found = []
     for at, row in enumerate(scenario.products):
         path = f"products[{at}]"
         if not row.validity_period:
-            found.append(Fault(f"{path}.validity_period", "it is over at once"))
+            found.append(ConfigError(f"{path}.validity_period", "it is over at once"))
         if row.sla_time > row.validity_period:
-            found.append(Fault(f"{path}.sla_time", "it is longer than the validity period"))
+            found.append(ConfigError(f"{path}.sla_time", "it is longer than the validity period"))
         if (row.effect is Effect.REFERENCED) != bool(row.repeat_window):
-            found.append(Fault(f"{path}.repeat_window", "a referenced product has one, and no other"))
+            found.append(ConfigError(f"{path}.repeat_window", "a referenced product has one, and no other"))
         if row.share and not any(
             not group.products or row.name in group.products for group in scenario.partners if group.share
         ):
-            found.append(Fault(path, "no partner takes it"))
+            found.append(ConfigError(path, "no partner takes it"))
     if not any(row.share for row in scenario.products):
-        found.append(Fault("products", "none has a share of the texts"))
+        found.append(ConfigError("products", "none has a share of the texts"))
     return found
 
 
-def fault_faults(scenario: Scenario, path: str, fault: FaultKeys, names: dict[str, list[str]]) -> list[Fault]:
+def fault_faults(
+    scenario: Scenario, path: str, fault: FaultKeys, names: dict[str, list[str]]
+) -> list[ConfigError]:
     """What is wrong with one entry of the time-line."""
     found, takes = [], TAKES[fault.what] | {"what", "at"}
     for name, default in DEFAULTS.items():
         if name not in takes and getattr(fault, name) != default:
-            found.append(Fault(f"{path}.{name}", f"{fault.what.value} has no such key"))
+            found.append(ConfigError(f"{path}.{name}", f"{fault.what.value} has no such key"))
     if fault.at >= scenario.scenario.seconds:
         end = write_span(scenario.scenario.seconds)
-        found.append(Fault(f"{path}.at", f"it begins after the last text, at {end}"))
+        found.append(ConfigError(f"{path}.at", f"it begins after the last text, at {end}"))
     if fault.what in LASTING and not fault.lasts:
-        found.append(Fault(f"{path}.lasts", "it would end as it begins"))
+        found.append(ConfigError(f"{path}.lasts", "it would end as it begins"))
     if "period" in takes and not fault.period:
-        found.append(Fault(f"{path}.period", "one after the other without a pause"))
+        found.append(ConfigError(f"{path}.period", "one after the other without a pause"))
     if fault.what in NEEDS and getattr(fault, NEEDS[fault.what]) == DEFAULTS[NEEDS[fault.what]]:
-        found.append(Fault(f"{path}.{NEEDS[fault.what]}", f"{fault.what.value} does nothing without it"))
+        found.append(
+            ConfigError(f"{path}.{NEEDS[fault.what]}", f"{fault.what.value} does nothing without it")
+        )
     for pattern in fault.partners:
         if not any(fnmatchcase(name, pattern) for name in names["partners"]):
-            found.append(Fault(f"{path}.partners", f"no such destination: {pattern!r}"))
+            found.append(ConfigError(f"{path}.partners", f"no such destination: {pattern!r}"))
     for table in ("floors", "kinds", "products", "customers"):
         for name in getattr(fault, table):
             if name not in names[table]:
-                found.append(Fault(f"{path}.{table}", f"none of this name: {name!r}"))
+                found.append(ConfigError(f"{path}.{table}", f"none of this name: {name!r}"))
     for number in fault.relays:
         if not 0 <= number < scenario.relays.count:
-            found.append(Fault(f"{path}.relays", f"there is no relay {number}"))
+            found.append(ConfigError(f"{path}.relays", f"there is no relay {number}"))
     if fault.what in (What.SLOW, What.SWING, What.LIST_LATE) and fault.times < 1:
-        found.append(Fault(f"{path}.times", "at least 1 is wanted: so many times as slow or late"))
+        found.append(ConfigError(f"{path}.times", "at least 1 is wanted: so many times as slow or late"))
     if fault.what is What.LIMIT and not any(
         group.limit.form is not LimitForm.NONE for group in scenario.partners
     ):
-        found.append(Fault(f"{path}.what", "no partner has a limit to cut"))
+        found.append(ConfigError(f"{path}.what", "no partner has a limit to cut"))
     return found
 
 
-def doubts(scenario: Scenario) -> list[Fault]:
+def doubts(scenario: Scenario) -> list[ConfigError]:
     """What can be played, and will hardly show what is meant: rates that can't be reached."""
     found = []
     offered, shares = scenario.clients.rate, sum(group.share for group in scenario.partners)
@@ -168,7 +172,7 @@
         busy += asked * group.latency / SECOND
         if asked > 1.2 * bears:
             found.append(
-                Fault(
+                ConfigError(
                     f"partners[{at}].capacity",
                     f"{asked:.0f} texts a second come for a group that serves {bears:.0f}",
                 )
@@ -176,6 +180,6 @@
     slots = scenario.relays.count * scenario.relays.slots
     if busy > slots:
         found.append(
-            Fault("relays.slots", f"{busy:.0f} calls would be out at once, and there are {slots} slots")
+            ConfigError("relays.slots", f"{busy:.0f} calls would be out at once, and there are {slots} slots")
         )
     return found
--- a/limelatch/lab/scenario/load.py
+++ b/limelatch/lab/scenario/load.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from importlib import resources
 
-from limelatch.configuration import ConfigurationError, Fault
+from limelatch.configuration import ConfigurationError, ConfigError
 from limelatch.configuration.files import TOML_MOST, decode, parse_toml, read_bytes
 from limelatch.configuration.reading import OWN, Reader
 from limelatch.lab.scenario.check import doubts, faults_of
@@ -29,7 +29,7 @@
             return f"{name}.toml", text
     if "/" not in path_or_name and not path_or_name.endswith(".toml"):
         names = ", ".join(name for name, _ in library())
-        raise ConfigurationError([Fault(path_or_name, f"no such scenario; the library has {names}")])
+        raise ConfigurationError([ConfigError(path_or_name, f"no such scenario; the library has {names}")])
     return path_or_name, decode(path_or_name, read_bytes(path_or_name, TOML_MOST))
 
 
@@ -50,7 +50,9 @@
     if not isinstance(like, str) or not like:
         return raw
     if depth >= LIKE_MOST:
-        raise ConfigurationError([Fault("scenario.like", "scenarios are like each other in a circle")], text)
+        raise ConfigurationError(
+            [ConfigError("scenario.like", "scenarios are like each other in a circle")], text
+        )
     return merged(raw_of(*text_of(like), depth + 1), raw)
 
 
@@ -58,7 +60,7 @@
     """The scenario; ConfigurationError tells all that is wrong with it."""
     reader = Reader(OWN, strict=True, root=Scenario)
     found = reader.read(raw_of(path, text))
-    faults = reader.faults if found is None else faults_of(found)
+    faults = reader.errors if found is None else faults_of(found)
     if faults:
         raise ConfigurationError(faults, text)
     return found
--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -14,8 +14,8 @@
 from twisted.internet.protocol import Protocol
 
 from limelatch import logs
-from limelatch.configuration import ConfigurationError, Form, RelayPlan, relay_plan, retuned_plan
-from limelatch.configuration.files import fault_lines, form_of
+from limelatch.configuration import ConfigurationError, Form, RelayPlan, relay_plan, reloaded_plan
+from limelatch.configuration.files import error_lines, form_of
 from limelatch.configuration.plan import SOCKETS_LEAST, Shares
 from limelatch.interface import SECOND
 from limelatch.relay.anchor_file import AnchorFile
@@ -79,7 +79,7 @@
         driver = open_folder(plan)
     except ConfigurationError as error:
         path = path or os.environ.get("RELAY_CONFIG") or "RELAY_CONFIG"
-        for line in fault_lines(error, path, form or form_of(path)):
+        for line in error_lines(error, path, form or form_of(path)):
             print(f"limelatch: {line}", file=sys.stderr)
         return BAD_USE
     except OSError as error:
@@ -89,9 +89,9 @@
 
     def configure() -> None:
         try:
-            driver.configured(retuned_plan(os.environ, path, form))
+            driver.configured(reloaded_plan(os.environ, path, form))
         except ConfigurationError as error:  # the one in force stays, whole
-            logs.log_event(log, "not-configured", why="; ".join(str(fault) for fault in error.faults))
+            logs.log_event(log, "not-configured", why="; ".join(str(fault) for fault in error.errors))
 
     def begin() -> None:
         signal.signal(signal.SIGHUP, lambda number, frame: reactor.callFromThread(configure))
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -14,7 +14,7 @@
 from limelatch.configuration import ConfigurationError, Form, load, relay_plan
 from limelatch.configuration.changes import changes
 from limelatch.configuration.checks import mixed
-from limelatch.configuration.files import JSON_MOST, TOML_MOST, located, parse_json, parse_toml
+from limelatch.configuration.files import JSON_MOST, TOML_MOST, with_lines, parse_json, parse_toml
 from limelatch.configuration.model import Installation, Reload
 from limelatch.configuration.own import write_own
 from limelatch.configuration.page import page
@@ -53,7 +53,7 @@
     with pytest.raises(ConfigurationError) as error:
         load(path)
     form = Form.OWN if path.endswith(".toml") else Form.PLATFORM
-    return located(error.value.faults, error.value.text, form)
+    return with_lines(error.value.errors, error.value.text, form)
 
 
 def test_all_faults_are_told_at_once_each_with_its_line(file):
@@ -254,7 +254,7 @@
     assume(not mixed(installation, own=False))
     own = parse_toml("x", write_own(installation, set(), whole=True))
     reader = Reader(OWN, strict=True)
-    assert reader.read(own) == installation, reader.faults
+    assert reader.read(own) == installation, reader.errors
     found, wrong, _ = read_platform(parse_json("x", json.dumps(write_platform(installation))))
     assert found == installation, wrong
 
@@ -281,7 +281,7 @@
     table, _, name = path.partition(".")
     raw[table] = dict(raw.get(table, {}), **{name: value}) if name else value
     reader = Reader(OWN, strict=True)
-    assert (reader.read(raw) is None) == bool(reader.faults)
+    assert (reader.read(raw) is None) == bool(reader.errors)
     raw = json.loads(json.dumps(PLATFORM))
     *tables, last = place_of(path).split(".")
     at = raw
@@ -305,7 +305,7 @@
         try:
             parse("x", raw.decode("utf-8", "replace"))
         except ConfigurationError as error:
-            assert len(error.faults) >= 1
+            assert len(error.errors) >= 1
 
 
 def test_the_operators_page_is_what_the_model_says():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -105,7 +105,7 @@
 def test_what_is_wrong_with_a_scenario_is_named(more, path):
     with pytest.raises(ConfigurationError) as error:
         parse("short", SHORT + more)
-    assert path in [each.path for each in error.value.faults]
+    assert path in [each.path for each in error.value.errors]
 
 
 def test_scenarios_that_are_like_each_other_in_a_circle_are_a_fault(tmp_path):
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -44,7 +44,7 @@
 def faults_of(tmp_path, peers=PEERS, **more):
     with pytest.raises(ConfigurationError) as error:
         written(tmp_path, peers, **more)
-    return error.value.faults
+    return error.value.errors
 
 
 def test_a_relay_that_takes_part_knows_its_number_its_zones_and_its_spans(tmp_path):
