--- a/limelatch/command/config.py
+++ b/limelatch/command/config.py
@@ -54,7 +54,7 @@
             continue
         for doubt in found.doubts():
             click.echo(f"doubt: {error_line(path, doubt)}", err=True)
-        click.echo(f"{path}: good ({found.form.value}, {len(found.told)} keys told)")
+        click.echo(f"{path}: good ({found.form.value}, {len(found.given)} keys told)")
     if bad:
         raise SystemExit(BAD_USE)
 
@@ -77,7 +77,7 @@
         for row in rows_of(found, secrets):
             click.echo(json.dumps(row))
     else:
-        click.echo(write_own(found.installation, found.told, whole=True, secrets=secrets), nl=False)
+        click.echo(write_own(found.installation, found.given, whole=True, secrets=secrets), nl=False)
 
 
 @config.command()
@@ -141,7 +141,7 @@
         return
     if found.installation.known:
         click.echo("left out: known (the platform's JSON alone has it)", err=True)
-    click.echo(write_own(found.installation, found.told), nl=False)
+    click.echo(write_own(found.installation, found.given), nl=False)
 
 
 @config.command(hidden=True)
--- a/limelatch/configuration/__init__.py
+++ b/limelatch/configuration/__init__.py
@@ -11,7 +11,7 @@
 
 from limelatch.configuration.checks import reload_errors
 from limelatch.configuration.errors import ConfigurationError, ConfigError
-from limelatch.configuration.files import Form, Found, load, told_path
+from limelatch.configuration.files import Form, LoadedFile, load, configured_path
 from limelatch.configuration.plan import Address, Names, RelayPlan, bench_terms, plan_of
 from limelatch.configuration.units import to_units
 
@@ -20,7 +20,7 @@
     "ConfigurationError",
     "ConfigError",
     "Form",
-    "Found",
+    "LoadedFile",
     "Names",
     "RelayPlan",
     "bench_terms",
@@ -36,7 +36,7 @@
     environment: Mapping[str, str], path: str | None = None, form: Form | None = None
 ) -> RelayPlan:
     """The plan from a file, or the one that $RELAY_CONFIG names, and for what that leaves out the others."""
-    return plan_of(load(path or told_path(environment), form, environment).installation)
+    return plan_of(load(path or configured_path(environment), form, environment).installation)
 
 
 def reloaded_plan(
@@ -44,10 +44,10 @@
 ) -> RelayPlan:
     """The plan of a new configuration at SIGHUP; ConfigurationError where it can't be taken, and the one in
     force stays whole."""
-    found = load(path or told_path(environment), form, environment)
+    found = load(path or configured_path(environment), form, environment)
     errors = [
         replace(each, path=found.reader.where(each.path))
-        for each in reload_errors(found.installation, found.told)
+        for each in reload_errors(found.installation, found.given)
     ]
     if errors:
         raise ConfigurationError(errors, found.text)
--- a/limelatch/configuration/checks.py
+++ b/limelatch/configuration/checks.py
@@ -124,7 +124,7 @@
     return found
 
 
-def reload_errors(installation: Installation, told: set[str]) -> list[ConfigError]:
+def reload_errors(installation: Installation, given: set[str]) -> list[ConfigError]:
     """What makes a new configuration unfit to be taken at SIGHUP, though it could start a relay.
 
     Guards against a file cut off or written in haste: a product without its effect or validity period would
@@ -132,9 +132,9 @@
     errors = []
     for number, row in enumerate(installation.products):
         for name in ("effect", "validity_period"):
-            if f"products[{number}].{name}" not in told:
+            if f"products[{number}].{name}" not in given:
                 errors.append(ConfigError(f"products[{number}].{name}", "is wanted in a new configuration"))
-        if row.validity_period <= 0 and f"products[{number}].validity_period" in told:
+        if row.validity_period <= 0 and f"products[{number}].validity_period" in given:
             errors.append(
                 ConfigError(f"products[{number}].validity_period", "a validity period over 0 is wanted")
             )
--- a/limelatch/configuration/files.py
+++ b/limelatch/configuration/files.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Found:
+class LoadedFile:
     """A file that was read: its form, its text, its model, and the reader that knows which keys it tells."""
 
     path: str
@@ -51,9 +51,9 @@
     reader: Reader
 
     @property
-    def told(self) -> set[str]:
+    def given(self) -> set[str]:
         """The paths of the keys that it tells; all others have their defaults."""
-        return self.reader.told
+        return self.reader.given
 
     def doubts(self) -> list[ConfigError]:
         """What is taken as it is, though it can't be right."""
@@ -140,7 +140,7 @@
         raise ConfigurationError([ConfigError(path, f"no TOML: {error}")]) from None
 
 
-def load(path: str, form: Form | None = None, environment: Mapping[str, str] | None = None) -> Found:
+def load(path: str, form: Form | None = None, environment: Mapping[str, str] | None = None) -> LoadedFile:
     """Read a file in its form; ConfigurationError tells every fault at once.
 
     For the platform's JSON, `environment` fills in what the file leaves out."""
@@ -153,18 +153,18 @@
     else:
         raw = parse_json(path, text)
         if isinstance(raw, dict):
-            told = {
+            given = {
                 key: (environment or {})[word]
                 for key, word in VARIABLES.items()
                 if word in (environment or {})
             }
-            raw = told | {key: value for key, value in raw.items() if value is not None}
+            raw = given | {key: value for key, value in raw.items() if value is not None}
         installation, errors, reader = read_platform(raw)
     if form is Form.OWN and installation is not None:  # the platform's is taken as it is
         errors = errors + mixed(installation, own=True) + doubts(installation)
     if errors:
         raise ConfigurationError(errors, text)
-    return Found(path, form, text, installation, reader)
+    return LoadedFile(path, form, text, installation, reader)
 
 
 def with_lines(errors: list[ConfigError], text: str, form: Form) -> list[ConfigError]:
@@ -201,7 +201,7 @@
     return lines.get(path, 0)
 
 
-def told_path(environment: Mapping[str, str]) -> str:
+def configured_path(environment: Mapping[str, str]) -> str:
     """The file that $RELAY_CONFIG names."""
     path = environment.get("RELAY_CONFIG")
     if not path:
--- a/limelatch/configuration/own.py
+++ b/limelatch/configuration/own.py
@@ -10,7 +10,7 @@
 from tomlkit.items import Item, Table
 
 from limelatch.configuration.changes import ABSENT, Change
-from limelatch.configuration.files import Found
+from limelatch.configuration.files import LoadedFile
 from limelatch.configuration.model import Installation
 from limelatch.configuration.reading import OWN, Key, keys_of
 
@@ -31,7 +31,7 @@
     return bool(key.notes.get("secret")) and bool(value) and not secrets
 
 
-def write_own(installation: Installation, told: Set[str], whole: bool = False, secrets: bool = True) -> str:
+def write_own(installation: Installation, given: Set[str], whole: bool = False, secrets: bool = True) -> str:
     """The model as TOML: the keys in `told`, or with `whole` all of them, the others marked as defaults."""
     document = tomlkit.document()
     for name, key in keys_of(Installation).items():
@@ -40,31 +40,31 @@
             continue
         if isinstance(key.type, inspect.StructType):
             table = tomlkit.table()
-            _fill(table, value, name, told, whole, secrets)
+            _fill(table, value, name, given, whole, secrets)
             if table:
                 document[name] = table
         elif value:
             rows = tomlkit.aot()
             for at, row in enumerate(value):
                 table = tomlkit.table()
-                _fill(table, row, f"{name}[{at}]", told, whole, secrets)
+                _fill(table, row, f"{name}[{at}]", given, whole, secrets)
                 rows.append(table)
             document[name] = rows
     return tomlkit.dumps(document)
 
 
-def _fill(table: Table, row: msgspec.Struct, path: str, told: Set[str], whole: bool, secrets: bool) -> None:
+def _fill(table: Table, row: msgspec.Struct, path: str, given: Set[str], whole: bool, secrets: bool) -> None:
     for name, key in keys_of(type(row)).items():
-        if not whole and f"{path}.{name}" not in told:
+        if not whole and f"{path}.{name}" not in given:
             continue
         value = getattr(row, name)
         item: Item = tomlkit.item(HIDDEN if hidden(key, value, secrets) else worded(key, value))
-        if whole and f"{path}.{name}" not in told:
+        if whole and f"{path}.{name}" not in given:
             item.comment(DEFAULT)
         table.add(name, item)
 
 
-def rows_of(found: Found, secrets: bool) -> Iterator[dict]:
+def rows_of(found: LoadedFile, secrets: bool) -> Iterator[dict]:
     """Every key with its value in people's words, and whether it is a default."""
 
     def walk(table: msgspec.Struct, path: str) -> Iterator[dict]:
@@ -77,7 +77,7 @@
                     yield from walk(row, f"{at}[{number}]")
             elif key.notes.get("own", True) is not False:
                 shown = HIDDEN if hidden(key, value, secrets) else worded(key, value)
-                yield {"key": at, "value": shown, DEFAULT: at not in found.told}
+                yield {"key": at, "value": shown, DEFAULT: at not in found.given}
 
     yield from walk(found.installation, "")
 
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -91,29 +91,29 @@
 
     name: str
     listen: Address
-    operator: Address | None  # the operators' door; none: no door
-    discovery: Address
-    state: str
+    operator_address: Address | None  # the operators' door; none: no door
+    catalog_address: Address
+    state_dir: str
     log: Log
     terms: li.Terms
     names: Names
-    known: dict
-    disk_bytes: int
-    memory_bytes: int
+    known_hosts: dict
+    max_disk_bytes: int
+    max_memory_bytes: int
     sockets: int
     shares: Shares
-    client_bytes: int  # of commands that are not whole yet, of all clients together
-    client_command: int  # for a client's first command, and for the rest of a begun one
-    client_idle: int  # between a client's commands
-    connect_wait: int  # a connection to a host must be up by then
-    probe_wait: int
-    stop_least: int  # from SIGTERM to the exit at the earliest, since clients still come
-    stop_wait: int  # and at the latest
-    notice_wait: int  # for a notice's answer, then it is sent again
-    list_wait: int  # for the first list at the start, then the known one serves
-    silence: int  # of the watch, then it is opened anew
-    reconnect_wait: int
-    told: Installation  # what it was made from
+    max_client_bytes: int  # of commands that are not whole yet, of all clients together
+    client_command_timeout: int  # for a client's first command, and for the rest of a begun one
+    client_idle_timeout: int  # between a client's commands
+    connect_timeout: int  # a connection to a host must be up by then
+    probe_timeout: int
+    min_stop_time: int  # from SIGTERM to the exit at the earliest, since clients still come
+    max_stop_time: int  # and at the latest
+    notice_timeout: int  # for a notice's answer, then it is sent again
+    list_timeout: int  # for the first list at the start, then the known one serves
+    watch_timeout: int  # of the watch, then it is opened anew
+    reconnect_delay: int
+    given: Installation  # what it was made from
     membership: MembershipPlan | None = None
 
 
@@ -203,28 +203,28 @@
     return RelayPlan(
         name=relay.name,
         listen=address_of(relay.listen),
-        operator=address_of(relay.operator) if relay.operator else None,
-        discovery=address_of(catalog.address),
-        state=relay.state,
+        operator_address=address_of(relay.operator) if relay.operator else None,
+        catalog_address=address_of(catalog.address),
+        state_dir=relay.state,
         log=installation.log,
         terms=replace(terms_of(installation, seed), hosts_on_demand=True),
         names=names_of(installation),
-        known=installation.known,
-        disk_bytes=limits.disk,
-        memory_bytes=limits.memory,
+        known_hosts=installation.known,
+        max_disk_bytes=limits.disk,
+        max_memory_bytes=limits.memory,
         sockets=limits.sockets,
         shares=Shares.of(limits.sockets),
-        client_bytes=limits.memory // 8,
-        client_command=installation.clients.command_wait,
-        client_idle=installation.clients.idle_wait,
-        connect_wait=installation.hosts.connect_wait,
-        probe_wait=installation.hosts.probe_wait,
-        stop_least=installation.stop.least,
-        stop_wait=installation.stop.most,
-        notice_wait=catalog.notice_wait,
-        list_wait=catalog.list_wait,
-        silence=catalog.silence,
-        reconnect_wait=catalog.reconnect_wait,
-        told=installation,
+        max_client_bytes=limits.memory // 8,
+        client_command_timeout=installation.clients.command_wait,
+        client_idle_timeout=installation.clients.idle_wait,
+        connect_timeout=installation.hosts.connect_wait,
+        probe_timeout=installation.hosts.probe_wait,
+        min_stop_time=installation.stop.least,
+        max_stop_time=installation.stop.most,
+        notice_timeout=catalog.notice_wait,
+        list_timeout=catalog.list_wait,
+        watch_timeout=catalog.silence,
+        reconnect_delay=catalog.reconnect_wait,
+        given=installation,
         membership=membership_of(installation.membership),
     )
--- a/limelatch/configuration/platform.py
+++ b/limelatch/configuration/platform.py
@@ -63,7 +63,7 @@
 def readable(key: Key, value: object) -> bool:
     """Whether a value of the platform's can be a key's."""
     try:
-        msgspec.convert(UNITS[key.unit].read(value) if key.unit in UNITS else value, key.told)
+        msgspec.convert(UNITS[key.unit].read(value) if key.unit in UNITS else value, key.annotated_type)
     except (ValueError, TypeError, OverflowError, msgspec.ValidationError):
         return False
     return True
@@ -140,10 +140,10 @@
 
     def _advice(self, limits: dict) -> None:
         """Clients are told when to come again only where the platform says so."""
-        told = self.get(ADVICE_FLAG)
-        if told is not None and not isinstance(told, bool):
-            self.errors.append(wrong(ADVICE_FLAG, "true or false", told))
-        elif not told:
+        given = self.get(ADVICE_FLAG)
+        if given is not None and not isinstance(given, bool):
+            self.errors.append(wrong(ADVICE_FLAG, "true or false", given))
+        elif not given:
             limits.pop("advice", None)
 
     def _rows(self, table: str, key: Key) -> list | None:
--- a/limelatch/configuration/reading.py
+++ b/limelatch/configuration/reading.py
@@ -54,7 +54,7 @@
 
     name: str
     type: inspect.Type  # without its notes
-    told: type  # with them, as msgspec takes it
+    annotated_type: type  # with them, as msgspec takes it
     notes: Mapping[str, object]
     about: str
     default: object
@@ -119,7 +119,7 @@
     where: Callable[[str], str] = str  # a key's path in the model, as the file has it
     root: type[msgspec.Struct] = Installation
     errors: list[ConfigError] = field(default_factory=list)
-    told: set[str] = field(default_factory=set)
+    given: set[str] = field(default_factory=set)
 
     def read(self, raw: object) -> msgspec.Struct | None:
         """The model, of the root's type; None where anything is wrong."""
@@ -141,7 +141,7 @@
         for name, key in keys.items():
             at = f"{path}.{name}" if path else name
             if name in raw:
-                self.told.add(at)
+                self.given.add(at)
                 values[name] = self.value(key, raw[name], at)
             elif key.required and isinstance(key.type, inspect.StructType):
                 values[name] = self.table(key.type.cls, {}, at)  # so that each key that is missing is named
@@ -178,7 +178,7 @@
             value = unit.read(raw) if unit else raw
             if isinstance(value, float) and not math.isfinite(value):
                 raise ValueError(raw)
-            found = msgspec.convert(value, key.told)
+            found = msgspec.convert(value, key.annotated_type)
             if (form := key.notes.get("form")) and found and not form.fullmatch(found):
                 raise ValueError(raw)
             return found
--- a/limelatch/configuration/schema.py
+++ b/limelatch/configuration/schema.py
@@ -24,7 +24,7 @@
 
 def leaf(key: Key) -> dict:
     """A key's schema by its type alone."""
-    found = msgspec.json.schema(key.told)
+    found = msgspec.json.schema(key.annotated_type)
     while "$ref" in found:  # an enumeration
         found = {
             name: each
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -115,8 +115,8 @@
         """Until when this connection may stay as it is: the first command and a begun one have to come."""
         plan = self.listener.driver.plan
         if self.asked and self.between_requests():
-            return self.heard_at + plan.client_idle // (CROWD_PART if self.listener.crowded else 1)
-        return self.begun_at + plan.client_command
+            return self.heard_at + plan.client_idle_timeout // (CROWD_PART if self.listener.crowded else 1)
+        return self.begun_at + plan.client_command_timeout
 
     def _look(self) -> None:
         """Guards against connections that say nothing, or half a command, and hold a descriptor for good."""
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -72,15 +72,15 @@
 
     def __init__(self, plan: RelayPlan, reactor, clock: Clock) -> None:
         self.plan, self.reactor, self.clock = plan, reactor, clock
-        self.started_with = plan.told
+        self.started_with = plan.given
         self.deadlines = Deadlines(reactor, clock)
         self.policy = Policy(plan.terms, clock.now())
-        self.out = HostsOut(plan.state)  # by hand, through the door; read before the folder is locked
+        self.out = HostsOut(plan.state_dir)  # by hand, through the door; read before the folder is locked
         self.folder = FolderWatch(clock, self.deadlines, self._notify, self.soon)
-        self.ledger = Ledger(plan.state, plan.disk_bytes, plan.memory_bytes, self.folder.told)
+        self.ledger = Ledger(plan.state_dir, plan.max_disk_bytes, plan.max_memory_bytes, self.folder.told)
         self.folder.ledger = self.ledger
         self.wall_watch = WallWatch(
-            clock, self.deadlines, AnchorFile(plan.state), lambda: not self.ledger.beside
+            clock, self.deadlines, AnchorFile(plan.state_dir), lambda: not self.ledger.beside
         )
         self.handover = Handover(
             self.ledger,
@@ -102,39 +102,46 @@
         self._turn_due, self.ready, self._stop_at, self._stop_least_at = False, False, None, 0
         self.failed, self._ended, self._port_until = False, False, None
         self.pool = HostPool(
-            reactor, self.deadlines, clock, self, plan.shares.hosts, plan.connect_wait, plan.probe_wait
+            reactor, self.deadlines, clock, self, plan.shares.hosts, plan.connect_timeout, plan.probe_timeout
         )
         self.notifier = Notifier(
-            reactor, self.deadlines, plan.discovery, plan.notice_wait, plan.reconnect_wait, self.notice_heard
+            reactor,
+            self.deadlines,
+            plan.catalog_address,
+            plan.notice_timeout,
+            plan.reconnect_delay,
+            self.notice_heard,
         )
         self.catalog = Catalog(
             reactor,
             self.deadlines,
-            plan.discovery,
+            plan.catalog_address,
             plan.names,
-            plan.silence,
-            plan.reconnect_wait,
+            plan.watch_timeout,
+            plan.reconnect_delay,
             self.listed,
             self.list_failed if plan.terms.list_asked else None,
-            ListCopy(plan.state, self.deadlines, self.ledger),
+            ListCopy(plan.state_dir, self.deadlines, self.ledger),
             lambda destination: destination in self.policy.dests,
         )
-        self.listener = Listener(self, plan.shares.clients, plan.client_bytes, plan.shares.clients_most)
+        self.listener = Listener(self, plan.shares.clients, plan.max_client_bytes, plan.shares.clients_most)
         self.operations = Operations(self, self.out)
         self.door = Door(self, self.operations, plan.shares.operators)
         self.peers = None
         if plan.membership is not None:  # else nothing of it is loaded
             from limelatch.relay.peers import Peers
 
-            self.peers = Peers(plan.membership, reactor, self.deadlines, clock, plan.state, plan.terms.seed)
+            self.peers = Peers(
+                plan.membership, reactor, self.deadlines, clock, plan.state_dir, plan.terms.seed
+            )
 
     def start(self) -> None:
         """Take up what the ledger holds, then wait for the first list before serving."""
         try:
-            self.catalog.known(self.plan.known)
+            self.catalog.known(self.plan.known_hosts)
         except BadList as error:
             log_event(log, "known-list-not-read", why=error)
-        self.plan = replace(self.plan, known={})  # the directory has it
+        self.plan = replace(self.plan, known_hosts={})  # the directory has it
         self.catalog.recall()
         now = self.clock.now()
         if self.ledger.cut:
@@ -149,13 +156,13 @@
             hosts=len(self.catalog.directory),
             ledger_bytes=self.ledger.size,
         )
-        if self.plan.operator is not None:  # at once: STATUS says whether clients are served yet
-            self.door.listen(self.reactor, self.plan.operator.host, self.plan.operator.port)
+        if self.plan.operator_address is not None:  # at once: STATUS says whether clients are served yet
+            self.door.listen(self.reactor, self.plan.operator_address.host, self.plan.operator_address.port)
         if self.peers is not None:
             self.peers.start()
         self.wall_watch.start()
-        log_event(log, "waiting", on="list", most_ms=self.plan.list_wait // li.MS)
-        self.deadlines.after(self.plan.list_wait, self.serve)
+        log_event(log, "waiting", on="list", most_ms=self.plan.list_timeout // li.MS)
+        self.deadlines.after(self.plan.list_timeout, self.serve)
         if not self.plan.terms.list_asked:
             self.catalog.connect()
         self.soon()
@@ -248,26 +255,28 @@
 
     def configured(self, plan: RelayPlan) -> None:
         """SIGHUP: take the keys that can change while texts are held; the others need a restart."""
-        later = [each.path for each in changes(self.started_with, plan.told) if each.reload is Reload.RESTART]
+        later = [
+            each.path for each in changes(self.started_with, plan.given) if each.reload is Reload.RESTART
+        ]
         terms = replace(self.plan.terms, products=plan.terms.products, max_submits=plan.terms.max_submits)
         self.plan = replace(
             self.plan,
-            discovery=plan.discovery,
+            catalog_address=plan.catalog_address,
             log=plan.log,
-            known=plan.known,
-            stop_least=plan.stop_least,
-            stop_wait=plan.stop_wait,
+            known_hosts=plan.known_hosts,
+            min_stop_time=plan.min_stop_time,
+            max_stop_time=plan.max_stop_time,
             terms=terms,
             names=replace(self.plan.names, products=plan.names.products),
         )
         self.policy.terms = terms  # what it holds keeps the rows it came with
-        self.catalog.move(plan.discovery)
-        self.notifier.move(plan.discovery)
+        self.catalog.move(plan.catalog_address)
+        self.notifier.move(plan.catalog_address)
         start_logs(plan.log)
         log_event(
             log,
             "configured",
-            catalog=plan.discovery,
+            catalog=plan.catalog_address,
             owed=len(self.owed),
             products=len(terms.products),
             submits=terms.max_submits,
@@ -280,7 +289,7 @@
         if self._stop_at is not None:
             return
         now = self.clock.now()
-        self._stop_at, self._stop_least_at = now + self.plan.stop_wait, now + self.plan.stop_least
+        self._stop_at, self._stop_least_at = now + self.plan.max_stop_time, now + self.plan.min_stop_time
         handed_over = self.ready and self.ledger.successor()
         self.policy.stopping(self._stop_at)
         self.listener.stop(handed_over)
@@ -288,7 +297,7 @@
         self.soon()
         if not self.ready:
             self._exit()
-        self.deadlines.after(self.plan.stop_least, self._exit_if_idle)
+        self.deadlines.after(self.plan.min_stop_time, self._exit_if_idle)
         self.deadlines.at(self._stop_at, self._exit)
 
     def _exit_if_idle(self) -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -85,7 +85,7 @@
 def test_the_platforms_json_passes_over_unknown_keys_and_null(file):
     raw = json.dumps(PLATFORM | {"limits": {"sockets": None, "cores": 0.5}, "peers": ["x"]})
     found = load(file(raw, "relay.json"))
-    assert found.installation.limits.sockets == 1024 and "limits.sockets" not in found.told
+    assert found.installation.limits.sockets == 1024 and "limits.sockets" not in found.given
 
 
 def test_the_environment_fills_in_what_the_platforms_json_leaves_out(file):
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def listener(clock):
-    plan = SimpleNamespace(client_idle=20_000, client_command=20_000)
+    plan = SimpleNamespace(client_idle_timeout=20_000, client_command_timeout=20_000)
     driver = SimpleNamespace(clock=clock, deadlines=Deadlines(clock, clock), plan=plan)
     listener = Listener(driver, 40, 10_000)
     listener.port = Gate()
