--- a/limelatch/command/config.py
+++ b/limelatch/command/config.py
@@ -70,7 +70,7 @@
     \b
     Example:  limelatch config show relay.toml | grep -v '# default'
     """
-    from limelatch.configuration.own import rows_of, write_own
+    from limelatch.configuration.toml_form import rows_of, write_own
 
     found = read(path, form)
     if as_json:
@@ -110,7 +110,7 @@
     Example:  limelatch config diff /etc/limelatch/relay.toml new.toml
     """
     from limelatch.configuration.changes import changes
-    from limelatch.configuration.own import describe
+    from limelatch.configuration.toml_form import describe
 
     found = changes(read(before).installation, read(after).installation)
     for change in found:
@@ -131,8 +131,8 @@
     \b
     Example:  limelatch config convert relay.json > relay.toml
     """
-    from limelatch.configuration.own import write_own
-    from limelatch.configuration.platform import write_platform
+    from limelatch.configuration.toml_form import write_own
+    from limelatch.configuration.platform_form import write_platform
 
     found = read(path, form)
     to = to or ("json" if found.form.value == "toml" else "toml")
--- a/limelatch/configuration/files.py
+++ b/limelatch/configuration/files.py
@@ -14,7 +14,7 @@
 from limelatch.configuration.checks import doubts, mixed
 from limelatch.configuration.errors import ConfigurationError, ConfigError
 from limelatch.configuration.model import Installation
-from limelatch.configuration.platform import UNITS, read_platform
+from limelatch.configuration.platform_form import UNITS, read_platform
 from limelatch.configuration.reading import OWN, Reader, Unit
 
 JSON_MOST, TOML_MOST = 8_000_000, 500_000  # bytes of a file; the parsers' time grows with it
@@ -172,7 +172,7 @@
     if not errors or not 0 < len(text) <= LINES_MOST:
         return errors
     try:
-        from limelatch.configuration.places import lines_of
+        from limelatch.configuration.line_numbers import lines_of
     except ImportError:  # the platform's build does without it
         return errors
     try:
--- a/limelatch/configuration/page.py
+++ b/limelatch/configuration/page.py
@@ -8,8 +8,8 @@
 from msgspec import inspect
 
 from limelatch.configuration.model import Installation, Reload
-from limelatch.configuration.own import worded
-from limelatch.configuration.platform import WORDS
+from limelatch.configuration.toml_form import worded
+from limelatch.configuration.platform_form import WORDS
 from limelatch.configuration.reading import OWN, Key, bounds, keys_of
 
 HEAD = """# Configuration
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -17,7 +17,7 @@
     Product,
     Rates,
 )
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.membership.timing import Timing
 
 SEED_BYTES = 8
--- a/limelatch/configuration/schema.py
+++ b/limelatch/configuration/schema.py
@@ -6,8 +6,8 @@
 from msgspec import inspect
 
 from limelatch.configuration.model import FULL_SEED, Installation
-from limelatch.configuration.own import worded
-from limelatch.configuration.platform import ADVICE_FLAG, BESIDE, ROWS, UNITS, WORDS, written
+from limelatch.configuration.toml_form import worded
+from limelatch.configuration.platform_form import ADVICE_FLAG, BESIDE, ROWS, UNITS, WORDS, written
 from limelatch.configuration.reading import Key, keys_of
 from limelatch.configuration.units import SIZE_FORM, SPAN_FORM
 
--- a/limelatch/lab/scale/process.py
+++ b/limelatch/lab/scale/process.py
@@ -22,7 +22,7 @@
 from limelatch.client.wire import NO_KEY, new_id
 from limelatch.configuration.model import Catalog as CatalogTable
 from limelatch.configuration.model import Floor, Identity, Installation, Kind, Limits, Product
-from limelatch.configuration.platform import write_platform
+from limelatch.configuration.platform_form import write_platform
 from limelatch.interface import SECOND, Effect
 from limelatch.lab.scale.partners import FLOOR, KIND, LOOPBACK
 
--- a/limelatch/lab/scenario/page.py
+++ b/limelatch/lab/scenario/page.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import inspect
 
-from limelatch.configuration.own import worded
+from limelatch.configuration.toml_form import worded
 from limelatch.configuration.page import code
 from limelatch.configuration.reading import OWN, Key, bounds, keys_of
 from limelatch.lab.scenario.check import TAKES
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -44,7 +44,7 @@
     Rules,
     Stop,
 )
-from limelatch.configuration.platform import write_platform
+from limelatch.configuration.platform_form import write_platform
 from limelatch.interface import MS, SECOND, Listing
 from limelatch.lab import record as rec
 from limelatch.lab.membership.forwarder import DatagramNetwork
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -16,9 +16,9 @@
 from limelatch.configuration.checks import mixed
 from limelatch.configuration.files import JSON_MOST, TOML_MOST, with_lines, parse_json, parse_toml
 from limelatch.configuration.model import Installation, Reload
-from limelatch.configuration.own import write_own
+from limelatch.configuration.toml_form import write_own
 from limelatch.configuration.page import page
-from limelatch.configuration.platform import read_platform, write_platform
+from limelatch.configuration.platform_form import read_platform, write_platform
 from limelatch.configuration.reading import OWN, Reader, keys_of
 from limelatch.configuration.schema import schema_of
 from limelatch.configuration.units import SPAN_FORM, read_size, read_span, write_size, write_span
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 from twisted.internet.task import Clock as Reactor
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import (
     SECOND,
     Health,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -497,7 +497,7 @@
 
 
 def test_settings_of_the_platform_for_a_scenario_are_good(tmp_path):
-    from limelatch.configuration.platform import read_platform, write_platform
+    from limelatch.configuration.platform_form import read_platform, write_platform
     from limelatch.lab.stages.sockets import installation_of
 
     made = installation_of(load("limit-cut"), 1, 0, "127.0.0.1:1", "127.0.0.1:2", "s")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 
 from limelatch.client.wire import HandedText
 from limelatch.configuration import bench_terms, plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import SECOND, Effect, Listing, Result
 from limelatch.logs import LimitedLog
 from limelatch.relay.catalog import BadList, Catalog
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -9,7 +9,7 @@
 from test_parts import GOOD, Wire
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import MS, SECOND, Result
 from limelatch.policy import Policy
 from limelatch.relay.driver import Driver
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -17,7 +17,7 @@
 
 from limelatch.configuration import plan_of
 from limelatch.configuration.plan import OWN, SOCKETS_LEAST, Shares
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.relay.clients import Listener
 from limelatch.relay.door import Door
 
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from limelatch.configuration import Address, plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.relay.driver import Driver
 
 TOLD_WITHIN = 6.0  # seconds after which a change counts as told
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -14,7 +14,7 @@
 from test_parts import GOOD
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.folder_gate import RETRY_AFTER
 from limelatch.interface import MS, Result
 from limelatch.relay.driver import Driver
