--- a/limelatch/command/config.py
+++ b/limelatch/command/config.py
@@ -70,14 +70,14 @@
     \b
     Example:  limelatch config show relay.toml | grep -v '# default'
     """
-    from limelatch.configuration.toml_form import rows_of, write_own
+    from limelatch.configuration.toml_form import value_rows, write_toml
 
     found = read(path, form)
     if as_json:
-        for row in rows_of(found, secrets):
+        for row in value_rows(found, secrets):
             click.echo(json.dumps(row))
     else:
-        click.echo(write_own(found.installation, found.given, whole=True, secrets=secrets), nl=False)
+        click.echo(write_toml(found.installation, found.given, whole=True, secrets=secrets), nl=False)
 
 
 @config.command()
@@ -131,7 +131,7 @@
     \b
     Example:  limelatch config convert relay.json > relay.toml
     """
-    from limelatch.configuration.toml_form import write_own
+    from limelatch.configuration.toml_form import write_toml
     from limelatch.configuration.platform_form import write_platform
 
     found = read(path, form)
@@ -141,7 +141,7 @@
         return
     if found.installation.known:
         click.echo("left out: known (the platform's JSON alone has it)", err=True)
-    click.echo(write_own(found.installation, found.given), nl=False)
+    click.echo(write_toml(found.installation, found.given), nl=False)
 
 
 @config.command(hidden=True)
--- a/limelatch/command/lab.py
+++ b/limelatch/command/lab.py
@@ -63,7 +63,7 @@
         path, text = text_of(name)
         return parse(path, text).scenario.name, text
     except ConfigurationError as error:
-        for line in error_lines(error, path, Form.OWN):
+        for line in error_lines(error, path, Form.TOML):
             click.echo(line, err=True)
         raise SystemExit(BAD_USE) from None
 
--- a/limelatch/command/relay.py
+++ b/limelatch/command/relay.py
@@ -59,10 +59,10 @@
                         "event": name,
                         "part": event.part,
                         "level": level,
-                        "about": event.about,
+                        "about": event.description,
                         "fields": event.fields,
                     }
                 )
             )
         else:
-            click.echo(f"{name:<22} {event.part:<10} {level:<8} {event.about}")
+            click.echo(f"{name:<22} {event.part:<10} {level:<8} {event.description}")
--- a/limelatch/configuration/changes.py
+++ b/limelatch/configuration/changes.py
@@ -48,5 +48,5 @@
         key = (old.get(path) or new.get(path))[0]
         was, now = (each[path][1] if path in each else ABSENT for each in (old, new))
         if was is ABSENT or now is ABSENT or was != now:
-            found.append(Change(path, key.notes.get("reload", Reload.RESTART), key, was, now))
+            found.append(Change(path, key.metadata.get("reload", Reload.RESTART), key, was, now))
     return found
--- a/limelatch/configuration/checks.py
+++ b/limelatch/configuration/checks.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from limelatch.configuration.errors import ConfigError
-from limelatch.configuration.model import Installation, Membership, News
+from limelatch.configuration.model import Installation, Membership, ListDelivery
 from limelatch.configuration.reading import read_address
 from limelatch.configuration.units import write_span
 from limelatch.events import PARTS
@@ -76,7 +76,7 @@
         return False
 
 
-def mixed(installation: Installation, own: bool) -> list[ConfigError]:
+def conflicts(installation: Installation, own: bool) -> list[ConfigError]:
     """Keys of a list that is pushed and of one that is asked for, together: refused at the start.
 
     Guards against a relay that never asks, or asks all the time, and is taken as told of drains. The
@@ -84,9 +84,9 @@
     catalog = installation.catalog
     if errors := membership_errors(installation.membership):
         return errors
-    if catalog.news is News.ASKED and catalog.ask_within < ASK_LEAST:
+    if catalog.news is ListDelivery.ASKED and catalog.ask_within < ASK_LEAST:
         return [ConfigError("catalog.ask_within", "a list that is asked for needs 1 s at the least here")]
-    if own and catalog.news is News.PUSHED and catalog.ask_within:
+    if own and catalog.news is ListDelivery.PUSHED and catalog.ask_within:
         return [ConfigError("catalog.ask_within", 'it goes with `news = "asked"`, and this list is pushed')]
     return []
 
--- a/limelatch/configuration/files.py
+++ b/limelatch/configuration/files.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from limelatch.configuration.checks import doubts, mixed
+from limelatch.configuration.checks import doubts, conflicts
 from limelatch.configuration.errors import ConfigurationError, ConfigError
 from limelatch.configuration.model import Installation
-from limelatch.configuration.platform_form import UNITS, read_platform
-from limelatch.configuration.reading import OWN, Reader, Unit
+from limelatch.configuration.platform_form import PLATFORM_UNITS, read_platform
+from limelatch.configuration.reading import TOML_UNITS, Reader, Unit
 
-JSON_MOST, TOML_MOST = 8_000_000, 500_000  # bytes of a file; the parsers' time grows with it
+MAX_JSON_BYTES, MAX_TOML_BYTES = 8_000_000, 500_000  # bytes of a file; the parsers' time grows with it
 LINES_MOST = 500_000  # bytes of a file whose lines are looked up
 QUOTED_ADDRESS = re.compile(r'"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}"')  # a list of peers has its dots in these
 KEY_MOST = 2000  # dots in a key of TOML, whose parser goes as deep
@@ -33,11 +33,11 @@
 class Form(Enum):
     """How a configuration is written."""
 
-    OWN = "toml"
+    TOML = "toml"
     PLATFORM = "json"
 
 
-UNITS_OF: dict[Form, Mapping[str, Unit]] = {Form.OWN: OWN, Form.PLATFORM: UNITS}
+UNITS_OF: dict[Form, Mapping[str, Unit]] = {Form.TOML: TOML_UNITS, Form.PLATFORM: PLATFORM_UNITS}
 
 
 @dataclass(frozen=True)
@@ -63,7 +63,7 @@
 
 def form_of(path: str) -> Form:
     """By the file's name: `.toml` is people's own form, any other the platform's JSON."""
-    return Form.OWN if path.endswith(".toml") else Form.PLATFORM
+    return Form.TOML if path.endswith(".toml") else Form.PLATFORM
 
 
 def read_bytes(path: str, most: int) -> bytes:
@@ -145,9 +145,9 @@
 
     For the platform's JSON, `environment` fills in what the file leaves out."""
     form = form or form_of(path)
-    text = decode(path, read_bytes(path, TOML_MOST if form is Form.OWN else JSON_MOST))
-    if form is Form.OWN:
-        reader = Reader(OWN, strict=True)
+    text = decode(path, read_bytes(path, MAX_TOML_BYTES if form is Form.TOML else MAX_JSON_BYTES))
+    if form is Form.TOML:
+        reader = Reader(TOML_UNITS, strict=True)
         installation = reader.read(parse_toml(path, text))
         errors = reader.errors
     else:
@@ -160,8 +160,8 @@
             }
             raw = given | {key: value for key, value in raw.items() if value is not None}
         installation, errors, reader = read_platform(raw)
-    if form is Form.OWN and installation is not None:  # the platform's is taken as it is
-        errors = errors + mixed(installation, own=True) + doubts(installation)
+    if form is Form.TOML and installation is not None:  # the platform's is taken as it is
+        errors = errors + conflicts(installation, own=True) + doubts(installation)
     if errors:
         raise ConfigurationError(errors, text)
     return LoadedFile(path, form, text, installation, reader)
@@ -176,7 +176,7 @@
     except ImportError:  # the platform's build does without it
         return errors
     try:
-        lines = lines_of(text, form is Form.OWN)
+        lines = lines_of(text, form is Form.TOML)
     except RecursionError:
         return errors
     found = [each if each.line else replace(each, line=line_for(each.path, lines)) for each in errors]
--- a/limelatch/configuration/model.py
+++ b/limelatch/configuration/model.py
@@ -16,15 +16,15 @@
 
 from limelatch.interface import MS, SECOND, Effect
 
-SPAN_MOST = 366 * 24 * 3600 * SECOND
-COUNT_MOST, SIZE_MOST, RATE_MOST = 1_000_000_000, 1 << 50, 1e15
+MAX_SPAN = 366 * 24 * 3600 * SECOND
+MAX_COUNT, MAX_SIZE, MAX_RATE = 1_000_000_000, 1 << 50, 1e15
 FULL_SEED = re.compile(r"[0-9a-fA-F]{1,16}")
 
-Span = Annotated[int, Meta(ge=0, le=SPAN_MOST, extra={"unit": "span"})]
-Size = Annotated[int, Meta(ge=0, le=SIZE_MOST, extra={"unit": "size"})]
-Count = Annotated[int, Meta(ge=1, le=COUNT_MOST, extra={"unit": "count"})]
+Span = Annotated[int, Meta(ge=0, le=MAX_SPAN, extra={"unit": "span"})]
+Size = Annotated[int, Meta(ge=0, le=MAX_SIZE, extra={"unit": "size"})]
+Count = Annotated[int, Meta(ge=1, le=MAX_COUNT, extra={"unit": "count"})]
 Share = Annotated[float, Meta(ge=0, le=1)]
-Rate = Annotated[float, Meta(ge=0, le=RATE_MOST)]
+Rate = Annotated[float, Meta(ge=0, le=MAX_RATE)]
 Address = Annotated[str, Meta(extra={"unit": "address"})]
 
 
@@ -36,21 +36,21 @@
     START = "start"  # read at the start alone; a change of it means nothing to a running relay
 
 
-class Falls(Enum):
+class RevenueDecay(Enum):
     """How revenue falls after the SLA time."""
 
     LINE = "line"
     HALVES = "halves"
 
 
-class Known(Enum):
+class RepeatScope(Enum):
     """Among which hosts of its destination a repeat is known."""
 
     DESTINATION = "destination"
     FLOOR = "floor"
 
 
-class Rates(Enum):
+class RateQuality(Enum):
     """What the catalog's rates are worth."""
 
     NONE = "none"
@@ -58,14 +58,14 @@
     EXACT = "exact"
 
 
-class News(Enum):
+class ListDelivery(Enum):
     """How news of the list of hosts comes."""
 
     PUSHED = "pushed"
     ASKED = "asked"
 
 
-class Level(Enum):
+class LogLevel(Enum):
     DEBUG = "debug"
     INFO = "info"
     WARNING = "warning"
@@ -120,12 +120,14 @@
 class Log(Table):
     """What is logged, on standard error."""
 
-    level: Annotated[Level, about("lines of this level and above", "log_level", Reload.AT_ONCE)] = Level.INFO
+    level: Annotated[LogLevel, about("lines of this level and above", "log_level", Reload.AT_ONCE)] = (
+        LogLevel.INFO
+    )
     form: Annotated[
         LogForm, about("`pairs`: key=value; `json`: one object a line", "log_form", Reload.AT_ONCE)
     ] = LogForm.PAIRS
     parts: Annotated[
-        dict[str, Level],
+        dict[str, LogLevel],
         about('another level for a part, such as `policy = "warning"`', "log_parts", Reload.AT_ONCE),
     ] = {}
 
@@ -168,19 +170,19 @@
 
     address: Annotated[Address, about("where both are reached", "discovery", Reload.AT_ONCE)]
     rates: Annotated[
-        Rates,
+        RateQuality,
         about(
             "whether the list tells each destination's limit in calls a second, and how well",
             "settings.weightSource",
         ),
-    ] = Rates.NONE
+    ] = RateQuality.NONE
     news: Annotated[
-        News,
+        ListDelivery,
         about(
             "of the list: `pushed` to every relay, or only to those that have `asked` for it",
             "settings.discovery",
         ),
-    ] = News.PUSHED
+    ] = ListDelivery.PUSHED
     ask_within: Annotated[
         Span,
         about(
@@ -313,14 +315,14 @@
     """What a late delivery earns."""
 
     falls: Annotated[
-        Falls,
+        RevenueDecay,
         about(
             "after the SLA time: in a `line` to the late share, or by `halves`, half "
             "with "
             "each further SLA time",
             "settings.familyInfo.losesWorth",
         ),
-    ] = Falls.LINE
+    ] = RevenueDecay.LINE
 
 
 class Product(Table):
@@ -350,8 +352,9 @@
         Span, about("for which a repeat by its mark is known", "dedupWindow", Reload.AT_ONCE)
     ] = 0
     repeat_known: Annotated[
-        Known, about("among which hosts: all of the `destination`, or one `floor`", "group", Reload.AT_ONCE)
-    ] = Known.DESTINATION
+        RepeatScope,
+        about("among which hosts: all of the `destination`, or one `floor`", "group", Reload.AT_ONCE),
+    ] = RepeatScope.DESTINATION
     in_order: Annotated[
         bool,
         about(
@@ -389,7 +392,7 @@
     name: Annotated[str, about("as the catalog names it", "settings.zones")] = ""
     fee: Annotated[
         float,
-        Meta(ge=-RATE_MOST, le=RATE_MOST),
+        Meta(ge=-MAX_RATE, le=MAX_RATE),
         about("of a text that a route apart takes on there", "settings.familyInfo.carriage"),
     ] = 0.0
 
--- a/limelatch/configuration/page.py
+++ b/limelatch/configuration/page.py
@@ -8,9 +8,9 @@
 from msgspec import inspect
 
 from limelatch.configuration.model import Installation, Reload
-from limelatch.configuration.toml_form import worded
+from limelatch.configuration.toml_form import toml_value
 from limelatch.configuration.platform_form import WORDS
-from limelatch.configuration.reading import OWN, Key, bounds, keys_of
+from limelatch.configuration.reading import TOML_UNITS, Key, accepted_values, keys_of
 
 HEAD = """# Configuration
 
@@ -76,7 +76,7 @@
         if isinstance(key.type, inspect.StructType):
             yield from section(f"[{name}]", name, key.type.cls, "")
         elif isinstance(row, inspect.StructType):
-            yield from section(f"[[{name}]]", name, row.cls, key.notes["platform"], key)
+            yield from section(f"[[{name}]]", name, row.cls, key.metadata["platform"], key)
 
 
 def section(
@@ -84,7 +84,10 @@
 ) -> Iterator[str]:
     yield f"## {title}\n"
     needed = " At least one." if of is not None and of.type.min_length else ""
-    yield f"{table.__doc__.strip()}{needed}{f' {of.about.capitalize()}.' if of and of.about else ''}\n"
+    yield (
+        f"{table.__doc__.strip()}{needed}"
+        f"{f' {of.description.capitalize()}.' if of and of.description else ''}\n"
+    )
     yield f"| {' | '.join(COLUMNS)} |"
     yield f"|{' --- |' * len(COLUMNS)}"
     for name, key in keys_of(table).items():
@@ -93,15 +96,17 @@
 
 
 def cells(path: str, name: str, key: Key, place: str) -> list[str]:
-    default = "needed" if key.required else code(worded(key, key.default))
-    wanted = bounds(key, OWN.get(key.unit)) if key.unit != "count" else bounds(key, None)
-    there = key.notes.get("platform", "")
+    default = "needed" if key.required else code(toml_value(key, key.default))
+    wanted = (
+        accepted_values(key, TOML_UNITS.get(key.unit)) if key.unit != "count" else accepted_values(key, None)
+    )
+    there = key.metadata.get("platform", "")
     there = f"`{place}[].{there}`" if place and "." not in there else f"`{there}`"
     words = WORDS.get(f"{path}.{name}")
     if words:
         there += ": " + ", ".join(f"`{word}` = `{ours}`" for word, ours in words[0].items())
-    when = TAKEN[key.notes.get("reload", Reload.RESTART)]
-    return [f"`{name}`", wanted, default, when, key.about, there]
+    when = TAKEN[key.metadata.get("reload", Reload.RESTART)]
+    return [f"`{name}`", wanted, default, when, key.description, there]
 
 
 def code(value: object) -> str:
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -8,21 +8,23 @@
 from limelatch import interface as li
 from limelatch.configuration.errors import ConfigurationError
 from limelatch.configuration.model import (
-    Falls,
+    RevenueDecay,
     Installation,
-    Known,
+    RepeatScope,
     Log,
     Membership,
-    News,
+    ListDelivery,
     Product,
-    Rates,
+    RateQuality,
 )
 from limelatch.configuration.platform_form import read_platform
 from limelatch.membership.timing import Timing
 
 SEED_BYTES = 8
-SOCKETS_LEAST = 64  # a relay of so few descriptors still has some for every party
-OWN = 20  # descriptors for output, pipes, ledger, ports, catalog, platform, and files that are passing
+MIN_SOCKETS = 64  # a relay of so few descriptors still has some for every party
+RESERVED_DESCRIPTORS = (
+    20  # descriptors for output, pipes, ledger, ports, catalog, platform, and files that are passing
+)
 
 
 @dataclass(frozen=True)
@@ -46,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Shares:
+class DescriptorShares:
     """Of the descriptors, what each party may hold. A connection that was told to end holds its own until the
     reactor has gone round: `closing` is for those of hosts, and operators' count twice.
 
@@ -56,22 +58,22 @@
     closing: int
     operators: int
     clients: int  # that are served
-    clients_most: int  # with those on their way out
+    max_clients: int  # with those on their way out
 
     @classmethod
-    def of(cls, sockets: int) -> Shares:
+    def of(cls, sockets: int) -> DescriptorShares:
         clients, operators = sockets // 2, max(1, min(16, sockets // 64))
-        left = sockets - clients - 2 * operators - OWN
+        left = sockets - clients - 2 * operators - RESERVED_DESCRIPTORS
         hosts = min(sockets // 4, left * 6 // 10)
         closing = min(sockets // 16, (left - hosts) // 2)
         return cls(hosts, closing, operators, clients, clients + left - hosts - closing)
 
     @classmethod
-    def of_two(cls, sockets: int) -> Shares:
+    def during_upgrade(cls, sockets: int) -> DescriptorShares:
         """Of one of two processes of a relay, which share its descriptors in an upgrade.
 
         A relay of fewer than twice SOCKETS_LEAST can't keep both within them."""
-        return cls.of(max(SOCKETS_LEAST, sockets // 2))
+        return cls.of(max(MIN_SOCKETS, sockets // 2))
 
 
 @dataclass(frozen=True)
@@ -101,7 +103,7 @@
     max_disk_bytes: int
     max_memory_bytes: int
     sockets: int
-    shares: Shares
+    shares: DescriptorShares
     max_client_bytes: int  # of commands that are not whole yet, of all clients together
     client_command_timeout: int  # for a client's first command, and for the rest of a begun one
     client_idle_timeout: int  # between a client's commands
@@ -122,16 +124,16 @@
     return Address(host, int(port))
 
 
-def product_of(row: Product, falls: Falls) -> li.Product:
+def product_of(row: Product, falls: RevenueDecay) -> li.Product:
     return li.Product(
         effect=row.effect,
         sla_time=row.sla_time,
         validity_period=row.validity_period,
         revenue=row.revenue,
         late_share=row.late_share,
-        by_halves=falls is Falls.HALVES,
+        by_halves=falls is RevenueDecay.HALVES,
         repeat_window=row.repeat_window,
-        repeats_anywhere=row.repeat_known is Known.DESTINATION,
+        repeats_anywhere=row.repeat_known is RepeatScope.DESTINATION,
         in_order=row.in_order,
     )
 
@@ -149,8 +151,8 @@
         products=[product_of(row, installation.revenue.falls) for row in installation.products],
         kinds=[li.HostKind(row.texts_per_call, row.routes_apart) for row in installation.kinds],
         zone_fees=[row.fee for row in installation.floors],
-        rates_listed=installation.catalog.rates is not Rates.NONE,
-        list_asked=installation.catalog.news is News.ASKED,
+        rates_listed=installation.catalog.rates is not RateQuality.NONE,
+        list_asked=installation.catalog.news is ListDelivery.ASKED,
         ask_within=installation.catalog.ask_within,
         cold_share=rules.cold_share,
         cold_time=rules.cold_time,
@@ -213,7 +215,7 @@
         max_disk_bytes=limits.disk,
         max_memory_bytes=limits.memory,
         sockets=limits.sockets,
-        shares=Shares.of(limits.sockets),
+        shares=DescriptorShares.of(limits.sockets),
         max_client_bytes=limits.memory // 8,
         client_command_timeout=installation.clients.command_wait,
         client_idle_timeout=installation.clients.idle_wait,
--- a/limelatch/configuration/platform_form.py
+++ b/limelatch/configuration/platform_form.py
@@ -11,9 +11,9 @@
 import msgspec
 from msgspec import inspect
 
-from limelatch.configuration.checks import mixed
+from limelatch.configuration.checks import conflicts
 from limelatch.configuration.errors import ConfigError, wrong
-from limelatch.configuration.model import Falls, Installation, Known, News, Rates
+from limelatch.configuration.model import RevenueDecay, Installation, RepeatScope, ListDelivery, RateQuality
 from limelatch.configuration.reading import ADDRESS, Key, Reader, Unit, keys_of
 from limelatch.configuration.units import MEGABYTE, to_units
 from limelatch.interface import MS, Effect
@@ -23,13 +23,19 @@
 # By key of the model: the platform's words, and what any other word means; None: it is a fault.
 WORDS = {
     "products.effect": ({word: effect.value for word, effect in EFFECTS.items()}, Effect.ONCE_ONLY.value),
-    "products.repeat_known": ({"all": Known.DESTINATION.value, "zone": Known.FLOOR.value}, Known.FLOOR.value),
+    "products.repeat_known": (
+        {"all": RepeatScope.DESTINATION.value, "zone": RepeatScope.FLOOR.value},
+        RepeatScope.FLOOR.value,
+    ),
     "catalog.rates": (
-        {"nominal": Rates.EXACT.value, "rough": Rates.ROUGH.value, "off": Rates.NONE.value},
-        Rates.NONE.value,
+        {"nominal": RateQuality.EXACT.value, "rough": RateQuality.ROUGH.value, "off": RateQuality.NONE.value},
+        RateQuality.NONE.value,
+    ),
+    "catalog.news": ({"automatic": ListDelivery.PUSHED.value, "subscribe": ListDelivery.ASKED.value}, None),
+    "revenue.falls": (
+        {"halves": RevenueDecay.HALVES.value, "line": RevenueDecay.LINE.value},
+        RevenueDecay.LINE.value,
     ),
-    "catalog.news": ({"automatic": News.PUSHED.value, "subscribe": News.ASKED.value}, None),
-    "revenue.falls": ({"halves": Falls.HALVES.value, "line": Falls.LINE.value}, Falls.LINE.value),
 }
 ADVICE, ADVICE_FLAG = "limits.advice", "settings.limits.retryAfter"
 BESIDE = ("kinds", "floors")  # whose keys are lists that stand beside each other
@@ -44,7 +50,7 @@
     return value
 
 
-UNITS = {
+PLATFORM_UNITS = {
     "span": Unit(
         lambda ms: to_units(number(ms)),
         "a number of milliseconds that is not negative",
@@ -63,7 +69,9 @@
 def readable(key: Key, value: object) -> bool:
     """Whether a value of the platform's can be a key's."""
     try:
-        msgspec.convert(UNITS[key.unit].read(value) if key.unit in UNITS else value, key.annotated_type)
+        msgspec.convert(
+            PLATFORM_UNITS[key.unit].read(value) if key.unit in PLATFORM_UNITS else value, key.annotated_type
+        )
     except (ValueError, TypeError, OverflowError, msgspec.ValidationError):
         return False
     return True
@@ -113,7 +121,7 @@
             elif isinstance(key.type, inspect.StructType):
                 own[name] = self._table(name, key)
             else:
-                self.places[name] = place = key.notes["platform"]
+                self.places[name] = place = key.metadata["platform"]
                 if (value := self.get(place)) is not None:
                     own[name] = value
         return own
@@ -122,7 +130,7 @@
         found = {}
         for name, each in keys_of(key.type.cls).items():
             path = f"{table}.{name}"
-            self.places[path] = place = each.notes["platform"]
+            self.places[path] = place = each.metadata["platform"]
             value = said(path, self.get(place))
             if value is not None:
                 found[name] = value
@@ -147,7 +155,7 @@
             limits.pop("advice", None)
 
     def _rows(self, table: str, key: Key) -> list | None:
-        place = key.notes["platform"]
+        place = key.metadata["platform"]
         self.places[table] = place
         rows = self.get(place)
         if not isinstance(rows, list):
@@ -160,7 +168,7 @@
                 continue
             found.append(one := {NAMED: ""})
             for name, each in keys_of(key.type.item_type.cls).items():
-                path, word = f"{table}[{at}].{name}", each.notes["platform"]
+                path, word = f"{table}[{at}].{name}", each.metadata["platform"]
                 self.places[path] = f"{place}[{at}].{word}"
                 value = said(f"{table}.{name}", (row or {}).get(word))
                 if value is not None and (table == "products" or name == NAMED or is_share(value)):
@@ -170,12 +178,12 @@
     def _beside(self, table: str, key: Key) -> list[dict]:
         """Rows whose keys are lists, one beside the other; a list that is too short leaves defaults."""
         columns = keys_of(key.type.item_type.cls)
-        lists = {name: self._listed(each.notes["platform"]) for name, each in columns.items()}
-        self.places[table] = columns[NAMED].notes["platform"]
+        lists = {name: self._listed(each.metadata["platform"]) for name, each in columns.items()}
+        self.places[table] = columns[NAMED].metadata["platform"]
         rows: list[dict] = [{} for _ in range(max(len(each) for each in lists.values()))]
         for name, values in lists.items():
             for at, value in enumerate(values):
-                self.places[f"{table}[{at}].{name}"] = f"{columns[name].notes['platform']}[{at}]"
+                self.places[f"{table}[{at}].{name}"] = f"{columns[name].metadata['platform']}[{at}]"
                 if isinstance(columns[name].type, inspect.BoolType):
                     value = value is True
                 rows[at][name] = value
@@ -197,9 +205,9 @@
 def read_platform(raw: object) -> tuple[Installation | None, list[ConfigError], Reader]:
     """The model of the platform's object, all that is wrong with it, and the reader with what was told."""
     translation = Translation(raw)
-    reader = Reader(UNITS, strict=False, where=translation.place, errors=translation.errors)
+    reader = Reader(PLATFORM_UNITS, strict=False, where=translation.place, errors=translation.errors)
     found = reader.read(translation.own)
-    for each in mixed(found, own=False) if found is not None else ():
+    for each in conflicts(found, own=False) if found is not None else ():
         found = None
         reader.errors.append(ConfigError(translation.place(each.path), each.wanted))
     broken = tuple(f"{path}." for path in translation.broken)  # what is missing there is told already
@@ -213,12 +221,12 @@
     raw[last] = value
 
 
-def written(path: str, key: Key, value: object) -> object:
+def platform_value(path: str, key: Key, value: object) -> object:
     """A value as the platform writes it."""
     if path in WORDS:
         return next(word for word, ours in WORDS[path][0].items() if ours == value.value)
-    if key.unit in UNITS and key.unit != "address":
-        return UNITS[key.unit].write(value)
+    if key.unit in PLATFORM_UNITS and key.unit != "address":
+        return PLATFORM_UNITS[key.unit].write(value)
     if isinstance(value, dict):
         return {name: getattr(each, "value", each) for name, each in value.items()}
     return getattr(value, "value", value)
@@ -231,17 +239,17 @@
         if path in ROWS:
             rows = [
                 {
-                    each.notes["platform"]: written(f"{path}.{name}", each, getattr(row, name))
+                    each.metadata["platform"]: platform_value(f"{path}.{name}", each, getattr(row, name))
                     for name, each in keys_of(type(row)).items()
                 }
                 for row in value
             ]
-            put(raw, key.notes["platform"], rows)
+            put(raw, key.metadata["platform"], rows)
         elif path in BESIDE:
             for name, each in keys_of(key.type.item_type.cls).items():
-                put(raw, each.notes["platform"], [getattr(row, name) for row in value])
+                put(raw, each.metadata["platform"], [getattr(row, name) for row in value])
         elif value not in ("", {}):
-            put(raw, key.notes["platform"], written(path, key, value))
+            put(raw, key.metadata["platform"], platform_value(path, key, value))
     put(raw, ADVICE_FLAG, installation.limits.advice > 0)
     return raw
 
--- a/limelatch/configuration/reading.py
+++ b/limelatch/configuration/reading.py
@@ -40,7 +40,7 @@
 
 
 ADDRESS = Unit(read_address, "an address such as 127.0.0.1:6379")
-OWN = {
+TOML_UNITS = {
     "span": Unit(read_span, 'a span such as "250ms" or "2s"', write_span),
     "size": Unit(read_size, 'a size such as "192MB"', write_size),
     "count": Unit(lambda value: value, "a whole number", lambda value: value),
@@ -55,14 +55,14 @@
     name: str
     type: inspect.Type  # without its notes
     annotated_type: type  # with them, as msgspec takes it
-    notes: Mapping[str, object]
-    about: str
+    metadata: Mapping[str, object]
+    description: str
     default: object
     required: bool
 
     @property
     def unit(self) -> str:
-        return self.notes.get("unit", "")
+        return self.metadata.get("unit", "")
 
 
 @cache
@@ -82,7 +82,7 @@
     return keys
 
 
-def bounds(key: Key, unit: Unit | None) -> str:
+def accepted_values(key: Key, unit: Unit | None) -> str:
     """What a key takes, in words."""
     kind = key.type
     if isinstance(kind, inspect.EnumType):
@@ -96,7 +96,7 @@
             return "a list with a row at least"
         return "a list of strings" if isinstance(kind.item_type, inspect.StrType) else "a list"
     if isinstance(kind, inspect.StrType):
-        form = key.notes.get("form")
+        form = key.metadata.get("form")
         if unit is not None:
             return unit.wanted
         if kind.min_length:
@@ -136,7 +136,7 @@
         keys, values, count = keys_of(kind), {}, len(self.errors)
         if self.strict:
             for name in raw:
-                if name not in keys or keys[name].notes.get("own", True) is False:
+                if name not in keys or keys[name].metadata.get("own", True) is False:
                     self.unknown(kind, str(name), path)
         for name, key in keys.items():
             at = f"{path}.{name}" if path else name
@@ -146,7 +146,7 @@
             elif key.required and isinstance(key.type, inspect.StructType):
                 values[name] = self.table(key.type.cls, {}, at)  # so that each key that is missing is named
             elif key.required:
-                wanted = bounds(key, self.units.get(key.unit))
+                wanted = accepted_values(key, self.units.get(key.unit))
                 self.errors.append(ConfigError(self.where(at), f"{wanted} is wanted; it is missing"))
         return kind(**values) if len(self.errors) == count else None
 
@@ -179,11 +179,11 @@
             if isinstance(value, float) and not math.isfinite(value):
                 raise ValueError(raw)
             found = msgspec.convert(value, key.annotated_type)
-            if (form := key.notes.get("form")) and found and not form.fullmatch(found):
+            if (form := key.metadata.get("form")) and found and not form.fullmatch(found):
                 raise ValueError(raw)
             return found
         except (ValueError, TypeError, OverflowError, msgspec.ValidationError):
-            self.add_error(path, bounds(key, unit), raw)
+            self.add_error(path, accepted_values(key, unit), raw)
             return None
 
     def rows(self, key: Key, raw: object, path: str) -> list:
@@ -222,7 +222,7 @@
                 walk(key.type.cls, name)
             elif isinstance(row, inspect.StructType):
                 walk(row.cls, f"{name}[]")
-            elif key.notes.get("own", True) is not False:
+            elif key.metadata.get("own", True) is not False:
                 found.append((path, name))
 
     walk(root, "")
--- a/limelatch/configuration/schema.py
+++ b/limelatch/configuration/schema.py
@@ -6,14 +6,21 @@
 from msgspec import inspect
 
 from limelatch.configuration.model import FULL_SEED, Installation
-from limelatch.configuration.toml_form import worded
-from limelatch.configuration.platform_form import ADVICE_FLAG, BESIDE, ROWS, UNITS, WORDS, written
+from limelatch.configuration.toml_form import toml_value
+from limelatch.configuration.platform_form import (
+    ADVICE_FLAG,
+    BESIDE,
+    ROWS,
+    PLATFORM_UNITS,
+    WORDS,
+    platform_value,
+)
 from limelatch.configuration.reading import Key, keys_of
-from limelatch.configuration.units import SIZE_FORM, SPAN_FORM
+from limelatch.configuration.units import SIZE_PATTERN, SPAN_PATTERN
 
 DIALECT = "https://json-schema.org/draft/2020-12/schema"
 ADDRESS_FORM = r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$"
-OWN_UNITS = {"span": SPAN_FORM, "size": SIZE_FORM, "address": ADDRESS_FORM}
+OWN_UNITS = {"span": SPAN_PATTERN, "size": SIZE_PATTERN, "address": ADDRESS_FORM}
 
 
 def schema_of(form: str) -> dict:
@@ -38,12 +45,12 @@
     found = leaf(key) if not isinstance(key.type, inspect.DictType) else {"type": "object"}
     if key.unit in OWN_UNITS:
         found = {"type": "string", "pattern": OWN_UNITS[key.unit]}
-    if key.notes.get("form") is FULL_SEED:
+    if key.metadata.get("form") is FULL_SEED:
         found["pattern"] = f"^({FULL_SEED.pattern})?$"
-    if key.about:
-        found["description"] = key.about
+    if key.description:
+        found["description"] = key.description
     if not key.required:
-        found["default"] = worded(key, key.default)
+        found["default"] = toml_value(key, key.default)
     return found
 
 
@@ -51,7 +58,7 @@
     properties, needed = {}, []
     for name, key in keys_of(table).items():
         row = getattr(key.type, "item_type", None)
-        if key.notes.get("own", True) is False:
+        if key.metadata.get("own", True) is False:
             continue
         if isinstance(key.type, inspect.StructType):
             properties[name] = own_table(key.type.cls)
@@ -70,15 +77,19 @@
 
 
 def platform_leaf(path: str, key: Key) -> dict:
-    found = {"type": "number", "minimum": 0} if key.unit in UNITS and key.unit != "address" else leaf(key)
+    found = (
+        {"type": "number", "minimum": 0}
+        if key.unit in PLATFORM_UNITS and key.unit != "address"
+        else leaf(key)
+    )
     if key.unit == "address":
         found = {"type": "string", "pattern": ADDRESS_FORM}
     if path in WORDS:
         found = {"type": "string", "examples": list(WORDS[path][0])}
-    if key.about:
-        found["description"] = key.about
+    if key.description:
+        found["description"] = key.description
     if not key.required and key.default not in ("", {}):
-        found["default"] = written(path, key, key.default)
+        found["default"] = platform_value(path, key, key.default)
     return found
 
 
@@ -98,20 +109,27 @@
     for name, key in keys_of(Installation).items():
         if name in ROWS:
             columns = {
-                each.notes["platform"]: platform_leaf(f"{name}.{column}", each)
+                each.metadata["platform"]: platform_leaf(f"{name}.{column}", each)
                 for column, each in keys_of(key.type.item_type.cls).items()
             }
             rows = {"type": "array", "items": {"type": "object", "properties": columns}}
-            put(key.notes["platform"], rows | ({"minItems": 1} if key.type.min_length else {}), key.required)
+            put(
+                key.metadata["platform"],
+                rows | ({"minItems": 1} if key.type.min_length else {}),
+                key.required,
+            )
         elif name in BESIDE:
             for each in keys_of(key.type.item_type.cls).values():
                 items = {"type": "number"} if each.unit == "count" else leaf(each)
-                put(each.notes["platform"], {"type": "array", "items": items, "description": each.about})
+                put(
+                    each.metadata["platform"],
+                    {"type": "array", "items": items, "description": each.description},
+                )
         elif isinstance(key.type, inspect.StructType):
             for column, each in keys_of(key.type.cls).items():
-                put(each.notes["platform"], platform_leaf(f"{name}.{column}", each), each.required)
+                put(each.metadata["platform"], platform_leaf(f"{name}.{column}", each), each.required)
         else:
-            put(key.notes["platform"], {"type": "object", "description": key.about})
+            put(key.metadata["platform"], {"type": "object", "description": key.description})
     put(
         ADVICE_FLAG,
         {"type": "boolean", "default": False, "description": "whether clients are told when to come again"},
--- a/limelatch/configuration/toml_form.py
+++ b/limelatch/configuration/toml_form.py
@@ -12,31 +12,31 @@
 from limelatch.configuration.changes import ABSENT, Change
 from limelatch.configuration.files import LoadedFile
 from limelatch.configuration.model import Installation
-from limelatch.configuration.reading import OWN, Key, keys_of
+from limelatch.configuration.reading import TOML_UNITS, Key, keys_of
 
 HIDDEN = "(hidden)"
 DEFAULT = "default"
 
 
-def worded(key: Key, value: object) -> object:
+def toml_value(key: Key, value: object) -> object:
     """A value as people write it."""
-    if key.unit in OWN and key.unit != "address":
-        return OWN[key.unit].write(value)
+    if key.unit in TOML_UNITS and key.unit != "address":
+        return TOML_UNITS[key.unit].write(value)
     if isinstance(value, dict):
         return {name: getattr(each, "value", each) for name, each in value.items()}
     return getattr(value, "value", value)
 
 
 def hidden(key: Key, value: object, secrets: bool) -> bool:
-    return bool(key.notes.get("secret")) and bool(value) and not secrets
+    return bool(key.metadata.get("secret")) and bool(value) and not secrets
 
 
-def write_own(installation: Installation, given: Set[str], whole: bool = False, secrets: bool = True) -> str:
+def write_toml(installation: Installation, given: Set[str], whole: bool = False, secrets: bool = True) -> str:
     """The model as TOML: the keys in `told`, or with `whole` all of them, the others marked as defaults."""
     document = tomlkit.document()
     for name, key in keys_of(Installation).items():
         value = getattr(installation, name)
-        if key.notes.get("own", True) is False:
+        if key.metadata.get("own", True) is False:
             continue
         if isinstance(key.type, inspect.StructType):
             table = tomlkit.table()
@@ -58,13 +58,13 @@
         if not whole and f"{path}.{name}" not in given:
             continue
         value = getattr(row, name)
-        item: Item = tomlkit.item(HIDDEN if hidden(key, value, secrets) else worded(key, value))
+        item: Item = tomlkit.item(HIDDEN if hidden(key, value, secrets) else toml_value(key, value))
         if whole and f"{path}.{name}" not in given:
             item.comment(DEFAULT)
         table.add(name, item)
 
 
-def rows_of(found: LoadedFile, secrets: bool) -> Iterator[dict]:
+def value_rows(found: LoadedFile, secrets: bool) -> Iterator[dict]:
     """Every key with its value in people's words, and whether it is a default."""
 
     def walk(table: msgspec.Struct, path: str) -> Iterator[dict]:
@@ -75,8 +75,8 @@
             elif isinstance(getattr(key.type, "item_type", None), inspect.StructType):
                 for number, row in enumerate(value):
                     yield from walk(row, f"{at}[{number}]")
-            elif key.notes.get("own", True) is not False:
-                shown = HIDDEN if hidden(key, value, secrets) else worded(key, value)
+            elif key.metadata.get("own", True) is not False:
+                shown = HIDDEN if hidden(key, value, secrets) else toml_value(key, value)
                 yield {"key": at, "value": shown, DEFAULT: at not in found.given}
 
     yield from walk(found.installation, "")
@@ -88,7 +88,7 @@
     def side(value: object) -> str:
         if value is ABSENT:
             return "absent"
-        return HIDDEN if hidden(change.key, value, False) else str(worded(change.key, value)) or '""'
+        return HIDDEN if hidden(change.key, value, False) else str(toml_value(change.key, value)) or '""'
 
     when = {"at once": "at once on SIGHUP", "restart": "after a restart", "start": "at the next start"}
     return f"{change.path}: {side(change.before)} -> {side(change.after)} ({when[change.reload.value]})"
--- a/limelatch/configuration/units.py
+++ b/limelatch/configuration/units.py
@@ -10,8 +10,8 @@
 
 from limelatch.interface import MS
 
-SPAN_FORM = r"^([0-9]+(\.[0-9]+)?(us|ms|s|m|h|d))+$"
-SIZE_FORM = r"^[0-9]+(\.[0-9]+)? ?(B|kB|KB|MB|GB|KiB|MiB|GiB)$"
+SPAN_PATTERN = r"^([0-9]+(\.[0-9]+)?(us|ms|s|m|h|d))+$"
+SIZE_PATTERN = r"^[0-9]+(\.[0-9]+)? ?(B|kB|KB|MB|GB|KiB|MiB|GiB)$"
 TICK = timedelta(microseconds=100)
 SCALES = ((1_000_000_000, "GB"), (1_000_000, "MB"), (1_000, "kB"))
 MEGABYTE = 1_000_000
@@ -26,7 +26,7 @@
     """A span such as `250ms`, `2s` or `1h30m` in tenths of a millisecond; raises ValueError."""
     import durationpy  # here and below: the relay on a platform's JSON needs neither
 
-    if not isinstance(word, str) or len(word) > 40 or not re.match(SPAN_FORM, word):
+    if not isinstance(word, str) or len(word) > 40 or not re.match(SPAN_PATTERN, word):
         raise ValueError(word)
     try:
         ticks, rest = divmod(durationpy.from_str(word), TICK)
@@ -48,7 +48,7 @@
     """A size such as `192MB` in bytes; raises ValueError."""
     import humanfriendly
 
-    if not isinstance(word, str) or len(word) > 40 or not re.match(SIZE_FORM, word):
+    if not isinstance(word, str) or len(word) > 40 or not re.match(SIZE_PATTERN, word):
         raise ValueError(word)
     return humanfriendly.parse_size(word)
 
--- a/limelatch/events.py
+++ b/limelatch/events.py
@@ -12,7 +12,7 @@
 class Event(NamedTuple):
     part: str
     level: int
-    about: str
+    description: str
     fields: dict[str, str]
 
 
@@ -429,5 +429,5 @@
         )
         mark = " *" if "left_out" in event.fields else ""
         level = getLevelName(event.level).lower()
-        rows.append(f"| `{name}`{mark} | {event.part} | {level} | {event.about} | {fields} |\n")
+        rows.append(f"| `{name}`{mark} | {event.part} | {level} | {event.description} | {fields} |\n")
     return PAGE + "".join(rows)
--- a/limelatch/lab/checker.py
+++ b/limelatch/lab/checker.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from limelatch.configuration.model import Known
+from limelatch.configuration.model import RepeatScope
 from limelatch.configuration.units import write_span
 from limelatch.interface import Effect
 from limelatch.lab import record as rec
@@ -286,7 +286,9 @@
                     text.trail,
                 )
             elif product.effect is Effect.REFERENCED:
-                elsewhere = product.repeat_known is Known.FLOOR and host and host.floor != text.ran_floor
+                elsewhere = (
+                    product.repeat_known is RepeatScope.FLOOR and host and host.floor != text.ran_floor
+                )
                 late = sent - text.ran_at - product.repeat_window - self.limit
                 if elsewhere or late > 0:
                     why = "on another floor" if elsewhere else f"{write_span(late)} after its repeat window"
@@ -440,7 +442,7 @@
     def _nacked(self, text: TextState, at: int) -> None:
         product = self.products[text.handed.product]
         unsafe = product.effect is Effect.ONCE_ONLY or (
-            product.effect is Effect.REFERENCED and product.repeat_known is Known.FLOOR
+            product.effect is Effect.REFERENCED and product.repeat_known is RepeatScope.FLOOR
         )
         if text.ran_at is not None and unsafe and not text.end:
             self.breach(
--- a/limelatch/lab/figures.py
+++ b/limelatch/lab/figures.py
@@ -12,7 +12,7 @@
 import msgspec
 import numpy as np
 
-from limelatch.configuration.model import Falls
+from limelatch.configuration.model import RevenueDecay
 from limelatch.interface import SECOND
 from limelatch.lab import record as rec
 from limelatch.lab.checker import Checker, Rule
@@ -123,11 +123,11 @@
         )
 
 
-def worth(product: ProductKeys, falls: Falls, took: np.ndarray) -> np.ndarray:
+def worth(product: ProductKeys, falls: RevenueDecay, took: np.ndarray) -> np.ndarray:
     """The share of its revenue that a text brings which is delivered after `took` ticks; negative: never."""
     sla, until = product.sla_time, product.validity_period
     late = np.maximum(0, took - sla)
-    if falls is Falls.HALVES:
+    if falls is RevenueDecay.HALVES:
         share = np.maximum(product.late_share, 0.5 ** (late / max(1, sla)))
     else:
         share = 1 - (1 - product.late_share) * np.minimum(1, late / max(1, until - sla))
--- a/limelatch/lab/scenario/load.py
+++ b/limelatch/lab/scenario/load.py
@@ -6,8 +6,8 @@
 from importlib import resources
 
 from limelatch.configuration import ConfigurationError, ConfigError
-from limelatch.configuration.files import TOML_MOST, decode, parse_toml, read_bytes
-from limelatch.configuration.reading import OWN, Reader
+from limelatch.configuration.files import MAX_TOML_BYTES, decode, parse_toml, read_bytes
+from limelatch.configuration.reading import TOML_UNITS, Reader
 from limelatch.lab.scenario.check import doubts, faults_of
 from limelatch.lab.scenario.model import Scenario
 
@@ -30,7 +30,7 @@
     if "/" not in path_or_name and not path_or_name.endswith(".toml"):
         names = ", ".join(name for name, _ in library())
         raise ConfigurationError([ConfigError(path_or_name, f"no such scenario; the library has {names}")])
-    return path_or_name, decode(path_or_name, read_bytes(path_or_name, TOML_MOST))
+    return path_or_name, decode(path_or_name, read_bytes(path_or_name, MAX_TOML_BYTES))
 
 
 def merged(base: dict, over: dict) -> dict:
@@ -58,7 +58,7 @@
 
 def parse(path: str, text: str) -> Scenario:
     """The scenario; ConfigurationError tells all that is wrong with it."""
-    reader = Reader(OWN, strict=True, root=Scenario)
+    reader = Reader(TOML_UNITS, strict=True, root=Scenario)
     found = reader.read(raw_of(path, text))
     faults = reader.errors if found is None else faults_of(found)
     if faults:
--- a/limelatch/lab/scenario/model.py
+++ b/limelatch/lab/scenario/model.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta
 
-from limelatch.configuration.model import Known, Rates, Revenue, Share, Size, Span, Table
+from limelatch.configuration.model import RepeatScope, RateQuality, Revenue, Share, Size, Span, Table
 from limelatch.interface import MS, SECOND, Effect
 
 RELAYS_MOST, ENDPOINTS_MOST, RATE_MOST = 2000, 20_000, 100_000
@@ -138,7 +138,7 @@
 
     lag: Annotated[Span, key("after which news reach a relay, in the mean")] = 500 * MS
     spread: Annotated[Multiple, key("of the lag over the relays, as a multiple")] = 0.3
-    rates: Annotated[Rates, key("what it tells of limits")] = Rates.ROUGH
+    rates: Annotated[RateQuality, key("what it tells of limits")] = RateQuality.ROUGH
 
 
 class RuleKeys(Table):
@@ -165,8 +165,8 @@
     revenue: Annotated[Amount, key("of a text within its SLA time")] = 1.0
     late_share: Annotated[Share, key("that is left at the end of the validity period")] = 0.4
     repeat_window: Annotated[Span, key("for which a repeat of a referenced text is known")] = 0
-    repeat_known: Annotated[Known, key("among the hosts of the destination, or of one floor")] = (
-        Known.DESTINATION
+    repeat_known: Annotated[RepeatScope, key("among the hosts of the destination, or of one floor")] = (
+        RepeatScope.DESTINATION
     )
     in_order: Annotated[bool, key("texts of one key go in order")] = False
     keys: Annotated[Number, key("so many keys, where it is in order")] = 200
--- a/limelatch/lab/scenario/page.py
+++ b/limelatch/lab/scenario/page.py
@@ -7,9 +7,9 @@
 import msgspec
 from msgspec import inspect
 
-from limelatch.configuration.toml_form import worded
+from limelatch.configuration.toml_form import toml_value
 from limelatch.configuration.page import code
-from limelatch.configuration.reading import OWN, Key, bounds, keys_of
+from limelatch.configuration.reading import TOML_UNITS, Key, accepted_values, keys_of
 from limelatch.lab.scenario.check import TAKES
 from limelatch.lab.scenario.model import Scenario
 
@@ -53,9 +53,9 @@
 
 
 def row_of(name: str, key: Key) -> str:
-    unit = OWN.get(key.unit) if key.unit != "count" else None
-    default = "needed" if key.required else code(worded(key, key.default))
-    return f"| `{name}` | {bounds(key, unit)} | {default} | {key.about} |"
+    unit = TOML_UNITS.get(key.unit) if key.unit != "count" else None
+    default = "needed" if key.required else code(toml_value(key, key.default))
+    return f"| `{name}` | {accepted_values(key, unit)} | {default} | {key.description} |"
 
 
 def faults() -> Iterator[str]:
--- a/limelatch/lab/soak/plan.py
+++ b/limelatch/lab/soak/plan.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from limelatch.configuration.model import Known
+from limelatch.configuration.model import RepeatScope
 from limelatch.interface import MS, SECOND, Effect
 from limelatch.lab.scenario.model import (
     CatalogKeys,
@@ -239,7 +239,7 @@
 
     def _products(self) -> list[ProductKeys]:
         draw = self.random
-        known = draw.choice((Known.FLOOR, Known.DESTINATION))
+        known = draw.choice((RepeatScope.FLOOR, RepeatScope.DESTINATION))
         keys = draw.choice((3, 10, 40))
         rows = [
             ProductKeys(name="report", effect=Effect.RESENDABLE, validity_period=draw.choice(VALIDITY)),
--- a/limelatch/lab/soak/relay.py
+++ b/limelatch/lab/soak/relay.py
@@ -12,7 +12,7 @@
 import msgspec
 import psutil
 
-from limelatch.configuration.model import Installation, Level
+from limelatch.configuration.model import Installation, LogLevel
 from limelatch.interface import SECOND
 from limelatch.lab import record as rec
 from limelatch.lab.checker import ENDED_BESIDE
@@ -68,7 +68,7 @@
         products, customers = made.products, made.customers
         if self.turned_round:
             products, customers = products[::-1], customers[::-1]
-        log = msgspec.structs.replace(made.log, parts={"driver": Level.DEBUG})
+        log = msgspec.structs.replace(made.log, parts={"driver": LogLevel.DEBUG})
         return msgspec.structs.replace(made, relay=identity, products=products, customers=customers, log=log)
 
     def note(self, what: str) -> None:
--- a/limelatch/lab/stages/terms.py
+++ b/limelatch/lab/stages/terms.py
@@ -5,7 +5,7 @@
 import zlib
 
 from limelatch import interface as li
-from limelatch.configuration.model import Falls, Known, Rates
+from limelatch.configuration.model import RevenueDecay, RepeatScope, RateQuality
 from limelatch.lab.scenario.model import PartnerKeys, Scenario
 
 
@@ -17,9 +17,9 @@
             validity_period=row.validity_period,
             revenue=row.revenue,
             late_share=row.late_share,
-            by_halves=scenario.revenue.falls is Falls.HALVES,
+            by_halves=scenario.revenue.falls is RevenueDecay.HALVES,
             repeat_window=row.repeat_window,
-            repeats_anywhere=row.repeat_known is Known.DESTINATION,
+            repeats_anywhere=row.repeat_known is RepeatScope.DESTINATION,
             in_order=row.in_order,
         )
         for row in scenario.products
@@ -46,7 +46,7 @@
         kinds=[li.HostKind(row.texts_per_call, row.routes_apart) for row in scenario.kinds]
         or [li.HostKind()],
         zone_fees=[0.0] * len(scenario.floors),
-        rates_listed=scenario.catalog.rates is not Rates.NONE,
+        rates_listed=scenario.catalog.rates is not RateQuality.NONE,
         cold_share=rules.cold_share,
         cold_time=rules.cold_time,
         fall_multiple=rules.fall_multiple,
--- a/limelatch/lab/world/endpoint.py
+++ b/limelatch/lab/world/endpoint.py
@@ -19,7 +19,7 @@
 from limelatch.interface import SECOND, Effect
 from limelatch.lab.record import Condition, Fate
 from limelatch.lab.scenario.model import (
-    Known,
+    RepeatScope,
     LimitForm,
     LimitKeys,
     PartnerKeys,
@@ -155,7 +155,7 @@
             until, key = self.order.popleft()
             if self.seen.get(key) == until:
                 del self.seen[key]
-        key = (floor if product.repeat_known is Known.FLOOR else -1, first)
+        key = (floor if product.repeat_known is RepeatScope.FLOOR else -1, first)
         until = self.seen.get(key)
         if until is not None and until > now:
             return True
--- a/limelatch/lab/world/world.py
+++ b/limelatch/lab/world/world.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from limelatch.configuration.model import Rates
+from limelatch.configuration.model import RateQuality
 from limelatch.interface import Listing
 from limelatch.lab.record import Condition
 from limelatch.lab.scenario.check import destinations
@@ -112,10 +112,10 @@
     def weight(self, endpoint: Endpoint) -> float:
         """The rate that the list tells of it; 0 where it tells none."""
         rates = self.scenario.catalog.rates
-        if rates is Rates.NONE:
+        if rates is RateQuality.NONE:
             return 0.0
         told = endpoint.route.limit.told or sum(each.capacity for each in endpoint.route.endpoints)
-        return told * (endpoint.destination.rate_error if rates is Rates.ROUGH else 1.0)
+        return told * (endpoint.destination.rate_error if rates is RateQuality.ROUGH else 1.0)
 
     # What endpoints tell goes on to the stage.
 
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -419,8 +419,8 @@
             route.refill(now, self.terms.relays)
             own, weight = route.flow * SECOND / FLOW_SPAN, 1 / (route.flow + (1 if left is None else 2))
             if route.limit:
-                mixed = (2 * own) ** (1 - weight) * even ** weight
-                fair = min(route.pace, even if room and now - host.last_ok > GOOD_LATELY else mixed)
+                conflicts = (2 * own) ** (1 - weight) * even ** weight
+                fair = min(route.pace, even if room and now - host.last_ok > GOOD_LATELY else conflicts)
                 deeper = route.cuts * weight if self.terms.relays > KEEPERS else 0.0  # few relays push less
                 route.pace = max(PACE_CUT * fair / (1 + deeper), PACE_LEAST * even)
             else:  # the first may be chance; few relays have texts for it at one time
--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -16,7 +16,7 @@
 from limelatch import logs
 from limelatch.configuration import ConfigurationError, Form, RelayPlan, relay_plan, reloaded_plan
 from limelatch.configuration.files import error_lines, form_of
-from limelatch.configuration.plan import SOCKETS_LEAST, Shares
+from limelatch.configuration.plan import MIN_SOCKETS, DescriptorShares
 from limelatch.interface import SECOND
 from limelatch.relay.anchor_file import AnchorFile
 from limelatch.relay.clock import monotonic_now
@@ -46,10 +46,10 @@
     Guards against clients that get half of a configured number, and with it all that there are."""
     if most == resource.RLIM_INFINITY or most >= plan.sockets:
         return plan
-    if most < SOCKETS_LEAST:
-        raise OSError(errno.EMFILE, f"{SOCKETS_LEAST} descriptors are needed, the process may hold {most}")
+    if most < MIN_SOCKETS:
+        raise OSError(errno.EMFILE, f"{MIN_SOCKETS} descriptors are needed, the process may hold {most}")
     logs.log_event(logs.logger("main"), "descriptors-few", sockets=plan.sockets, limit=most)
-    return replace(plan, sockets=most, shares=Shares.of(most))
+    return replace(plan, sockets=most, shares=DescriptorShares.of(most))
 
 
 def open_folder(plan: RelayPlan) -> Driver:
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -10,7 +10,7 @@
 from limelatch.configuration import RelayPlan
 from limelatch.configuration.changes import changes
 from limelatch.configuration.model import Reload
-from limelatch.configuration.plan import Shares
+from limelatch.configuration.plan import DescriptorShares
 from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.logs import start as start_logs
 from limelatch.policy import Policy
@@ -124,7 +124,7 @@
             ListCopy(plan.state_dir, self.deadlines, self.ledger),
             lambda destination: destination in self.policy.dests,
         )
-        self.listener = Listener(self, plan.shares.clients, plan.max_client_bytes, plan.shares.clients_most)
+        self.listener = Listener(self, plan.shares.clients, plan.max_client_bytes, plan.shares.max_clients)
         self.operations = Operations(self, self.out)
         self.door = Door(self, self.operations, plan.shares.operators)
         self.peers = None
@@ -180,8 +180,8 @@
         """The limits are one for both processes of an upgrade: each holds half of the descriptors, and sends
         half of what a host back from an outage bears."""
         self.policy.processes = 2 if two else 1
-        shares = Shares.of_two(self.plan.sockets) if two else self.plan.shares
-        self.listener.bound(shares.clients, shares.clients_most)
+        shares = DescriptorShares.during_upgrade(self.plan.sockets) if two else self.plan.shares
+        self.listener.bound(shares.clients, shares.max_clients)
         self.pool.bound(shares.hosts)
 
     def _is_ordered(self, product: str) -> bool:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,15 +13,15 @@
 
 from limelatch.configuration import ConfigurationError, Form, load, relay_plan
 from limelatch.configuration.changes import changes
-from limelatch.configuration.checks import mixed
-from limelatch.configuration.files import JSON_MOST, TOML_MOST, with_lines, parse_json, parse_toml
+from limelatch.configuration.checks import conflicts
+from limelatch.configuration.files import MAX_JSON_BYTES, MAX_TOML_BYTES, with_lines, parse_json, parse_toml
 from limelatch.configuration.model import Installation, Reload
-from limelatch.configuration.toml_form import write_own
+from limelatch.configuration.toml_form import write_toml
 from limelatch.configuration.page import page
 from limelatch.configuration.platform_form import read_platform, write_platform
-from limelatch.configuration.reading import OWN, Reader, keys_of
+from limelatch.configuration.reading import TOML_UNITS, Reader, keys_of
 from limelatch.configuration.schema import schema_of
-from limelatch.configuration.units import SPAN_FORM, read_size, read_span, write_size, write_span
+from limelatch.configuration.units import SPAN_PATTERN, read_size, read_span, write_size, write_span
 from limelatch.interface import MS, SECOND
 
 SMALL = """[relay]
@@ -52,7 +52,7 @@
 def faults(path):
     with pytest.raises(ConfigurationError) as error:
         load(path)
-    form = Form.OWN if path.endswith(".toml") else Form.PLATFORM
+    form = Form.TOML if path.endswith(".toml") else Form.PLATFORM
     return with_lines(error.value.errors, error.value.text, form)
 
 
@@ -113,8 +113,8 @@
         (b'{"a": ' + b"9" * 5000 + b"}", "a.json", "no JSON"),
         (b"{", "a.json", "(line 1)"),
         (b"[products]\nname = 3\n" * 3, "a.toml", "line 3"),
-        (b"x" * (JSON_MOST + 1), "a.json", "at most"),
-        (b"x" * (TOML_MOST + 1), "a.toml", "at most"),
+        (b"x" * (MAX_JSON_BYTES + 1), "a.json", "at most"),
+        (b"x" * (MAX_TOML_BYTES + 1), "a.toml", "at most"),
     ],
 )
 def test_a_file_that_is_none_gets_one_plain_fault(file, content, name, words):
@@ -251,9 +251,9 @@
 
 @given(rows(Installation))
 def test_what_is_written_in_either_form_reads_the_same(installation):
-    assume(not mixed(installation, own=False))
-    own = parse_toml("x", write_own(installation, set(), whole=True))
-    reader = Reader(OWN, strict=True)
+    assume(not conflicts(installation, own=False))
+    own = parse_toml("x", write_toml(installation, set(), whole=True))
+    reader = Reader(TOML_UNITS, strict=True)
     assert reader.read(own) == installation, reader.errors
     found, wrong, _ = read_platform(parse_json("x", json.dumps(write_platform(installation))))
     assert found == installation, wrong
@@ -280,7 +280,7 @@
     raw = parse_toml("x", SMALL)
     table, _, name = path.partition(".")
     raw[table] = dict(raw.get(table, {}), **{name: value}) if name else value
-    reader = Reader(OWN, strict=True)
+    reader = Reader(TOML_UNITS, strict=True)
     assert (reader.read(raw) is None) == bool(reader.errors)
     raw = json.loads(json.dumps(PLATFORM))
     *tables, last = place_of(path).split(".")
@@ -296,7 +296,7 @@
 def place_of(path):
     table, _, name = path.partition(".")
     key = keys_of(Installation)[table]
-    return keys_of(key.type.cls)[name].notes["platform"] if name else key.notes["platform"] or "unknown"
+    return keys_of(key.type.cls)[name].metadata["platform"] if name else key.metadata["platform"] or "unknown"
 
 
 @given(st.binary(max_size=200) | st.text(max_size=200).map(str.encode))
@@ -315,7 +315,7 @@
 
 def test_schemas_of_both_forms_take_what_the_reader_takes(file):
     own, theirs = (schema_of(form)["properties"] for form in ("toml", "json"))
-    assert own["products"]["items"]["properties"]["sla_time"]["pattern"] == SPAN_FORM
+    assert own["products"]["items"]["properties"]["sla_time"]["pattern"] == SPAN_PATTERN
     assert own["limits"]["properties"]["sockets"]["minimum"] == 64 and "known" not in own
     assert theirs["settings"]["properties"]["limits"]["properties"]["maxOpen"]["default"] == 500
     assert "sede" not in own["relay"]["properties"] and own["relay"]["additionalProperties"] is False
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -9,7 +9,7 @@
 import pytest
 
 from limelatch import events, logs
-from limelatch.configuration.model import Level, Log, LogForm
+from limelatch.configuration.model import LogLevel, Log, LogForm
 
 ROOT = Path(__file__).parent.parent
 
@@ -56,7 +56,7 @@
 
 
 def test_a_part_has_a_level_of_its_own_until_the_next_configuration(written):
-    stream = written(parts={"policy": Level.ERROR, "hosts": Level.DEBUG})
+    stream = written(parts={"policy": LogLevel.ERROR, "hosts": LogLevel.DEBUG})
     logs.log_event(logs.logger("policy"), "mode", host="a", change="b")
     logs.log_event(logs.logger("hosts"), "host-connection-ended", host="a", why="idle")
     logs.log_event(logs.logger("driver"), "stopping", owed=0, calls=0)
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -16,7 +16,7 @@
 from test_parts import GOOD, Wire
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.plan import OWN, SOCKETS_LEAST, Shares
+from limelatch.configuration.plan import RESERVED_DESCRIPTORS, MIN_SOCKETS, DescriptorShares
 from limelatch.configuration.platform_form import read_platform
 from limelatch.relay.clients import Listener
 from limelatch.relay.door import Door
@@ -26,10 +26,12 @@
 
 
 def test_the_shares_of_all_parties_fit_into_the_descriptors():
-    for sockets in (*range(SOCKETS_LEAST, 2000), 4096, 1 << 20):
-        shares = Shares.of(sockets)
-        taken = shares.clients_most + shares.hosts + shares.closing + 2 * shares.operators + OWN
-        assert taken <= sockets and shares.clients == sockets // 2 < shares.clients_most
+    for sockets in (*range(MIN_SOCKETS, 2000), 4096, 1 << 20):
+        shares = DescriptorShares.of(sockets)
+        taken = (
+            shares.max_clients + shares.hosts + shares.closing + 2 * shares.operators + RESERVED_DESCRIPTORS
+        )
+        assert taken <= sockets and shares.clients == sockets // 2 < shares.max_clients
         assert shares.hosts >= 6 and shares.closing >= 2 and shares.operators >= 1
         assert sockets < 400 or shares.hosts == sockets // 4
 
@@ -241,7 +243,7 @@
 
 
 def test_a_relay_with_too_few_descriptors_says_so_and_ends(tmp_path):
-    program = Tight(tmp_path, Place(), SOCKETS_LEAST - 1, 1024)
+    program = Tight(tmp_path, Place(), MIN_SOCKETS - 1, 1024)
     program.launch()
     try:
         assert program.process.wait(WAIT) == 2
@@ -252,4 +254,8 @@
 
 def test_shares_are_those_of_the_configuration(tmp_path):
     raw = GOOD | {"state": str(tmp_path), "limits": {"sockets": 1024}}
-    assert plan_of(read_platform(raw)[0]).shares == Shares.of(1024) == Shares(256, 64, 16, 512, 652)
+    assert (
+        plan_of(read_platform(raw)[0]).shares
+        == DescriptorShares.of(1024)
+        == DescriptorShares(256, 64, 16, 512, 652)
+    )
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -11,7 +11,7 @@
 from test_crossings import Running, take
 from test_key_order import Process
 
-from limelatch.configuration.plan import OWN, Shares
+from limelatch.configuration.plan import RESERVED_DESCRIPTORS, DescriptorShares
 from limelatch.relay.directory import Directory
 from limelatch.relay.list_copy import FILE as LIST
 from limelatch.relay.list_copy import FORM, ListCopy
@@ -155,7 +155,9 @@
         for _ in range(4):
             clients += crowd(new, SOCKETS // 4)
             most = max(most, descriptors(new))
-        assert most > OWN + Shares.of_two(SOCKETS).clients  # all of them are its own again
+        assert (
+            most > RESERVED_DESCRIPTORS + DescriptorShares.during_upgrade(SOCKETS).clients
+        )  # all of them are its own again
     finally:
         new.kill()
         for client in clients:
