--- a/limelatch/relay/catalog.py
+++ b/limelatch/relay/catalog.py
@@ -10,7 +10,7 @@
 from limelatch.interface import HostEntry, HostId, Listing
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.directory import DRAINING, GONE, READY, Directory, Row
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 from limelatch.relay.http import Answer, HttpCaller, request_head
 from limelatch.relay.list_copy import ListCopy
 from limelatch.relay.list_reader import BadList, ListReader
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -14,7 +14,7 @@
 
 from limelatch.interface import MS, SECOND
 from limelatch.logs import HeldDown, logger, say
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 from limelatch.relay.lines import RingLines, waits
 from limelatch.relay.slots import Slots
 
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -19,7 +19,7 @@
 from limelatch.relay.clients import Client, Listener, Handed
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.door import Door, HostsOut
+from limelatch.relay.operator_server import Door, HostsOut
 from limelatch.relay.folder_watch import FolderWatch
 from limelatch.relay.handover import NOTICED_AFTER, Handover
 from limelatch.relay.hosts import Call, Outcome, Parcel, HostPool
@@ -31,7 +31,7 @@
 from limelatch.relay.slots import Slots
 from limelatch.relay.text_log import TextLog
 from limelatch.relay.transport import ACCEPT_SHORTAGES
-from limelatch.relay.wall_watch import WallWatch
+from limelatch.relay.wall_clock_monitor import WallWatch
 
 log, policy_log = logger("driver"), logger("policy")
 NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.MOOT)
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -15,7 +15,7 @@
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadline, Deadlines
-from limelatch.relay.ending import (
+from limelatch.relay.end_reason import (
     OVER_STATE,
     OVER_STATUS,
     RESULT_OF_ENDING,
--- a/limelatch/relay/http.py
+++ b/limelatch/relay/http.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass, field
 
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 from limelatch.relay.lines import RingLines
 
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9][0-9])(?: .*)?\Z")
--- a/limelatch/relay/lines.py
+++ b/limelatch/relay/lines.py
@@ -10,7 +10,7 @@
 from twisted.protocols.basic import LineReceiver
 from zope.interface import implementer
 
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 from limelatch.relay.ring import Ring
 
 READ_SIZE = 16 * 1024  # taken from the socket at once
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limelatch import interface as li
-from limelatch.relay.door import DoorError, HostsOut
+from limelatch.relay.operator_server import DoorError, HostsOut
 
 
 class Operations:
--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -9,7 +9,7 @@
 
 from limelatch.configuration import Address
 from limelatch.logs import logger, say
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 from limelatch.relay.http import Answer, HttpCaller, request_head
 
 log = logger("platform")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,7 +36,7 @@
 from limelatch.relay.clients import Listener
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.driver import Driver
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 from limelatch.relay.inspection import look
 from limelatch.relay.ledger import SEAT, Ledger, lock
 from limelatch.relay.platform import Notifier
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -15,7 +15,7 @@
 from limelatch.relay import clients
 from limelatch.relay.clients import ACCEPTS_MOST, ROOM_LOOK, UNREAD_MOST, Listener
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 
 TABLE = 300
 ASKED = b"SUBMIT 0 t1 c=report,d=9000,dest=1 x\r\n"
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -19,7 +19,7 @@
 from limelatch.relay.chains import Chains
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.directory import GONE, LEFT_MOST, NUMBER_MOST, READY, Directory, Row
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 from limelatch.relay.ledger import Ledger
 from limelatch.relay.list_copy import COPY_EVERY, ListCopy, read_copy
 
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -10,8 +10,8 @@
 
 from limelatch.folder_gate import FolderGate
 from limelatch.interface import SECOND
-from limelatch.relay import door
-from limelatch.relay.door import HostsOut
+from limelatch.relay import operator_server
+from limelatch.relay.operator_server import HostsOut
 from limelatch.relay.ledger import FILE, SEAT, Ledger
 
 SPANS = [0.4, 3.0]  # seconds
@@ -244,13 +244,13 @@
 
 
 def test_a_host_taken_out_by_hand_is_out_only_where_the_folder_keeps_it(tmp_path, monkeypatch):
-    out = door.HostsOut(str(tmp_path))
+    out = operator_server.HostsOut(str(tmp_path))
 
     def refuse(path, content):
         raise OSError(errno.ENOSPC, "No space left on device", path)
 
-    monkeypatch.setattr(door, "replace_whole", refuse)
-    with pytest.raises(door.DoorError, match="not done"):
+    monkeypatch.setattr(operator_server, "replace_whole", refuse)
+    with pytest.raises(operator_server.DoorError, match="not done"):
         out.suspend(b"s-1")
     assert out.counts == {}
 
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 from conftest import Program
-from test_door import Caller
+from test_operator_server import Caller
 
 from limelatch.lab.membership.forwarder import DatagramNetwork
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,7 +19,7 @@
 from limelatch.relay.catalog import BadList, Catalog
 from limelatch.relay.clients import BadCommand, read_submit
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.ending import RESULT_OF_ENDING, Ending
+from limelatch.relay.end_reason import RESULT_OF_ENDING, Ending
 from limelatch.relay.hosts import (
     Call,
     Connection,
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -13,7 +13,7 @@
 from limelatch.interface import MS, SECOND, Result
 from limelatch.policy import Policy
 from limelatch.relay.driver import Driver
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import Ending
 
 
 class Loop(Running):
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -19,7 +19,7 @@
 from limelatch.configuration.plan import OWN, SOCKETS_LEAST, Shares
 from limelatch.configuration.platform import read_platform
 from limelatch.relay.clients import Listener
-from limelatch.relay.door import Door
+from limelatch.relay.operator_server import Door
 
 TOLD_WITHIN = 6.0  # seconds after which a change counts as told
 TRIES = 8  # at discovery that are refused while clients crowd the relay
