--- a/limelatch/relay/catalog.py
+++ b/limelatch/relay/catalog.py
@@ -10,7 +10,7 @@
 from limelatch.interface import HostEntry, HostId, Listing
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.directory import DRAINING, GONE, READY, Directory, Row
-from limelatch.relay.end_reason import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.http import Answer, HttpCaller, request_head
 from limelatch.relay.list_copy import ListCopy
 from limelatch.relay.list_reader import BadList, ListReader
@@ -75,23 +75,23 @@
     def answered(self, answer: Answer, body: bytes) -> None:
         objects, self._objects = self._objects, 0
         if answer.status != 200 or not objects and self._reader.between:
-            self.close(Ending.CLOSED_BY_PEER)  # a watch that ended, or no list
+            self.close(EndReason.CLOSED_BY_PEER)  # a watch that ended, or no list
         elif not self._reader.between:
             say(log, "list-not-read", why="it ended within an object")
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
         elif answer.keeps:
             self._ask(self.catalog.index)
         else:
-            self.close(Ending.CLOSED_BY_PEER)
+            self.close(EndReason.CLOSED_BY_PEER)
 
     def body_part(self, part: bytes) -> bool:
         """Rows are taken as they come: neither a list's size nor its pace holds up a turn."""
-        if self.answer.status == 200 and self.ending is None:
+        if self.answer.status == 200 and self.end_reason is None:
             try:
                 self._reader.feed(part)
             except BadList as error:
                 say(log, "list-not-read", why=error)
-                self.close(Ending.GARBLED)
+                self.close(EndReason.MALFORMED)
             self.catalog.told_so_far()
         return True
 
@@ -112,8 +112,8 @@
         self.catalog.ended()
         self.catalog.heard()
 
-    def ended(self, ending: Ending) -> None:
-        self.catalog.lost(ending)
+    def ended(self, end_reason: EndReason) -> None:
+        self.catalog.lost(end_reason)
 
 
 class Catalog(ClientFactory):
@@ -184,7 +184,7 @@
             if self.copy is not None:
                 self.copy.abort()
             if self._watch is not None:
-                self._watch.close(Ending.MOVED)
+                self._watch.close(EndReason.ADDRESS_CHANGED)
             elif self._connector is not None and self._connector.state == "connecting":
                 self._connector.stopConnecting()
             elif self.failed is not None:
@@ -203,7 +203,7 @@
 
     def _silent(self) -> None:
         if self._watch is not None:
-            self._watch.close(Ending.SILENT)
+            self._watch.close(EndReason.ANSWER_TIMEOUT)
         else:
             self._connector.stopConnecting()
 
@@ -288,16 +288,16 @@
         return self._watch
 
     def clientConnectionFailed(self, connector, reason) -> None:
-        self.lost(Ending.REFUSED)
+        self.lost(EndReason.REFUSED)
 
-    def lost(self, ending: Ending) -> None:
+    def lost(self, end_reason: EndReason) -> None:
         self._watch = None
         if self._deadline is not None:
             self._deadline.cancel()
         if not self.reactor.running:
             return  # the relay ends
-        say(log, "catalog-lost", why=ending.value, index=self.index)
+        say(log, "catalog-lost", why=end_reason.value, index=self.index)
         if self.failed is not None:
             self.failed()
         else:
-            self.deadlines.after(0 if ending is Ending.MOVED else self.again, self.connect)
+            self.deadlines.after(0 if end_reason is EndReason.ADDRESS_CHANGED else self.again, self.connect)
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -14,7 +14,7 @@
 
 from limelatch.interface import MS, SECOND
 from limelatch.logs import HeldDown, logger, say
-from limelatch.relay.end_reason import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.lines import RingLines, waits
 from limelatch.relay.slots import Slots
 
@@ -104,7 +104,7 @@
         self.listener.count_open(1)
         self.number = self.listener.connections.take(self)
         if self.number is None:
-            self.end(Ending.CROWDED)
+            self.end(EndReason.NO_SLOT)
         else:
             self.listener.heard(self)
             self.deadline = self.listener.driver.deadlines.after(LOOK_MOST, self._look)
@@ -125,31 +125,31 @@
         if now >= due and not self.waiting and not comes:
             if not self.between_requests():
                 self.reply("-ERR the command did not come whole in its time")
-            self.end(Ending.SILENT)
+            self.end(EndReason.ANSWER_TIMEOUT)
         else:
             self.deadline = self.listener.driver.deadlines.at(
                 min(max(due, now + SECOND // 10), now + LOOK_MOST), self._look
             )
 
-    def end(self, ending: Ending) -> None:
-        if self.ending is not None:
+    def end(self, end_reason: EndReason) -> None:
+        if self.end_reason is not None:
             return
         if self.between_requests():
-            self.close(ending, finish_writing=True)
+            self.close(end_reason, finish_writing=True)
         else:
-            self._close_lingering(ending)
+            self._close_lingering(end_reason)
         if self.deadline is not None:
             self.deadline.cancel()
         self.deadline = self.listener.driver.deadlines.after(  # if it reads no more
             LINGER, self.transport.abortConnection
         )
 
-    def _close_lingering(self, ending: Ending) -> None:
+    def _close_lingering(self, end_reason: EndReason) -> None:
         """Close for writing, and read past what still comes until the client closes as well.
 
         Guards against a close over unread bytes: it resets the connection, and the last answer may be lost
         with it."""
-        self.ending, self.lingers = ending, True
+        self.end_reason, self.lingers = end_reason, True
         self.outflow.finish()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
@@ -168,7 +168,7 @@
         """Between requests, and none has arrived that is not read yet.
 
         Guards against closing under a request: the peer is reset, and may lose its last answer with it."""
-        return self.ending is None and self.between_requests() and not waits(self.transport)
+        return self.end_reason is None and self.between_requests() and not waits(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
         if self.lingers:
@@ -212,7 +212,7 @@
 
     def _refuse_all(self, why: str) -> None:
         self.reply(f"-ERR Protocol error: {why}")
-        self.end(Ending.GARBLED)
+        self.end(EndReason.MALFORMED)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.skip:
@@ -250,7 +250,7 @@
                 )
             elif name == b"QUIT":
                 self.reply("+OK")
-                self.end(Ending.CLOSED_BY_PEER)
+                self.end(EndReason.CLOSED_BY_PEER)
             else:
                 raise BadCommand(f"unknown command {name[:20].decode(errors='replace')!r}")
         except BadCommand as error:
@@ -258,7 +258,7 @@
             self.listener.held_down("command-bad", why=error, peer=self.transport.getPeer().host)
             self.reply(f"-ERR {error}")
             if self.bad >= BAD_MOST:
-                self.end(Ending.GARBLED)
+                self.end(EndReason.MALFORMED)
 
     def reply(self, line: str) -> None:
         self.send(line.encode() + b"\r\n")
@@ -269,7 +269,7 @@
         self.reply(line)
         self.pump()
         if (self.listener.stopping or self.listener.closing) and self.at_rest():
-            self.end(Ending.STOPPING)
+            self.end(EndReason.STOPPING)
         elif self.all_said:
             self.readConnectionLost()
 
@@ -279,16 +279,18 @@
         if self.lingers:
             self.transport.loseConnection()
         elif not self.waiting:
-            self.end(Ending.CLOSED_BY_PEER)
+            self.end(EndReason.CLOSED_BY_PEER)
 
     def writeConnectionLost(self) -> None:
-        self.end(Ending.CLOSED_BY_PEER)
+        self.end(EndReason.CLOSED_BY_PEER)
 
     def connectionLost(self, reason) -> None:
         self.listener.count_open(-1)
-        self.ending = self.ending or Ending.CLOSED_BY_PEER
-        if self.ending in (Ending.GARBLED, Ending.CROWDED, Ending.SILENT):
-            self.listener.held_down("client-ended", why=self.ending.value, peer=self.transport.getPeer().host)
+        self.end_reason = self.end_reason or EndReason.CLOSED_BY_PEER
+        if self.end_reason in (EndReason.MALFORMED, EndReason.NO_SLOT, EndReason.ANSWER_TIMEOUT):
+            self.listener.held_down(
+                "client-ended", why=self.end_reason.value, peer=self.transport.getPeer().host
+            )
         if self.deadline is not None:
             self.deadline.cancel()
         self.listener.held -= self.held
@@ -321,7 +323,7 @@
         Guards against a burst in one turn of the reactor: those that make room are closed only after it, and
         the descriptors of all others would be gone meanwhile."""
         if self.open >= self.open_most:
-            self.held_down("client-ended", why=Ending.CROWDED.value, peer=address.host)
+            self.held_down("client-ended", why=EndReason.NO_SLOT.value, peer=address.host)
             return None
         return Client(self)
 
@@ -371,7 +373,7 @@
 
         Guards against half-sent bodies on many connections, which together outgrow the memory. One whose text
         awaits its answer stays: a refusal would pass for that answer."""
-        held = len(client.inbound) + client.size if client.ending is None else 0
+        held = len(client.inbound) + client.size if client.end_reason is None else 0
         self.held, client.held = self.held + held - client.held, held
         while self.held > self.bytes_most:
             partial = [each for each in self.connections if each.held and not each.waiting]
@@ -380,7 +382,7 @@
             largest = max(partial, key=lambda each: each.held)
             self.held, largest.held = self.held - largest.held, 0
             largest.reply("-BUSY")
-            largest.end(Ending.CROWDED)
+            largest.end(EndReason.NO_SLOT)
 
     @property
     def crowded(self) -> bool:
@@ -402,7 +404,7 @@
         """The table is full: close the connection silent for longest; hold the port if none is at rest."""
         silent = self._longest_silent(newest)
         if silent is not None:
-            silent.end(Ending.CROWDED)
+            silent.end(EndReason.NO_SLOT)
             self.drop(silent)
             self.release()
         elif self.port is not None:
@@ -416,7 +418,7 @@
         """Hold so many connections from now on; of those beyond it the ones at rest end, the others later."""
         self.connections.size, self.open_most = most, open_most
         while len(self.connections) > most and (silent := self._longest_silent(None)) is not None:
-            silent.end(Ending.CROWDED)
+            silent.end(EndReason.NO_SLOT)
             self.drop(silent)
         if self.connections.full:
             self.make_room()
@@ -432,7 +434,7 @@
         asked, until nothing but that was done."""
         unread, found = [], None
         for each in self._by_silence:
-            if each is newest or each.waiting or each.ending is not None:
+            if each is newest or each.waiting or each.end_reason is not None:
                 continue
             if not waits(each.transport):
                 found = each
@@ -476,14 +478,14 @@
             or not each.between_requests()
             and each.heard_at > now - LOOK_MOST
             for each in self.connections
-            if each.ending is None
+            if each.end_reason is None
         )
 
     def last_words(self) -> None:
         """Nothing more is read; what is answered is still written."""
         self._close_port()
         for each in self.connections:
-            if each.ending is None:
+            if each.end_reason is None:
                 each.transport.pauseProducing()
 
     def _close_port(self) -> None:
@@ -494,7 +496,7 @@
     def _close_resting(self) -> None:
         for client in self.connections:
             if client.at_rest():
-                client.end(Ending.STOPPING)
+                client.end(EndReason.STOPPING)
 
     def pause(self) -> None:
         """A drain: PING says no at once; after a grace no connection stays, so that none is held idle."""
--- a/limelatch/relay/end_reason.py
+++ b/limelatch/relay/end_reason.py
@@ -7,41 +7,41 @@
 from limelatch.interface import Result
 
 
-class Ending(Enum):
+class EndReason(Enum):
     """Why a connection is over."""
 
     REFUSED = "refused"  # nobody listens there
-    UNREACHED = "unreached"  # it did not come up in time
-    CUT_SHORT = "cut-short"  # it broke before the call's last byte was written
-    BROKEN = "broken"  # it broke after that
-    SILENT = "silent"  # the relay stopped waiting for an answer
-    GARBLED = "garbled"  # the peer sent what can't be read
-    HELD_BACK = "held-back"  # the call was not to go any more when the connection came up
+    CONNECT_TIMEOUT = "unreached"  # it did not come up in time
+    REQUEST_INCOMPLETE = "cut-short"  # it broke before the call's last byte was written
+    CONNECTION_LOST = "broken"  # it broke after that
+    ANSWER_TIMEOUT = "silent"  # the relay stopped waiting for an answer
+    MALFORMED = "garbled"  # the peer sent what can't be read
+    NOT_SENT = "held-back"  # the call was not to go any more when the connection came up
     CLOSED_BY_PEER = "closed-by-peer"  # between requests
     IDLE = "idle"  # closed by the relay between requests
-    CROWDED = "crowded"  # all slots for connections are taken
+    NO_SLOT = "crowded"  # all slots for connections are taken
     STOPPING = "stopping"  # the relay stops
-    MOVED = "moved"  # the catalog or the platform has a new address
+    ADDRESS_CHANGED = "moved"  # the catalog or the platform has a new address
 
 
 # What becomes of a call that is out when its connection ends.
-RESULT_OF_ENDING = {
-    Ending.REFUSED: Result.CONNECT,
-    Ending.UNREACHED: Result.CONNECT,
-    Ending.CUT_SHORT: Result.CONNECT,
-    Ending.BROKEN: Result.RESET,
-    Ending.SILENT: Result.TIMEOUT,
-    Ending.GARBLED: Result.SPOILT,
-    Ending.HELD_BACK: Result.MOOT,
-    Ending.CLOSED_BY_PEER: Result.RESET,
-    Ending.IDLE: Result.CONNECT,
-    Ending.CROWDED: Result.CONNECT,
-    Ending.STOPPING: Result.CANCELLED,
-    Ending.MOVED: Result.CANCELLED,
+RESULT_BY_END_REASON = {
+    EndReason.REFUSED: Result.CONNECT,
+    EndReason.CONNECT_TIMEOUT: Result.CONNECT,
+    EndReason.REQUEST_INCOMPLETE: Result.CONNECT,
+    EndReason.CONNECTION_LOST: Result.RESET,
+    EndReason.ANSWER_TIMEOUT: Result.TIMEOUT,
+    EndReason.MALFORMED: Result.SPOILT,
+    EndReason.NOT_SENT: Result.MOOT,
+    EndReason.CLOSED_BY_PEER: Result.RESET,
+    EndReason.IDLE: Result.CONNECT,
+    EndReason.NO_SLOT: Result.CONNECT,
+    EndReason.STOPPING: Result.CANCELLED,
+    EndReason.ADDRESS_CHANGED: Result.CANCELLED,
 }
 
 # What a host's answer says; an answer not named here may have run.
-RESULT_OF_STATUS = {
+RESULT_BY_STATUS = {
     200: Result.DELIVERED,
     429: Result.FULL,
     500: Result.ERROR,
@@ -50,11 +50,11 @@
     410: Result.MOOT,
     413: Result.MOOT,
 }
-RESULT_OF_STATE = {
+RESULT_BY_STATE = {
     "delivered": Result.DELIVERED,
     "failed": Result.ERROR,
     "refused": Result.FULL,
     "over": Result.MOOT,
     "spent": Result.MOOT,
 }
-OVER_STATUS, OVER_STATE = (200, 410), ("delivered", "over")
+FINISHED_STATUSES, FINISHED_STATES = (200, 410), ("delivered", "over")
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -16,12 +16,12 @@
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadline, Deadlines
 from limelatch.relay.end_reason import (
-    OVER_STATE,
-    OVER_STATUS,
-    RESULT_OF_ENDING,
-    RESULT_OF_STATE,
-    RESULT_OF_STATUS,
-    Ending,
+    FINISHED_STATES,
+    FINISHED_STATUSES,
+    RESULT_BY_END_REASON,
+    RESULT_BY_STATE,
+    RESULT_BY_STATUS,
+    EndReason,
 )
 from limelatch.relay.http import Answer, HttpCaller, request_head
 from limelatch.relay.lines import waits
@@ -93,10 +93,10 @@
     if call.batched and answer.status == 200:
         states = {row["id"].encode(): row["state"] for row in json.loads(body)}
         return [
-            Outcome(RESULT_OF_STATE[states[each.text]], states[each.text] in OVER_STATE, wait, report)
+            Outcome(RESULT_BY_STATE[states[each.text]], states[each.text] in FINISHED_STATES, wait, report)
             for each in call.parcels
         ]
-    result = RESULT_OF_STATUS.get(answer.status, Result.ERROR)
+    result = RESULT_BY_STATUS.get(answer.status, Result.ERROR)
     if call.batched and answer.status in (410, 504):  # these speak of one text
         result = Result.ERROR
     if answer.status == 503 and answer.headers.get(b"x-no-slot") == b"1":
@@ -105,7 +105,7 @@
         result = Result.CONNECT  # a new connection, turned away and closed: the host holds no more of them
     if call.batched and answer.status == 400:
         result = Result.MOOT  # a batch that was not read
-    over = answer.status in OVER_STATUS and result is not Result.ERROR
+    over = answer.status in FINISHED_STATUSES and result is not Result.ERROR
     return [Outcome(result, over, wait, report) for _ in call.parcels]
 
 
@@ -153,7 +153,7 @@
         """Whether nothing is left of its last call, either way, and its peer has sent nothing since.
 
         Guards against a second answer, or noise, that would pass for the answer to the next call."""
-        if self.ending is not None or not self.connected or self.inbound or not self.outflow.empty:
+        if self.end_reason is not None or not self.connected or self.inbound or not self.outflow.empty:
             return False
         return not waits(self.transport)
 
@@ -170,17 +170,17 @@
     def answered(self, answer: Answer, body: bytes) -> None:
         self.pool.answered(self, answer, body)
 
-    def ended(self, ending: Ending) -> None:
-        if ending is Ending.BROKEN and not self.outflow.empty:
-            ending = self.ending = Ending.CUT_SHORT
-        self.pool.lost(self, ending)
+    def ended(self, end_reason: EndReason) -> None:
+        if end_reason is EndReason.CONNECTION_LOST and not self.outflow.empty:
+            end_reason = self.end_reason = EndReason.REQUEST_INCOMPLETE
+        self.pool.lost(self, end_reason)
 
-    def give_up(self, ending: Ending) -> None:
+    def give_up(self, end_reason: EndReason) -> None:
         """Close it, whether it is up or still coming up."""
         if self.up:
-            self.close(ending)
-        elif self.ending is None:
-            self.ending = ending
+            self.close(end_reason)
+        elif self.end_reason is None:
+            self.end_reason = end_reason
             if self.connector is not None:
                 self.connector.stopConnecting()
 
@@ -198,8 +198,8 @@
 
     def clientConnectionFailed(self, connector, reason) -> None:
         connection = self.connection
-        connection.ending = connection.ending or Ending.REFUSED
-        connection.pool.lost(connection, connection.ending)
+        connection.end_reason = connection.end_reason or EndReason.REFUSED
+        connection.pool.lost(connection, connection.end_reason)
 
 
 class HostPool:
@@ -236,7 +236,7 @@
                 call.idle = max(1, now - connection.rested_at)
                 self.go(connection)
                 return
-            connection.give_up(Ending.GARBLED if connection.inbound else Ending.CLOSED_BY_PEER)
+            connection.give_up(EndReason.MALFORMED if connection.inbound else EndReason.CLOSED_BY_PEER)
         self._connect(call)
 
     def _connect(self, call: Call) -> None:
@@ -246,11 +246,11 @@
         connection.number = self.connections.take(connection)
         address = self.addresses.get(call.host)
         if connection.number is None or address is None:
-            ending = Ending.CROWDED if connection.number is None else Ending.REFUSED
-            self.deadlines.after(0, lambda: self.lost(connection, ending))
+            end_reason = EndReason.NO_SLOT if connection.number is None else EndReason.REFUSED
+            self.deadlines.after(0, lambda: self.lost(connection, end_reason))
             return
         connection.deadline = self.deadlines.after(
-            self.connect_wait, lambda: connection.give_up(Ending.UNREACHED)
+            self.connect_wait, lambda: connection.give_up(EndReason.CONNECT_TIMEOUT)
         )
         connection.connector = self.reactor.connectTCP(
             address.host, address.port, Dial(connection), timeout=None
@@ -267,7 +267,7 @@
         if resting:
             oldest = min(resting, key=lambda connection: connection.rested_at)
             self.idle[oldest.host].remove(oldest)
-            oldest.give_up(Ending.IDLE)
+            oldest.give_up(EndReason.IDLE)
             self.connections.release(oldest.number)
             oldest.number = None
 
@@ -275,7 +275,7 @@
         """The connection is up: write its call, less the texts that are not to go any more."""
         call, now = connection.call, self.clock.now()
         if call is None:  # it was given up as it came up
-            connection.give_up(Ending.IDLE)
+            connection.give_up(EndReason.IDLE)
             return
         held = [
             each
@@ -285,7 +285,7 @@
         if held:
             call.parcels = [each for each in call.parcels if each not in held]
             for each in held:
-                self.driver.ended(call, each, Outcome(RESULT_OF_ENDING[Ending.HELD_BACK], unsent=True))
+                self.driver.ended(call, each, Outcome(RESULT_BY_END_REASON[EndReason.NOT_SENT], unsent=True))
             if not call.parcels:
                 self._finish(call)
                 self._rest(connection, held[0].keep)
@@ -296,19 +296,19 @@
     def answered(self, connection: Connection, answer: Answer, body: bytes) -> None:
         call = connection.call
         if call is None:
-            connection.give_up(Ending.GARBLED)
+            connection.give_up(EndReason.MALFORMED)
             return
         keep = min((each.keep for each in call.parcels), default=0)
         try:
             outcomes = read_outcomes(call, answer, body)
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             self.held_down("answer-not-read", host=call.host, why=repr(error))
-            connection.give_up(Ending.GARBLED)
+            connection.give_up(EndReason.MALFORMED)
             return
         late = call.late(self.clock.now())
         self._finish(call)
         if not call.parcels:
-            result = RESULT_OF_STATUS.get(answer.status, Result.ERROR)
+            result = RESULT_BY_STATUS.get(answer.status, Result.ERROR)
             self.driver.probed(call, result, report_of(answer.headers))
         for each, outcome in zip(call.parcels, outcomes, strict=True):
             self.driver.ended(call, each, too_late(outcome) if late and outcome.over else outcome)
@@ -319,19 +319,19 @@
 
         Guards against one in use while its host moved: it would go on to the address that it has left."""
         connection.call = None
-        if connection.ending is not None:
+        if connection.end_reason is not None:
             return
         moved = connection.address is None or self.addresses.get(connection.host) != connection.address
         if keep <= 0 or moved or not connection.clean():
-            connection.give_up(Ending.IDLE)
+            connection.give_up(EndReason.IDLE)
             return
-        connection.deadline = self.deadlines.after(keep, lambda: connection.give_up(Ending.IDLE))
+        connection.deadline = self.deadlines.after(keep, lambda: connection.give_up(EndReason.IDLE))
         connection.rested_at = self.clock.now()
         self.idle[connection.host].append(connection)
 
     def close_idle(self, host: HostId) -> None:
         for connection in self.idle.pop(host, []):
-            connection.give_up(Ending.IDLE)
+            connection.give_up(EndReason.IDLE)
 
     def reach(self, host: HostId, address: Address | None) -> None:
         """Where the host is reached now; nothing is kept to one that is gone, at rest or has moved."""
@@ -347,13 +347,15 @@
 
         Guards against a text of a batch that ends alone while its submit stays out: what the others are
         answered after that end does not count as delivered, and a copy of it may go out beside it."""
-        call.connection.give_up(Ending.SILENT if call.connection.asking else Ending.UNREACHED)
+        call.connection.give_up(
+            EndReason.ANSWER_TIMEOUT if call.connection.asking else EndReason.CONNECT_TIMEOUT
+        )
 
     def _finish(self, call: Call) -> None:
         self.calls_out -= 1
         call.deadline.cancel()
 
-    def lost(self, connection: Connection, ending: Ending) -> None:
+    def lost(self, connection: Connection, end_reason: EndReason) -> None:
         """A connection is over; a call that was out on it has its outcome now."""
         if connection.deadline is not None:
             connection.deadline.cancel()
@@ -364,14 +366,14 @@
         if connection in waiting:
             waiting.remove(connection)
         call, connection.call = connection.call, None
-        if ending in (Ending.GARBLED, Ending.CROWDED):
-            self.held_down("host-connection-bad", host=connection.host, why=ending.value)
+        if end_reason in (EndReason.MALFORMED, EndReason.NO_SLOT):
+            self.held_down("host-connection-bad", host=connection.host, why=end_reason.value)
         else:
-            say(log, "host-connection-ended", host=connection.host, why=ending.value)
+            say(log, "host-connection-ended", host=connection.host, why=end_reason.value)
         if call is None:
             return
         self._finish(call)
-        result, over, answer = RESULT_OF_ENDING[ending], False, connection.answer
+        result, over, answer = RESULT_BY_END_REASON[end_reason], False, connection.answer
         if answer is not None and answer.status == 200 and not call.batched and not call.late(call.begun):
             result, over = Result.SPOILT, True  # its first line is true; the call may run on
         if not call.parcels:
--- a/limelatch/relay/http.py
+++ b/limelatch/relay/http.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass, field
 
-from limelatch.relay.end_reason import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.lines import RingLines
 
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9][0-9])(?: .*)?\Z")
@@ -67,7 +67,7 @@
         """Part of a body that comes in parts or in chunks; True if it was used up."""
         return False
 
-    def ended(self, ending: Ending) -> None:
+    def ended(self, end_reason: EndReason) -> None:
         """The connection is over."""
         raise NotImplementedError
 
@@ -75,14 +75,14 @@
         if self._step not in (self._chunk_size, self._chunk_end):
             self._head += len(line) + 2
         if not self.asking or self._head > HEAD_MOST:
-            self.close(Ending.GARBLED)  # an answer that nobody asked for, or a head that does not end
+            self.close(EndReason.MALFORMED)  # an answer that nobody asked for, or a head that does not end
         else:
             self._step(line)
 
     def _status(self, line: bytes) -> None:
         match = STATUS_LINE.match(line)
         if match is None:
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
             return
         self.answer = Answer(int(match[2]), keeps=match[1] == b"1")
         self._step = self._header
@@ -95,7 +95,7 @@
         match = HEADER.match(line)
         name, value = (match[1].lower(), match[2].strip()) if match else (b"", b"")
         if not match or name in FRAMING and self.answer.headers.get(name, value) != value:
-            self.close(Ending.GARBLED)  # no header, or two lengths: nobody knows where the answer ends
+            self.close(EndReason.MALFORMED)  # no header, or two lengths: nobody knows where the answer ends
             return
         self.answer.headers[name] = value
 
@@ -110,13 +110,13 @@
             self._whole()
         elif (coding := headers.get(b"transfer-encoding")) is not None:
             if coding.lower() != b"chunked" or b"content-length" in headers:
-                self.close(Ending.GARBLED)
+                self.close(EndReason.MALFORMED)
             self._step = self._chunk_size
         elif (length := headers.get(b"content-length")) is None:
             self.answer.keeps = False  # the body lasts until the connection ends, and nobody needs it
             self._whole()
         elif not LENGTH.match(length) or self._too_long(int(length)):
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
         elif int(length):
             self._step = None
             self._expect_part(int(length))
@@ -126,7 +126,7 @@
     def _chunk_size(self, line: bytes) -> None:
         size = line.partition(b";")[0].strip()
         if not re.fullmatch(rb"[0-9a-fA-F]{1,8}", size) or self._too_long(int(size, 16)):
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
         elif int(size, 16):
             self._step = self._chunk_end
             self._expect_part(int(size, 16))
@@ -144,7 +144,7 @@
     def _chunk_end(self, line: bytes) -> None:
         self._step = self._chunk_size
         if line:
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
 
     def _trailer(self, line: bytes) -> None:
         if not line:
@@ -157,8 +157,8 @@
             self._body.append(data)
             self._held += len(data)
             if self._held > self.body_most:
-                self.close(Ending.GARBLED)
-        if self.ending is not None:
+                self.close(EndReason.MALFORMED)
+        if self.end_reason is not None:
             return
         if self._left:
             self._expect_part(self._left)
@@ -171,6 +171,6 @@
         self.answered(answer, body)
 
     def connectionLost(self, reason) -> None:
-        if self.ending is None:
-            self.ending = Ending.BROKEN if self.asking else Ending.CLOSED_BY_PEER
-        self.ended(self.ending)
+        if self.end_reason is None:
+            self.end_reason = EndReason.CONNECTION_LOST if self.asking else EndReason.CLOSED_BY_PEER
+        self.ended(self.end_reason)
--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -9,7 +9,7 @@
 
 from limelatch.configuration import Address
 from limelatch.logs import logger, say
-from limelatch.relay.end_reason import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.http import Answer, HttpCaller, request_head
 
 log = logger("platform")
@@ -30,11 +30,11 @@
 
     def answered(self, answer: Answer, body: bytes) -> None:
         if not answer.keeps or self.inbound:  # what came behind would pass for the next request's answer
-            self.close(Ending.CLOSED_BY_PEER)
+            self.close(EndReason.CLOSED_BY_PEER)
         self.notifier.answered(answer.status)
 
-    def ended(self, ending: Ending) -> None:
-        self.notifier.lost(self, ending)
+    def ended(self, end_reason: EndReason) -> None:
+        self.notifier.lost(self, end_reason)
 
 
 class Notifier(ClientFactory):
@@ -57,7 +57,7 @@
         if address != self.address:
             self.address = address
             if self.connection is not None:
-                self.connection.close(Ending.MOVED)
+                self.connection.close(EndReason.ADDRESS_CHANGED)
             elif self._connector is not None:
                 self._connector.stopConnecting()
 
@@ -75,7 +75,7 @@
                 self._connector = self.reactor.connectTCP(address.host, address.port, self, timeout=None)
                 self._deadline = self.deadlines.after(self.wait, self._too_long)
             return
-        if not self.connection.connected or self.connection.ending is not None:
+        if not self.connection.connected or self.connection.end_reason is not None:
             return
         self.out = list(self.owed)[:NOTICES_MOST]
         rows = [json.dumps({"ref": text.decode()} | self.owed[text]) + "\n" for text in self.out]
@@ -94,7 +94,7 @@
 
     def _too_long(self) -> None:
         if self.connection is not None:
-            self.connection.close(Ending.SILENT)
+            self.connection.close(EndReason.ANSWER_TIMEOUT)
         elif self._connector is not None:
             self._connector.stopConnecting()
 
@@ -124,14 +124,14 @@
         return self.connection
 
     def clientConnectionFailed(self, connector, reason) -> None:
-        self.lost(None, Ending.REFUSED)
+        self.lost(None, EndReason.REFUSED)
 
-    def lost(self, connection: Reporting | None, ending: Ending) -> None:
+    def lost(self, connection: Reporting | None, end_reason: EndReason) -> None:
         self._clear()
         self.connection = self._connector = None
         self.out = []
-        if ending not in (Ending.CLOSED_BY_PEER, Ending.MOVED) and self.reactor.running:
-            say(log, "platform-lost", why=ending.value, owed=len(self.owed))
+        if end_reason not in (EndReason.CLOSED_BY_PEER, EndReason.ADDRESS_CHANGED) and self.reactor.running:
+            say(log, "platform-lost", why=end_reason.value, owed=len(self.owed))
         if self.owed and not self._paused:  # a kept connection may break under a request: again at once
             self._pause(self.again if self._losses else 0)
         self._losses += 1
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -15,7 +15,7 @@
 from limelatch.relay import clients
 from limelatch.relay.clients import ACCEPTS_MOST, ROOM_LOOK, UNREAD_MOST, Listener
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.end_reason import Ending
+from limelatch.relay.end_reason import EndReason
 
 TABLE = 300
 ASKED = b"SUBMIT 0 t1 c=report,d=9000,dest=1 x\r\n"
@@ -77,7 +77,7 @@
     clock.advance(0.1)
     made[0].dataReceived(b"PING")  # begun
     come(listener)
-    assert [each for each in made if each.ending is Ending.CROWDED] == [made[1]]
+    assert [each for each in made if each.end_reason is EndReason.NO_SLOT] == [made[1]]
 
 
 def test_no_connection_with_a_request_unread_makes_room_while_another_rests(listener, looks):
@@ -85,8 +85,8 @@
     for each in made[:5]:
         each.transport.peer.send(ASKED)
     come(listener, 30)
-    assert not any(each.ending for each in made[:5])
-    assert sum(each.ending is Ending.CROWDED for each in made) == 30
+    assert not any(each.end_reason for each in made[:5])
+    assert sum(each.end_reason is EndReason.NO_SLOT for each in made) == 30
     assert len(looks) <= 30 + 5
 
 
@@ -96,13 +96,15 @@
     for each in made:
         each.transport.peer.send(ASKED)
     made += come(listener)
-    assert not listener.port.reading and not any(each.ending for each in made) and len(looks) == UNREAD_MOST
+    assert (
+        not listener.port.reading and not any(each.end_reason for each in made) and len(looks) == UNREAD_MOST
+    )
     made[-1].transport.peer.send(ASKED)
     clock.pump([ROOM_LOOK / 10_000] * 4)
-    assert not listener.port.reading and not any(each.ending for each in made)
+    assert not listener.port.reading and not any(each.end_reason for each in made)
     made[7].transport.socket.recv(99)  # read and answered
     clock.pump([ROOM_LOOK / 10_000] * 4)
-    assert listener.port.reading and [each for each in made if each.ending] == [made[7]]
+    assert listener.port.reading and [each for each in made if each.end_reason] == [made[7]]
 
 
 def test_a_client_whose_text_awaits_its_answer_gives_way_for_no_memory(listener):
@@ -112,7 +114,7 @@
     waiting, partial = come(listener, 2)
     waiting.dataReceived(ASKED + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
     partial.dataReceived(b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 6000)
-    assert handed == [waiting] and waiting.ending is None and partial.ending is Ending.CROWDED
+    assert handed == [waiting] and waiting.end_reason is None and partial.end_reason is EndReason.NO_SLOT
     assert b"-BUSY" not in waiting.transport.value() and b"-BUSY" in partial.transport.value()
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -19,7 +19,7 @@
 from limelatch.relay.chains import Chains
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.directory import GONE, LEFT_MOST, NUMBER_MOST, READY, Directory, Row
-from limelatch.relay.end_reason import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.ledger import Ledger
 from limelatch.relay.list_copy import COPY_EVERY, ListCopy, read_copy
 
@@ -218,13 +218,13 @@
         catalog = make()
         watch = watch_of(catalog, b"GET /catalog/members HTTP")
         say(watch, raw[:cut] or b" ")
-        assert watch.ending is None
+        assert watch.end_reason is None
         watch.connectionLost(None)
         assert catalog.index is None and not catalog.fresh
         again = watch_of(catalog, b"GET /catalog/members HTTP")
         say(again, raw)
         assert listed(catalog.directory, range(6)) == {f"s-{number}": number for number in range(6)}
-        assert catalog.index == 4 and catalog.fresh and again.ending is None
+        assert catalog.index == 4 and catalog.fresh and again.end_reason is None
 
 
 def test_rows_are_told_before_a_long_list_has_ended_and_only_those_wanted(make):
@@ -256,9 +256,9 @@
     catalog = make()
     say(watch_of(catalog), page(4, ROWS, True))
     say(second := watch_of(catalog, b"index=4"), page(9, ROWS[:2], True))
-    assert listed(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1} and second.ending is None
+    assert listed(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1} and second.end_reason is None
     say(third := watch_of(catalog, b"index=9"), page(10, [], True))
-    assert third.ending is Ending.GARBLED and catalog.index is None
+    assert third.end_reason is EndReason.MALFORMED and catalog.index is None
     assert listed(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1}
     say(watch_of(make()), page(1, [], True))  # where none was held it may be so
 
@@ -289,7 +289,7 @@
 def test_a_row_that_can_t_be_held_is_left_out_and_logged(make, caplog):
     catalog = make()
     say(watch := watch_of(catalog), page(4, [told("s-1", NUMBER_MOST + 1), told("s-2", 2)], True))
-    assert listed(catalog.directory, range(3)) == {"s-2": 2} and watch.ending is None
+    assert listed(catalog.directory, range(3)) == {"s-2": 2} and watch.end_reason is None
     assert "row-not-read" in caplog.text
 
 
@@ -318,7 +318,7 @@
     catalog = make()
     say(watch := watch_of(catalog), page(4, ROWS[:1], True))
     say(watch, raw)
-    assert watch.ending is (None if raw == b'{"index"' else Ending.GARBLED)
+    assert watch.end_reason is (None if raw == b'{"index"' else EndReason.MALFORMED)
     assert catalog.directory.rows(0)[0].name == "s-0"
 
 
@@ -331,11 +331,11 @@
         clock.advance(4)
         start = raw.index(b'{"name": "s-%d"' % number)
         say(watch, raw[start : raw.index(b"}", raw.index(b'"since_ms"', start)) + 1] + b",")
-        assert watch.ending is None
+        assert watch.end_reason is None
     clock.advance(4)
     say(watch, b'{"name":')
     clock.advance(1)
-    assert watch.ending is Ending.SILENT
+    assert watch.end_reason is EndReason.ANSWER_TIMEOUT
 
 
 # The folder's copy.
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,7 +19,7 @@
 from limelatch.relay.catalog import BadList, Catalog
 from limelatch.relay.clients import BadCommand, read_submit
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.end_reason import RESULT_OF_ENDING, Ending
+from limelatch.relay.end_reason import RESULT_BY_END_REASON, EndReason
 from limelatch.relay.hosts import (
     Call,
     Connection,
@@ -275,9 +275,9 @@
 
 
 def test_every_ending_means_something_to_the_module():
-    assert set(RESULT_OF_ENDING) == set(Ending)
-    assert RESULT_OF_ENDING[Ending.CUT_SHORT] is Result.CONNECT
-    assert RESULT_OF_ENDING[Ending.BROKEN] is Result.RESET
+    assert set(RESULT_BY_END_REASON) == set(EndReason)
+    assert RESULT_BY_END_REASON[EndReason.REQUEST_INCOMPLETE] is Result.CONNECT
+    assert RESULT_BY_END_REASON[EndReason.CONNECTION_LOST] is Result.RESET
 
 
 @pytest.mark.parametrize(
@@ -321,7 +321,7 @@
     caller = Caller()
     for at in range(0, len(raw), 1000):
         caller.dataReceived(raw[at : at + 1000])
-    assert caller.ending is Ending.GARBLED and caller.transport.disconnecting
+    assert caller.end_reason is EndReason.MALFORMED and caller.transport.disconnecting
 
 
 def test_a_choked_transport_holds_back_ring_and_source():
@@ -435,7 +435,7 @@
     assert driver.ends == [(b"a", Result.MOOT)] and connection.transport.value() == b""
     assert pool.idle[b"s-1"] == [connection] and pool.calls_out == 0
     deadlines[1].advance(1)
-    assert connection.ending is Ending.IDLE
+    assert connection.end_reason is EndReason.IDLE
 
 
 def test_a_batch_is_given_up_whole_when_the_time_of_one_text_is_over(deadlines):
@@ -445,7 +445,9 @@
     )
     assert connection.transport.value().startswith(b"POST /v1/messages:batch HTTP/1.1\r\n")
     deadlines[1].advance(1)
-    assert connection.ending is Ending.SILENT and driver.ends == []  # no text ends while its submit is out
+    assert (
+        connection.end_reason is EndReason.ANSWER_TIMEOUT and driver.ends == []
+    )  # no text ends while its submit is out
     connection.connectionLost(None)
     assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_out == 0
 
@@ -465,7 +467,7 @@
         deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0), Parcel(b"b", b"", b"y", 3 * SECOND, 0)
     )
     deadlines[1].advance(1)
-    assert connection.ending is Ending.SILENT and driver.ends == []
+    assert connection.end_reason is EndReason.ANSWER_TIMEOUT and driver.ends == []
 
 
 @pytest.mark.parametrize(
@@ -494,7 +496,7 @@
     pool, connection = call_out(deadlines, Ears(), Parcel(b"a", b"", b"x", 9 * SECOND, SECOND))
     pool.reach(b"s-1", address)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.ending is None) == kept
+    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.end_reason is None) == kept
 
 
 @pytest.mark.parametrize("valid_for", [7_200_000, 0.5, 24_000, 999_999.125])
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -13,7 +13,7 @@
 from limelatch.interface import MS, SECOND, Result
 from limelatch.policy import Policy
 from limelatch.relay.driver import Driver
-from limelatch.relay.end_reason import Ending
+from limelatch.relay.end_reason import EndReason
 
 
 class Loop(Running):
@@ -238,10 +238,10 @@
     line, call = call_out(driver, loop, *texts, dest=dest)
     ends = [driver.owed[text.encode()].text.valid_until for text in texts]
     assert call.deadline.when == min(ends) and [each.due for each in call.parcels] == ends
-    assert line.ending is None
+    assert line.end_reason is None
     loop.pass_to(min(ends))
     loop.turn()
-    assert line.ending is Ending.SILENT
+    assert line.end_reason is EndReason.ANSWER_TIMEOUT
 
 
 # Paces on a wall's clock.
