--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -19,7 +19,7 @@
 from limelatch.relay.clients import Client, Listener, Handed
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.operator_server import Door, HostsOut
+from limelatch.relay.operator_server import OperatorServer, SuspendedHosts
 from limelatch.relay.folder_watch import FolderWatch
 from limelatch.relay.handover import NOTICED_AFTER, Handover
 from limelatch.relay.hosts import Call, Outcome, Parcel, HostPool
@@ -75,7 +75,7 @@
         self.started_with = plan.told
         self.deadlines = Deadlines(reactor, clock)
         self.policy = Policy(plan.terms, clock.now())
-        self.out = HostsOut(plan.state)  # by hand, through the door; read before the folder is locked
+        self.suspended_hosts = SuspendedHosts(plan.state)  # by operators; read before the folder is locked
         self.folder = FolderWatch(clock, self.deadlines, self._notify, self.soon)
         self.ledger = Ledger(plan.state, plan.disk_bytes, plan.memory_bytes, self.folder.told)
         self.folder.ledger = self.ledger
@@ -120,8 +120,8 @@
             lambda destination: destination in self.policy.dests,
         )
         self.listener = Listener(self, plan.shares.clients, plan.client_bytes, plan.shares.clients_most)
-        self.operations = Operations(self, self.out)
-        self.door = Door(self, self.operations, plan.shares.operators)
+        self.operations = Operations(self, self.suspended_hosts)
+        self.operator_server = OperatorServer(self, self.operations, plan.shares.operators)
         self.peers = None
         if plan.membership is not None:  # else nothing of it is loaded
             from limelatch.relay.peers import Peers
@@ -150,7 +150,7 @@
             ledger_bytes=self.ledger.size,
         )
         if self.plan.operator is not None:  # at once: STATUS says whether clients are served yet
-            self.door.listen(self.reactor, self.plan.operator.host, self.plan.operator.port)
+            self.operator_server.listen(self.reactor, self.plan.operator.host, self.plan.operator.port)
         if self.peers is not None:
             self.peers.start()
         self.wall_watch.start()
@@ -408,7 +408,9 @@
             else:
                 self.hosts[entry.host] = entry
                 self.pool.reach(entry.host, self.catalog.reached(entry.host))
-        self.policy.hosts_listed(now, [self.out.seen(entry) for entry in entries], whole, news)
+        self.policy.hosts_listed(
+            now, [self.suspended_hosts.as_listed(entry) for entry in entries], whole, news
+        )
         self._tell_of_sibling()
 
     def _hear_sibling(self) -> None:
@@ -539,7 +541,7 @@
             return  # what an earlier process took on waits for the list too
         if self.handover.has_news:
             self._hear_sibling()
-            self.operations.hear()
+            self.operations.refresh_suspended()
         now = self.clock.now()
         actions = self.policy.decide(now, self.folder.gate.may_submit)
         arrived, self.arrived = self.arrived, {}  # an answer may bring a client's next text, for a later turn
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 from limelatch import interface as li
-from limelatch.relay.operator_server import DoorError, HostsOut
+from limelatch.relay.operator_server import OperatorError, SuspendedHosts
 
 
 class Operations:
     """Carries out the operators' calls on one relay's driver."""
 
-    def __init__(self, driver, out: HostsOut) -> None:
-        self._driver, self.out = driver, out
+    def __init__(self, driver, suspended: SuspendedHosts) -> None:
+        self._driver, self.suspended = driver, suspended
 
     def members(self) -> str:
         """What this relay holds of the others. DoorError where it does not watch them."""
         if self._driver.peers is None:
-            raise DoorError("membership is off")
+            raise OperatorError("membership is off")
         return f"+OK {self._driver.peers.members().line()}"
 
     def status(self) -> str:
@@ -27,7 +27,7 @@
             return "-ERR starting"
         return (
             f"+OK serving owed={len(driver.owed)} hosts={len(driver.catalog.directory)} "
-            f"out={len(self.out.counts)}"
+            f"out={len(self.suspended.counts)}"
             f" paused={'yes' if driver.listener.paused else 'no'}"
             f" folder={'ok' if driver.folder.gate.failing_since is None else 'failing'}"
         )
@@ -44,23 +44,23 @@
 
     def knows(self, host: li.HostId) -> bool:
         """Whether the list has told the host, or it is out."""
-        return host in self.out.counts or self._driver.catalog.directory.find(host) is not None
+        return host in self.suspended.counts or self._driver.catalog.directory.find(host) is not None
 
     def suspend(self, host: li.HostId) -> str:
         """The host counts as draining until RESTORE, whatever the catalog says."""
-        self.hear()
-        if self.out.suspend(host):
+        self.refresh_suspended()
+        if self.suspended.suspend(host):
             self._driver.relist(host)
-        return f"+OK {host.decode()} out, {self.out.counts[host]} calls"
+        return f"+OK {host.decode()} out, {self.suspended.counts[host]} calls"
 
     def restore(self, host: li.HostId) -> str:
         """The catalog's own line of the host holds again."""
-        self.hear()
-        if self.out.restore(host):
+        self.refresh_suspended()
+        if self.suspended.restore(host):
             self._driver.relist(host)
         return f"+OK {host.decode()} back"
 
-    def hear(self) -> None:
+    def refresh_suspended(self) -> None:
         """What operators have told the other process of an upgrade binds this one."""
-        for host in self.out.refresh() if self._driver.handover.has_news else ():
+        for host in self.suspended.refresh() if self._driver.handover.has_news else ():
             self._driver.relist(host)
--- a/limelatch/relay/operator_server.py
+++ b/limelatch/relay/operator_server.py
@@ -36,7 +36,7 @@
 }  # and their arguments
 
 
-class HostsOut:
+class SuspendedHosts:
     """Hosts out by hand: how often each was suspended; kept in the folder so that they outlast the process.
 
     Two processes share the folder during an upgrade: the file is replaced whole, never written in place.
@@ -86,7 +86,7 @@
         self._read_at, self.counts = written_at, counts
         return changed
 
-    def seen(self, entry: HostEntry) -> HostEntry:
+    def as_listed(self, entry: HostEntry) -> HostEntry:
         """The line as the module is to see it: a host out is draining."""
         if entry.host in self.counts and entry.listing is Listing.READY:
             return replace(entry, listing=Listing.DRAINING)
@@ -95,7 +95,7 @@
     def suspend(self, host: HostId) -> bool:
         """Whether the host has gone out by this call. DoorError where the folder can't keep it."""
         if host not in self.counts and len(self.counts) >= OUT_MOST:
-            raise DoorError(f"{OUT_MOST} hosts are out already")
+            raise OperatorError(f"{OUT_MOST} hosts are out already")
         count = self.counts.get(host, 0) + 1
         self._keep(self.counts | {host: count})
         return count == 1
@@ -113,43 +113,43 @@
         try:
             replace_whole(self.path, json.dumps(told).encode())
         except OSError as error:
-            raise DoorError(f"not done, the folder does not keep it: {error.strerror}") from None
+            raise OperatorError(f"not done, the folder does not keep it: {error.strerror}") from None
         self._read_at, self.counts = self._written_at(), counts
 
 
-class DoorError(Exception):
+class OperatorError(Exception):
     """A call that can't be carried out; the caller is told why and the connection stays."""
 
 
-class Caller(LineReceiver):
+class OperatorConnection(LineReceiver):
     """One operator's connection."""
 
     delimiter = b"\n"
     MAX_LENGTH = LINE_MOST
 
-    def __init__(self, door: Door) -> None:
-        self.door, self.number, self.skipping = door, None, False
-        self.heard_at = door.driver.clock.now()
+    def __init__(self, operator_server: OperatorServer) -> None:
+        self.operator_server, self.number, self.skipping = operator_server, None, False
+        self.heard_at = operator_server.driver.clock.now()
         self.deadline = None
 
     def connectionMade(self) -> None:
-        self.door.open += 1
-        self.number = self.door.callers.take(self)
+        self.operator_server.open += 1
+        self.number = self.operator_server.callers.take(self)
         if self.number is None:
-            self.door.make_room()
-            self.number = self.door.callers.take(self)
-        self.deadline = self.door.driver.deadlines.after(LOOK_EVERY, self._look)
+            self.operator_server.make_room()
+            self.number = self.operator_server.callers.take(self)
+        self.deadline = self.operator_server.driver.deadlines.after(LOOK_EVERY, self._look)
 
     def _look(self) -> None:
         """Guards against callers that say nothing, or half a call, and keep a descriptor for good."""
-        now = self.door.driver.clock.now()
+        now = self.operator_server.driver.clock.now()
         if now - self.heard_at >= SILENCE_MOST:
             self.transport.abortConnection()
         else:
-            self.deadline = self.door.driver.deadlines.after(LOOK_EVERY, self._look)
+            self.deadline = self.operator_server.driver.deadlines.after(LOOK_EVERY, self._look)
 
     def dataReceived(self, data: bytes) -> None:
-        self.heard_at = self.door.driver.clock.now()
+        self.heard_at = self.operator_server.driver.clock.now()
         super().dataReceived(data)
 
     def lineLengthExceeded(self, line: bytes) -> None:
@@ -162,23 +162,23 @@
             self.skipping = False
             return
         try:
-            self._answer(self.door.call(line.removesuffix(b"\r")))
-        except DoorError as error:
-            self.door.held_down("call-bad", why=error, peer=self.transport.getPeer().host)
+            self._answer(self.operator_server.call(line.removesuffix(b"\r")))
+        except OperatorError as error:
+            self.operator_server.held_down("call-bad", why=error, peer=self.transport.getPeer().host)
             self._answer(f"-ERR {error}")
 
     def _answer(self, line: str) -> None:
         self.transport.write(line.encode() + b"\r\n")
 
     def connectionLost(self, reason) -> None:
-        self.door.open -= 1
+        self.operator_server.open -= 1
         if self.deadline is not None:
             self.deadline.cancel()
         if self.number is not None:
-            self.door.callers.release(self.number)
+            self.operator_server.callers.release(self.number)
 
 
-class Door(ServerFactory):
+class OperatorServer(ServerFactory):
     """Where operators call; `operations` does what they ask."""
 
     noisy = False
@@ -188,8 +188,10 @@
         self.open = 0  # connections, with those that were told to end
         self.held_down = HeldDown(log, driver.clock)
 
-    def buildProtocol(self, address) -> Caller | None:
-        return Caller(self) if self.open < 2 * self.callers.size else None  # else it is closed at once
+    def buildProtocol(self, address) -> OperatorConnection | None:
+        return (
+            OperatorConnection(self) if self.open < 2 * self.callers.size else None
+        )  # else it is closed at once
 
     def listen(self, reactor, host: str, port: int) -> None:
         self.port = reactor.listenTCP(port, self, backlog=CALLERS_MOST, interface=host)
@@ -203,15 +205,15 @@
     def call(self, line: bytes) -> str:
         """One call's answer; DoorError for one that can't be carried out."""
         if not line.isascii() or any(byte < 32 and byte != 9 for byte in line):
-            raise DoorError("a call is a line of plain text")
+            raise OperatorError("a call is a line of plain text")
         words = line.split()
         if not words:
-            raise DoorError(f"a call is wanted: {', '.join(name.decode() for name in CALLS)}")
+            raise OperatorError(f"a call is wanted: {', '.join(name.decode() for name in CALLS)}")
         name, arguments = words[0].upper(), words[1:]
         if name not in CALLS:
-            raise DoorError(f"unknown call {name[:20].decode()!r}")
+            raise OperatorError(f"unknown call {name[:20].decode()!r}")
         if len(arguments) != CALLS[name]:
-            raise DoorError(f"{name.decode()} takes {'an id of a host' if CALLS[name] else 'nothing'}")
+            raise OperatorError(f"{name.decode()} takes {'an id of a host' if CALLS[name] else 'nothing'}")
         operations = self.operations
         if name == b"STATUS":
             return operations.status()
@@ -223,7 +225,7 @@
             return operations.resume()
         host = arguments[0]
         if not operations.knows(host):
-            raise DoorError(f"no host {host[:64].decode()!r} is known")
+            raise OperatorError(f"no host {host[:64].decode()!r} is known")
         return operations.suspend(host) if name == b"SUSPEND" else operations.restore(host)
 
     def stop(self) -> None:
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -11,7 +11,7 @@
 from limelatch.folder_gate import FolderGate
 from limelatch.interface import SECOND
 from limelatch.relay import operator_server
-from limelatch.relay.operator_server import HostsOut
+from limelatch.relay.operator_server import SuspendedHosts
 from limelatch.relay.ledger import FILE, SEAT, Ledger
 
 SPANS = [0.4, 3.0]  # seconds
@@ -198,7 +198,7 @@
     """A host that is out by hand stays out: nothing is sent to it."""
     host = b"s-1"
     flow.program.kill()
-    HostsOut(str(flow.program.state)).suspend(host)
+    SuspendedHosts(str(flow.program.state)).suspend(host)
     faults.fail(call, getattr(errno, name), path=path, seconds=1.0)
     flow.restart()
     assert flow.client.submit("t0", d=300) in ("+OK", "-BUSY 2000")
@@ -244,13 +244,13 @@
 
 
 def test_a_host_taken_out_by_hand_is_out_only_where_the_folder_keeps_it(tmp_path, monkeypatch):
-    out = operator_server.HostsOut(str(tmp_path))
+    out = operator_server.SuspendedHosts(str(tmp_path))
 
     def refuse(path, content):
         raise OSError(errno.ENOSPC, "No space left on device", path)
 
     monkeypatch.setattr(operator_server, "replace_whole", refuse)
-    with pytest.raises(operator_server.DoorError, match="not done"):
+    with pytest.raises(operator_server.OperatorError, match="not done"):
         out.suspend(b"s-1")
     assert out.counts == {}
 
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 from conftest import Program
-from test_operator_server import Caller
+from test_operator_server import OperatorClient
 
 from limelatch.lab.membership.forwarder import DatagramNetwork
 
@@ -42,7 +42,7 @@
 
     def view(self):
         """MEMBERS as a dict, numbers as numbers."""
-        answer = Caller(self.door).call("MEMBERS")
+        answer = OperatorClient(self.operator_address).call("MEMBERS")
         assert answer.startswith("+OK "), answer
         words = dict(word.split("=", 1) for word in answer[4:].split())
         return words | {name: int(words[name]) for name in FIELDS if name in words}
@@ -65,11 +65,11 @@
         for number in range(COUNT):
             place = folder / f"relay-{number}"
             place.mkdir()
-            door = address_of(host, socket.SOCK_STREAM)
+            operator_address = address_of(host, socket.SOCK_STREAM)
             relay = Relay(
                 place,
                 agent,
-                operator="{}:{}".format(*door),
+                operator="{}:{}".format(*operator_address),
                 peers=peers,
                 membership={
                     "on": True,
@@ -80,7 +80,7 @@
                 peer_listen="{}:{}".format(*listens[number]),
                 seed=f"{number + 1:x}",
             )
-            relay.door, relay.lines = door, []
+            relay.operator_address, relay.lines = operator_address, []
             self.relays.append(relay)
         self.peers = peers
 
@@ -143,7 +143,9 @@
     fleet.until(lambda: all(view["dead"] == 1 and view["alive"] == COUNT - 1 for view in fleet.views(1)))
     for number in (0, 2, 3, 4):
         assert fleet.lines("member-suspect", number, 1)
-        assert f"first={fleet.peers[1]}:dead" in Caller(fleet.relays[number].door).call("MEMBERS")
+        assert f"first={fleet.peers[1]}:dead" in OperatorClient(fleet.relays[number].operator_address).call(
+            "MEMBERS"
+        )
         fleet.submit(number)
     fleet.relays[1].launch()
     fleet.relays[1].says("event=serving")
@@ -174,18 +176,18 @@
     for number, peer in enumerate(peers):
         place = tmp_path / f"relay-{number}"
         place.mkdir()
-        door = address_of(host, socket.SOCK_STREAM)
+        operator_address = address_of(host, socket.SOCK_STREAM)
         relays.append(
             Relay(
                 place,
                 agent,
-                operator="{}:{}".format(*door),
+                operator="{}:{}".format(*operator_address),
                 peers=peers,
                 peer_listen=peer,
                 membership={"on": True},
             )
         )
-        relays[-1].door, relays[-1].lines = door, []
+        relays[-1].operator_address, relays[-1].lines = operator_address, []
         relays[-1].launch()
     try:
         for relay in relays:
@@ -314,4 +316,4 @@
         )
     )
     program.start()
-    assert Caller((host, port)).call("MEMBERS") == "-ERR membership is off"
+    assert OperatorClient((host, port)).call("MEMBERS") == "-ERR membership is off"
--- a/tests/test_operator_server.py
+++ b/tests/test_operator_server.py
@@ -9,7 +9,7 @@
 from conftest import WAIT
 
 
-class Caller:
+class OperatorClient:
     """An operator on one connection of the door."""
 
     def __init__(self, address):
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture
-def door(plan):
+def relay(plan):
     """A relay with a door; it is started by the test."""
     program = plan()
     with socket.create_server((program.address, 0)) as spare:
@@ -30,14 +30,14 @@
     program.file.write_text(
         json.dumps(json.loads(program.file.read_text()) | {"operator": f"{program.address}:{port}"})
     )
-    program.door = (program.address, port)
+    program.operator_address = (program.address, port)
     return program
 
 
-def test_each_call_is_answered_and_each_bad_one_gets_an_error_on_a_usable_connection(door, agent, party):
+def test_each_call_is_answered_and_each_bad_one_gets_an_error_on_a_usable_connection(relay, agent, party):
     agent.list(party().address, "s-1")
-    door.start()
-    caller = Caller(door.door)
+    relay.start()
+    caller = OperatorClient(relay.operator_address)
     assert caller.call("STATUS").startswith("+OK serving")
     assert caller.call("SUSPEND").startswith("-ERR SUSPEND takes an id")
     assert caller.call("PAUSE now").startswith("-ERR PAUSE takes nothing")
@@ -49,87 +49,90 @@
     assert caller.call("status\r").startswith("+OK serving")
 
 
-def test_a_silent_caller_and_one_with_half_a_call_delay_nobody(door, agent):
-    door.start()
-    callers = [Caller(door.door), Caller(door.door)]  # the first says nothing
+def test_a_silent_caller_and_one_with_half_a_call_delay_nobody(relay, agent):
+    relay.start()
+    callers = [
+        OperatorClient(relay.operator_address),
+        OperatorClient(relay.operator_address),
+    ]  # the first says nothing
     callers[1].socket.sendall(b"STAT")
-    assert Caller(door.door).call("STATUS").startswith("+OK")
+    assert OperatorClient(relay.operator_address).call("STATUS").startswith("+OK")
 
 
-def test_a_host_suspended_twice_is_drained_until_one_restore(door, agent, party):
+def test_a_host_suspended_twice_is_drained_until_one_restore(relay, agent, party):
     first, second = party(), party()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
-    client = door.start()
-    caller = Caller(door.door)
+    client = relay.start()
+    caller = OperatorClient(relay.operator_address)
     assert caller.call("SUSPEND s-1").startswith("+OK s-1 out")
     assert caller.call("SUSPEND s-1").startswith("+OK s-1 out, 2")
     for number in range(4):
         assert client.submit(f"t{number}") == "+OK"
         assert second.next().headers["X-Txn"] == f"t{number}"
     assert first.asked.empty()
-    assert json.loads((door.state / "out").read_text()) == {"s-1": 2}
+    assert json.loads((relay.state / "out").read_text()) == {"s-1": 2}
     assert caller.call("RESTORE s-1") == "+OK s-1 back"
-    assert json.loads((door.state / "out").read_text()) == {}
+    assert json.loads((relay.state / "out").read_text()) == {}
 
 
 @pytest.mark.parametrize("told", [0, 1])
-def test_a_host_suspended_at_one_process_of_an_upgrade_is_drained_by_both(door, agent, party, told):
+def test_a_host_suspended_at_one_process_of_an_upgrade_is_drained_by_both(relay, agent, party, told):
     first, second = party(), party()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
-    client = door.start()
+    client = relay.start()
     assert client.submit("t0") == "+OK"
-    beside = copy.copy(door)
+    beside = copy.copy(relay)
     beside.process = None
-    with socket.create_server((door.address, 0)) as spare:
+    with socket.create_server((relay.address, 0)) as spare:
         port = spare.getsockname()[1]
-    beside.configure_file(operator=f"{door.address}:{port}")
+    beside.configure_file(operator=f"{relay.address}:{port}")
     try:
         beside.start()
-        callers = Caller(door.door), Caller((door.address, port))
+        callers = OperatorClient(relay.operator_address), OperatorClient((relay.address, port))
         assert callers[told].call("SUSPEND s-1").startswith("+OK")
         time.sleep(1.0)  # from then on it holds, by the operators' page
         while not first.asked.empty():
             first.asked.get()
         for number in range(30):
-            assert door.client().submit(f"t{number + 1}") == "+OK"
+            assert relay.client().submit(f"t{number + 1}") == "+OK"
             assert second.next().headers["X-Txn"]
         assert first.asked.empty()
         assert callers[1 - told].call("SUSPEND s-2").startswith("+OK")
         assert callers[1 - told].call("RESTORE s-1").startswith("+OK")
         time.sleep(1.0)
-        assert door.client().submit("last") == "+OK"
+        assert relay.client().submit("last") == "+OK"
         while first.next().headers["X-Txn"] != "last":
             pass
-        door.kill()
+        relay.kill()
         beside.says("event=taken-over")
-        assert json.loads((door.state / "out").read_text()) == {"s-2": 1}
+        assert json.loads((relay.state / "out").read_text()) == {"s-2": 1}
     finally:
         beside.kill()
 
 
-def test_hosts_out_outlast_the_process(door, agent, party):
+def test_hosts_out_outlast_the_process(relay, agent, party):
     first, second = party(), party()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
-    (door.state / "out").write_text('{"s-1": 1}')
-    client = door.start()
+    (relay.state / "out").write_text('{"s-1": 1}')
+    client = relay.start()
     assert client.submit("t1") == "+OK" and second.next().headers["X-Txn"] == "t1"
     assert first.asked.empty()
 
 
-def test_a_pause_says_no_to_ping_closes_resting_connections_and_resume_says_yes(door, agent, party):
+def test_a_pause_says_no_to_ping_closes_resting_connections_and_resume_says_yes(relay, agent, party):
     host = party()
     agent.list(host.address, "s-1")
-    client = door.start()
-    caller = Caller(door.door)
+    client = relay.start()
+    caller = OperatorClient(relay.operator_address)
     assert caller.call("PAUSE").startswith("+OK paused")
     assert client.ask("PING").startswith("-ERR")
     assert client.submit("t1") == "+OK"  # a text on an open connection is still taken
     assert client.lines.readline() == b""  # and the connection is closed after the grace
     assert caller.call("RESUME") == "+OK serving"
-    assert door.client().ask("PING") == "+PONG"
+    assert relay.client().ask("PING") == "+PONG"
 
 
 def test_a_new_process_serves_beside_the_old_and_takes_over_what_it_owed(program, agent, party):
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -19,7 +19,7 @@
 from limelatch.configuration.plan import OWN, SOCKETS_LEAST, Shares
 from limelatch.configuration.platform import read_platform
 from limelatch.relay.clients import Listener
-from limelatch.relay.operator_server import Door
+from limelatch.relay.operator_server import OperatorServer
 
 TOLD_WITHIN = 6.0  # seconds after which a change counts as told
 TRIES = 8  # at discovery that are refused while clients crowd the relay
@@ -49,15 +49,15 @@
 
 
 def test_a_burst_at_the_operators_door_takes_no_more_either():
-    door, made = Door(Doorstep(Running()), None, 2), []
+    operator_server, made = OperatorServer(Doorstep(Running()), None, 2), []
     for _ in range(100):
-        if (caller := door.buildProtocol(Peer)) is not None:
+        if (caller := operator_server.buildProtocol(Peer)) is not None:
             caller.makeConnection(Wire())
             made.append(caller)
-    assert len(made) == door.open == 4
+    assert len(made) == operator_server.open == 4
     for each in made[:2]:
         each.connectionLost(None)
-    assert door.open == 2 and door.buildProtocol(Peer) is not None
+    assert operator_server.open == 2 and operator_server.buildProtocol(Peer) is not None
 
 
 class Peer:
