--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -205,7 +205,7 @@
         if entry.out and owed.key is not None:  # its rest has to outlast this process too
             self.ledger.ended(entry.id, True, now, self._rest_of(owed, now))
         if entry.notice is not None:
-            self.notifier.notice(entry.id, entry.notice)
+            self.notifier.add_notice(entry.id, entry.notice)
         elif not known:
             say(log, "product-unknown", product=pairs["product"])
             self._end_later(owed, {"result": "dead"})
@@ -637,4 +637,4 @@
         self.folder.end(text.id, notice, text.valid_until, recorded)
 
     def _notify(self, text: bytes, notice: dict) -> None:
-        self.notifier.notice(text, notice)
+        self.notifier.add_notice(text, notice)
--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -17,7 +17,7 @@
 BODY_MOST, NOTICES_MOST = 4 * 1024, 200
 
 
-class Reporting(HttpCaller):
+class PlatformConnection(HttpCaller):
     """The connection to the platform."""
 
     def __init__(self, notifier: Notifier) -> None:
@@ -43,13 +43,19 @@
     noisy = False
 
     def __init__(
-        self, reactor, deadlines, address: Address, wait: int, again: int, settled: Callable[[bytes], None]
+        self,
+        reactor,
+        deadlines,
+        address: Address,
+        wait: int,
+        retry_interval: int,
+        on_acknowledged: Callable[[bytes], None],
     ) -> None:
         self.reactor, self.deadlines, self.address = reactor, deadlines, address
-        self.wait, self.again, self.settled = wait, again, settled
-        self.owed: dict[bytes, dict] = {}
-        self.out: list[bytes] = []
-        self.connection: Reporting | None = None
+        self.wait, self.retry_interval, self.on_acknowledged = wait, retry_interval, on_acknowledged
+        self.pending: dict[bytes, dict] = {}
+        self.in_flight: list[bytes] = []
+        self.connection: PlatformConnection | None = None
         self._connector, self._deadline, self._paused, self._losses = None, None, False, 0
 
     def move(self, address: Address) -> None:
@@ -61,13 +67,13 @@
             elif self._connector is not None:
                 self._connector.stopConnecting()
 
-    def notice(self, text: bytes, words: dict) -> None:
-        self.owed[text] = words
+    def add_notice(self, text: bytes, fields: dict) -> None:
+        self.pending[text] = fields
         self.send()
 
     def send(self) -> None:
         """Send all that is owed, unless a request is out or a pause runs."""
-        if not self.owed or self.out or self._paused:
+        if not self.pending or self.in_flight or self._paused:
             return
         if self.connection is None:
             if self._connector is None:
@@ -77,8 +83,8 @@
             return
         if not self.connection.connected or self.connection.end_reason is not None:
             return
-        self.out = list(self.owed)[:NOTICES_MOST]
-        rows = [json.dumps({"ref": text.decode()} | self.owed[text]) + "\n" for text in self.out]
+        self.in_flight = list(self.pending)[:NOTICES_MOST]
+        rows = [json.dumps({"ref": text.decode()} | self.pending[text]) + "\n" for text in self.in_flight]
         body = "".join(rows).encode()
         head = request_head(
             "POST", "/reports", str(self.address), len(body), [("Content-Type", "application/x-ndjson")]
@@ -100,16 +106,16 @@
 
     def answered(self, status: int) -> None:
         self._clear()
-        out, self.out = self.out, []
+        in_flight, self.in_flight = self.in_flight, []
         if status == 204:
             self._losses = 0
-            for text in out:
-                self.owed.pop(text, None)
-                self.settled(text)
+            for text in in_flight:
+                self.pending.pop(text, None)
+                self.on_acknowledged(text)
             self.send()
         else:
-            say(log, "notices-not-taken", status=status, notices=len(out))
-            self._pause(self.again)
+            say(log, "notices-not-taken", status=status, notices=len(in_flight))
+            self._pause(self.retry_interval)
 
     def _pause(self, wait: int) -> None:
         self._paused = True
@@ -119,19 +125,19 @@
         self._paused = False
         self.send()
 
-    def buildProtocol(self, address) -> Reporting:
-        self.connection = Reporting(self)
+    def buildProtocol(self, address) -> PlatformConnection:
+        self.connection = PlatformConnection(self)
         return self.connection
 
     def clientConnectionFailed(self, connector, reason) -> None:
         self.lost(None, EndReason.REFUSED)
 
-    def lost(self, connection: Reporting | None, end_reason: EndReason) -> None:
+    def lost(self, connection: PlatformConnection | None, end_reason: EndReason) -> None:
         self._clear()
         self.connection = self._connector = None
-        self.out = []
+        self.in_flight = []
         if end_reason not in (EndReason.CLOSED_BY_PEER, EndReason.ADDRESS_CHANGED) and self.reactor.running:
-            say(log, "platform-lost", why=end_reason.value, owed=len(self.owed))
-        if self.owed and not self._paused:  # a kept connection may break under a request: again at once
-            self._pause(self.again if self._losses else 0)
+            say(log, "platform-lost", why=end_reason.value, owed=len(self.pending))
+        if self.pending and not self._paused:  # a kept connection may break under a request: again at once
+            self._pause(self.retry_interval if self._losses else 0)
         self._losses += 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -221,12 +221,14 @@
     heard = []
     notifier = Notifier(clock, Deadlines(clock, clock), None, SECOND, SECOND, heard.append)
     reporting = notifier.buildProtocol(None)
-    notifier.notice(b"a", {"result": "dead"})
+    notifier.add_notice(b"a", {"result": "dead"})
     reporting.makeConnection(Wire())
-    notifier.notice(b"b", {"result": "dead"})  # while the request of the first is out
+    notifier.add_notice(b"b", {"result": "dead"})  # while the request of the first is out
     reporting.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n" * 2)
     assert (
-        heard == [b"a"] and list(notifier.owed) == [b"b"] and reporting.end_reason is EndReason.CLOSED_BY_PEER
+        heard == [b"a"]
+        and list(notifier.pending) == [b"b"]
+        and reporting.end_reason is EndReason.CLOSED_BY_PEER
     )
 
 
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -137,7 +137,7 @@
     loop.pass_to(end + 200 * MS)
     loop.turn()
     assert len(loop.lines) == 1 and driver.pool.calls_out == 0  # and none is sent a second time
-    notices = {text: words["result"] for text, words in driver.notifier.owed.items()}
+    notices = {text: words["result"] for text, words in driver.notifier.pending.items()}
     if first == "answer in time":
         assert not driver.owed and not notices
     else:
@@ -172,7 +172,7 @@
     settle(line, loop)
     assert (not driver.owed) == delivered
     dead = {} if delivered else {text.encode(): {"result": "dead"} for text in texts}
-    assert driver.notifier.owed == dead
+    assert driver.notifier.pending == dead
 
 
 def test_an_interim_line_in_time_proves_no_delivery(driver, loop):
@@ -182,7 +182,7 @@
     loop.pass_to(call.deadline.when)
     line.dataReceived(answer("t1"))
     settle(line, loop)
-    assert driver.notifier.owed == {b"t1": {"result": "dead"}}
+    assert driver.notifier.pending == {b"t1": {"result": "dead"}}
 
 
 @pytest.mark.parametrize("texts, dest", [ALONE, BATCH])
@@ -196,7 +196,7 @@
     assert call.deadline.when < min(driver.owed[text.encode()].text.valid_until for text in texts)
     line.dataReceived(answer(*texts))
     settle(line, loop)
-    assert set(driver.notifier.owed) == (set() if again else {text.encode() for text in texts})
+    assert set(driver.notifier.pending) == (set() if again else {text.encode() for text in texts})
     assert set(driver.owed) == {text.encode() for text in texts}
     if again:
         assert {held.ran_at for held in driver.policy.texts.values()} == {call.sent}
@@ -220,7 +220,7 @@
         answer(*texts, state=word) if word == "over" else b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"
     )
     settle(line, loop)
-    assert set(driver.notifier.owed) == {text.encode() for text in texts}
+    assert set(driver.notifier.pending) == {text.encode() for text in texts}
 
 
 @pytest.mark.parametrize("texts, dest", [ALONE, BATCH])
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -56,7 +56,7 @@
         self.driver = driver = Driver(plan, self.clock, self.clock)
         self.out, self.ended = [], {}
         driver.pool.send = self.send
-        driver.notifier.notice = lambda text, words: self.ended.setdefault(text, words["result"])
+        driver.notifier.add_notice = lambda text, words: self.ended.setdefault(text, words["result"])
         driver.start()
         driver.ready = True
         driver.catalog.known(
