--- a/limelatch/command/ledger.py
+++ b/limelatch/command/ledger.py
@@ -39,7 +39,7 @@
     from limelatch.relay.anchor_file import AnchorFile
 
     try:
-        return AnchorFile(folder).clock()
+        return AnchorFile(folder).load_clock()
     except OSError as error:
         raise BadUse(str(error)) from None
 
--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -57,7 +57,7 @@
     until = monotonic_now() + FOLDER_WAIT
     while True:
         try:
-            return Driver(plan, reactor, AnchorFile(plan.state).clock())
+            return Driver(plan, reactor, AnchorFile(plan.state).load_clock())
         except OSError as error:
             if error.errno not in PASSING or monotonic_now() >= until:
                 raise
--- a/limelatch/relay/anchor_file.py
+++ b/limelatch/relay/anchor_file.py
@@ -5,36 +5,44 @@
 import os
 
 from limelatch.logs import logger, say
-from limelatch.relay.clock import ANCHOR_MOST, Anchor, BadAnchor, Clock, Machine, begin_in_doubt, resume
+from limelatch.relay.clock import (
+    MAX_ANCHOR_BYTES,
+    Anchor,
+    AnchorError,
+    Clock,
+    ClockReading,
+    resume_after_bad_anchor,
+    resume_timeline,
+)
 from limelatch.relay.ledger import named
 from limelatch.relay.whole_file import replace_whole
 
 log = logger("deadlines")
 
-FILE = "clock"
+ANCHOR_FILE = "clock"
 
 
 class AnchorFile:
     """Reads and keeps the anchor of one folder."""
 
     def __init__(self, folder: str) -> None:
-        self.path = os.path.join(folder, FILE)
+        self.path = os.path.join(folder, ANCHOR_FILE)
 
-    def clock(self) -> Clock:
+    def load_clock(self) -> Clock:
         """The timeline that the folder's texts are on. Raises OSError where the file can't be read."""
-        machine = Machine.read()
+        reading = ClockReading.read()
         try:
             with named("read", self.path), open(self.path, "rb") as file:
-                line = file.read(ANCHOR_MOST)
-            timeline = resume(Anchor.decode(line), machine)
+                line = file.read(MAX_ANCHOR_BYTES)
+            timeline = resume_timeline(Anchor.decode(line), reading)
         except FileNotFoundError:
-            timeline = resume(None, machine)
-        except BadAnchor as error:
+            timeline = resume_timeline(None, reading)
+        except AnchorError as error:
             say(log, "clock-not-read", why=error)
-            timeline = begin_in_doubt(machine)
-        return Clock(timeline, machine.boot)
+            timeline = resume_after_bad_anchor(reading)
+        return Clock(timeline, reading.boot)
 
-    def keep(self, clock: Clock) -> bool:
+    def save(self, clock: Clock) -> bool:
         """Whether the anchor is in the folder as it is now."""
         try:
             replace_whole(self.path, clock.anchor().encode())
--- a/limelatch/relay/clock.py
+++ b/limelatch/relay/clock.py
@@ -20,7 +20,7 @@
 
 NANOSECONDS_PER_UNIT = 1_000_000_000 // SECOND
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
-ANCHOR_MOST = 512  # bytes of an anchor's file
+MAX_ANCHOR_BYTES = 512  # bytes of an anchor's file
 
 
 def monotonic_now() -> int:
@@ -42,7 +42,7 @@
         return ""
 
 
-class BadAnchor(ValueError):
+class AnchorError(ValueError):
     """An anchor's bytes can't be read; it says why."""
 
 
@@ -65,11 +65,11 @@
         """What `encode` wrote; BadAnchor where it is torn or of another form."""
         values, _, checksum = line.rstrip(b"\n").rpartition(b" ")
         if not checksum.isdigit() or int(checksum) != zlib.crc32(values):
-            raise BadAnchor("its checksum is another")
+            raise AnchorError("its checksum is another")
         try:
             return msgspec.json.decode(values, type=cls)
         except msgspec.DecodeError as error:
-            raise BadAnchor(str(error)) from None
+            raise AnchorError(str(error)) from None
 
 
 class Resumption(Enum):
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True)
-class Machine:
+class ClockReading:
     """One reading of a machine's clocks."""
 
     boot: str
@@ -90,7 +90,7 @@
     wall: int
 
     @classmethod
-    def read(cls) -> Machine:
+    def read(cls) -> ClockReading:
         return cls(boot_id(), monotonic_now(), wall_now())
 
 
@@ -103,26 +103,26 @@
     resumption: Resumption
 
 
-def resume(anchor: Anchor | None, machine: Machine) -> Timeline:
+def resume_timeline(anchor: Anchor | None, reading: ClockReading) -> Timeline:
     """The timeline of a process that found this anchor, or none."""
     if anchor is None:
-        return Timeline(machine.wall - machine.monotonic, 0, Resumption.FIRST)
-    if anchor.boot and anchor.boot == machine.boot and anchor.monotonic <= machine.monotonic:
+        return Timeline(reading.wall - reading.monotonic, 0, Resumption.FIRST)
+    if anchor.boot and anchor.boot == reading.boot and anchor.monotonic <= reading.monotonic:
         return Timeline(anchor.offset, anchor.certain_from, Resumption.SAME_BOOT)
-    now = max(machine.wall - anchor.wall_ahead, anchor.monotonic + anchor.offset)
-    return Timeline(now - machine.monotonic, now, Resumption.OTHER_BOOT)
+    now = max(reading.wall - anchor.wall_ahead, anchor.monotonic + anchor.offset)
+    return Timeline(now - reading.monotonic, now, Resumption.OTHER_BOOT)
 
 
-def begin_in_doubt(machine: Machine) -> Timeline:
+def resume_after_bad_anchor(reading: ClockReading) -> Timeline:
     """The timeline of a process that found an anchor it can't read."""
-    return Timeline(machine.wall - machine.monotonic, machine.wall, Resumption.UNKNOWN)
+    return Timeline(reading.wall - reading.monotonic, reading.wall, Resumption.UNKNOWN)
 
 
 class Clock:
     """The timeline in this process."""
 
     def __init__(self, timeline: Timeline | None = None, boot: str = "") -> None:
-        self._timeline = timeline or resume(None, Machine.read())
+        self._timeline = timeline or resume_timeline(None, ClockReading.read())
         self._offset, self._boot = self._timeline.offset, boot
 
     def now(self) -> int:
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -31,7 +31,7 @@
 from limelatch.relay.slots import Slots
 from limelatch.relay.text_log import TextLog
 from limelatch.relay.transport import ACCEPT_SHORTAGES
-from limelatch.relay.wall_clock_monitor import WallWatch
+from limelatch.relay.wall_clock_monitor import WallClockMonitor
 
 log, policy_log = logger("driver"), logger("policy")
 NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.MOOT)
@@ -79,7 +79,7 @@
         self.folder = FolderWatch(clock, self.deadlines, self._notify, self.soon)
         self.ledger = Ledger(plan.state, plan.disk_bytes, plan.memory_bytes, self.folder.told)
         self.folder.ledger = self.ledger
-        self.wall_watch = WallWatch(
+        self.wall_clock_monitor = WallClockMonitor(
             clock, self.deadlines, AnchorFile(plan.state), lambda: not self.ledger.beside
         )
         self.handover = Handover(
@@ -153,7 +153,7 @@
             self.operator_server.listen(self.reactor, self.plan.operator.host, self.plan.operator.port)
         if self.peers is not None:
             self.peers.start()
-        self.wall_watch.start()
+        self.wall_clock_monitor.start()
         say(log, "waiting", on="list", most_ms=self.plan.list_wait // li.MS)
         self.deadlines.after(self.plan.list_wait, self.serve)
         if not self.plan.terms.list_asked:
--- a/limelatch/relay/wall_clock_monitor.py
+++ b/limelatch/relay/wall_clock_monitor.py
@@ -12,35 +12,40 @@
 
 log = logger("deadlines")
 
-LOOK_EVERY = SECOND
-STEP_LEAST = SECOND // 10  # less is left until it adds up, as where the clock is slewed
+CHECK_INTERVAL = SECOND
+MIN_STEP = SECOND // 10  # less is left until it adds up, as where the clock is slewed
 
 
-class WallWatch:
+class WallClockMonitor:
     """Compares the wall clock with the timeline once a second, and keeps the folder's anchor true."""
 
     def __init__(
-        self, clock: Clock, deadlines: Deadlines, file: AnchorFile, owns_folder: Callable[[], bool]
+        self, clock: Clock, deadlines: Deadlines, file: AnchorFile, owns_directory: Callable[[], bool]
     ) -> None:
-        """`owns_folder`: false while another process still writes the folder's files."""
-        self._clock, self._deadlines, self._file, self._owns_folder = clock, deadlines, file, owns_folder
-        self._ahead, self._kept = clock.wall_ahead(), False
+        """`owns_directory`: false while another process still writes the folder's files."""
+        self._clock, self._deadlines, self._file, self._owns_directory = (
+            clock,
+            deadlines,
+            file,
+            owns_directory,
+        )
+        self._last_ahead, self._saved = clock.wall_ahead(), False
 
     def start(self) -> None:
         """Keep the anchor, and look from now on."""
-        say(log, "clock-resumed", by=self._clock.resumption.value, ahead_ms=self._ahead // MS)
-        self._keep()
-        self._deadlines.after(LOOK_EVERY, self._look)
+        say(log, "clock-resumed", by=self._clock.resumption.value, ahead_ms=self._last_ahead // MS)
+        self._save()
+        self._deadlines.after(CHECK_INTERVAL, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         ahead = self._clock.wall_ahead()
-        if abs(ahead - self._ahead) >= STEP_LEAST:
-            say(log, "clock-stepped", by_ms=(ahead - self._ahead) // MS, ahead_ms=ahead // MS)
-            self._ahead, self._kept = ahead, False
-        if not self._kept:
-            self._keep()
-        self._deadlines.after(LOOK_EVERY, self._look)
-
-    def _keep(self) -> None:
-        if self._owns_folder():
-            self._kept = self._file.keep(self._clock)
+        if abs(ahead - self._last_ahead) >= MIN_STEP:
+            say(log, "clock-stepped", by_ms=(ahead - self._last_ahead) // MS, ahead_ms=ahead // MS)
+            self._last_ahead, self._saved = ahead, False
+        if not self._saved:
+            self._save()
+        self._deadlines.after(CHECK_INTERVAL, self._check)
+
+    def _save(self) -> None:
+        if self._owns_directory():
+            self._saved = self._file.save(self._clock)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,34 +9,41 @@
 
 import limelatch
 from limelatch.interface import SECOND
-from limelatch.relay.anchor_file import FILE, AnchorFile
-from limelatch.relay.clock import Anchor, BadAnchor, Machine, Resumption, begin_in_doubt, resume
+from limelatch.relay.anchor_file import ANCHOR_FILE, AnchorFile
+from limelatch.relay.clock import (
+    Anchor,
+    AnchorError,
+    ClockReading,
+    Resumption,
+    resume_after_bad_anchor,
+    resume_timeline,
+)
 
 UPTIME, WALL = 5_000 * SECOND, 1_700_000_000 * SECOND
 HOUR = 3600 * SECOND
 STEPS = [-HOUR, -60 * SECOND, -3 * SECOND, -SECOND // 2, 0, SECOND // 2, 3 * SECOND, 60 * SECOND, HOUR]
-BEFORE = Machine("boot-1", UPTIME, WALL)
+BEFORE = ClockReading("boot-1", UPTIME, WALL)
 
 
-def left_by(machine, timeline, wall_ahead=0):
+def left_by(reading, timeline, wall_ahead=0):
     """The anchor that a process on this timeline keeps at that moment."""
-    return Anchor(machine.boot, machine.monotonic, timeline.offset, wall_ahead, timeline.certain_from)
+    return Anchor(reading.boot, reading.monotonic, timeline.offset, wall_ahead, timeline.certain_from)
 
 
-def now(timeline, machine):
-    return machine.monotonic + timeline.offset
+def now(timeline, reading):
+    return reading.monotonic + timeline.offset
 
 
 def test_a_first_start_takes_the_wall_clock():
-    first = resume(None, BEFORE)
+    first = resume_timeline(None, BEFORE)
     assert (now(first, BEFORE), first.certain_from, first.resumption) == (WALL, 0, Resumption.FIRST)
 
 
 @pytest.mark.parametrize("step", STEPS)
 def test_on_the_same_boot_the_monotonic_clock_tells_whatever_the_wall_clock_says(step):
-    first = resume(None, BEFORE)
-    later = Machine("boot-1", UPTIME + 7 * SECOND, WALL + 7 * SECOND + step)
-    found = resume(left_by(BEFORE, first), later)
+    first = resume_timeline(None, BEFORE)
+    later = ClockReading("boot-1", UPTIME + 7 * SECOND, WALL + 7 * SECOND + step)
+    found = resume_timeline(left_by(BEFORE, first), later)
     assert now(found, later) == WALL + 7 * SECOND
     assert (found.certain_from, found.resumption) == (0, Resumption.SAME_BOOT)
 
@@ -44,75 +51,80 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_after_a_reboot_the_wall_clock_tells_less_what_it_was_ahead(step):
     """It was stepped before the reboot, and seen to be."""
-    first = resume(None, BEFORE)
-    later = Machine("boot-2", 20 * SECOND, WALL + 90 * SECOND + step)
-    found = resume(left_by(BEFORE, first, wall_ahead=step), later)
+    first = resume_timeline(None, BEFORE)
+    later = ClockReading("boot-2", 20 * SECOND, WALL + 90 * SECOND + step)
+    found = resume_timeline(left_by(BEFORE, first, wall_ahead=step), later)
     assert now(found, later) == WALL + 90 * SECOND
     assert (found.certain_from, found.resumption) == (WALL + 90 * SECOND, Resumption.OTHER_BOOT)
 
 
 def test_after_a_reboot_the_timeline_never_runs_back():
-    first = resume(None, BEFORE)
-    later = Machine("boot-2", 20 * SECOND, WALL - HOUR)
-    found = resume(left_by(BEFORE, first), later)
+    first = resume_timeline(None, BEFORE)
+    later = ClockReading("boot-2", 20 * SECOND, WALL - HOUR)
+    found = resume_timeline(left_by(BEFORE, first), later)
     assert now(found, later) == WALL and found.certain_from == WALL
 
 
 def test_what_was_in_doubt_stays_so_over_a_further_restart():
-    first = resume(None, BEFORE)
-    rebooted = Machine("boot-2", 20 * SECOND, WALL + 90 * SECOND)
-    second = resume(left_by(BEFORE, first), rebooted)
-    again = Machine("boot-2", 21 * SECOND, WALL)
-    third = resume(left_by(rebooted, second), again)
+    first = resume_timeline(None, BEFORE)
+    rebooted = ClockReading("boot-2", 20 * SECOND, WALL + 90 * SECOND)
+    second = resume_timeline(left_by(BEFORE, first), rebooted)
+    again = ClockReading("boot-2", 21 * SECOND, WALL)
+    third = resume_timeline(left_by(rebooted, second), again)
     assert third.resumption is Resumption.SAME_BOOT and third.certain_from == second.certain_from
     assert now(third, again) == WALL + 91 * SECOND
 
 
 @pytest.mark.parametrize("boots", [("", ""), ("boot-1", ""), ("", "boot-1")])
 def test_a_boot_that_nobody_names_is_another_one(boots):
-    machine = Machine(boots[0], UPTIME, WALL)
-    found = resume(left_by(machine, resume(None, machine)), Machine(boots[1], UPTIME + SECOND, WALL + SECOND))
+    reading = ClockReading(boots[0], UPTIME, WALL)
+    found = resume_timeline(
+        left_by(reading, resume_timeline(None, reading)),
+        ClockReading(boots[1], UPTIME + SECOND, WALL + SECOND),
+    )
     assert found.resumption is Resumption.OTHER_BOOT
 
 
 def test_a_monotonic_clock_that_is_before_the_anchor_is_of_another_boot():
-    found = resume(left_by(BEFORE, resume(None, BEFORE)), Machine("boot-1", UPTIME - SECOND, WALL + SECOND))
+    found = resume_timeline(
+        left_by(BEFORE, resume_timeline(None, BEFORE)), ClockReading("boot-1", UPTIME - SECOND, WALL + SECOND)
+    )
     assert found.resumption is Resumption.OTHER_BOOT
 
 
 def test_an_anchor_comes_back_as_it_was_kept(tmp_path):
     file = AnchorFile(str(tmp_path))
-    clock = file.clock()
-    assert clock.resumption is Resumption.FIRST and file.keep(clock)
-    again = file.clock()
+    clock = file.load_clock()
+    assert clock.resumption is Resumption.FIRST and file.save(clock)
+    again = file.load_clock()
     assert again.resumption is Resumption.SAME_BOOT
     assert again.anchor().offset == clock.anchor().offset
-    assert [each.name for each in tmp_path.iterdir()] == [FILE]
+    assert [each.name for each in tmp_path.iterdir()] == [ANCHOR_FILE]
 
 
 @pytest.mark.parametrize(
     "content", [b"", b"{", b"{} 1\n", b'{"boot":"x"} 3\n', b"\xff\xfe 12\n", b"x" * 4096]
 )
 def test_an_anchor_that_cannot_be_read_leaves_all_earlier_spans_in_doubt(tmp_path, content):
-    with pytest.raises(BadAnchor):
+    with pytest.raises(AnchorError):
         Anchor.decode(content)
-    (tmp_path / FILE).write_bytes(content)
-    clock = AnchorFile(str(tmp_path)).clock()
+    (tmp_path / ANCHOR_FILE).write_bytes(content)
+    clock = AnchorFile(str(tmp_path)).load_clock()
     assert clock.resumption is Resumption.UNKNOWN
     assert 0 <= clock.now() - clock.certain_from < SECOND
 
 
 def test_an_anchor_of_other_values_is_refused_however_good_its_checksum():
     line = Anchor("boot-1", 1, 2, 3).encode().replace(b'"monotonic":1', b'"monotonic":"1"')
-    with pytest.raises(BadAnchor):
+    with pytest.raises(AnchorError):
         Anchor.decode(line)
-    assert begin_in_doubt(BEFORE).certain_from == WALL
+    assert resume_after_bad_anchor(BEFORE).certain_from == WALL
 
 
 def test_an_unreadable_anchor_names_call_and_path(tmp_path):
-    (tmp_path / FILE).mkdir()
-    with pytest.raises(OSError, match=FILE):
-        AnchorFile(str(tmp_path)).clock()
+    (tmp_path / ANCHOR_FILE).mkdir()
+    with pytest.raises(OSError, match=ANCHOR_FILE):
+        AnchorFile(str(tmp_path)).load_clock()
 
 
 CLOCKS = {"time", "time_ns", "monotonic", "monotonic_ns", "perf_counter", "clock_gettime", "now", "utcnow"}
