--- a/limelatch/relay/datagrams.py
+++ b/limelatch/relay/datagrams.py
@@ -10,7 +10,7 @@
 log = logger("membership")
 
 
-class PatientDatagramPort(Resting, udp.Port):
+class ResilientDatagramPort(Resting, udp.Port):
     """A UDP socket that outlives a read which fails; Twisted's own closes for good."""
 
     def __init__(self, *arguments, **more) -> None:
--- a/limelatch/relay/peers.py
+++ b/limelatch/relay/peers.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Members:
+class MembershipSummary:
     """What one relay holds of all: how many in each state, and the first that is not alive."""
 
     counts: dict[str, int]
@@ -104,18 +104,18 @@
         if self.port is not None:
             self.port.stopListening()
 
-    def members(self) -> Members:
+    def members(self) -> MembershipSummary:
         """What is held of all of them now."""
         if self.member is None:
             counts = {state.name.lower(): 0 for state in State} | {"unknown": len(self.addresses)}
-            return Members(counts, 0, NOT_LISTENING, "")
+            return MembershipSummary(counts, 0, NOT_LISTENING, "")
         view = self.member.view
         counts = {state.name.lower(): view.counts[state] for state in State}
         counts["unknown"] = len(self.addresses) - sum(counts.values())
         isolation = self.member.hearing.isolation
         first = next((number for number in range(len(self.addresses)) if not view.is_alive(number)), None)
         named = "" if first is None else f"{self.plan.peers[first]}:{self._state(first)}"
-        return Members(counts, self.member.incarnation, isolation.value if isolation else "", named)
+        return MembershipSummary(counts, self.member.incarnation, isolation.value if isolation else "", named)
 
     def _state(self, number: int) -> str:
         view = self.member.view
--- a/limelatch/relay/reactor.py
+++ b/limelatch/relay/reactor.py
@@ -12,7 +12,7 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.main import installReactor
 
-from limelatch.relay.datagrams import PatientDatagramPort
+from limelatch.relay.datagrams import ResilientDatagramPort
 from limelatch.relay.transport import PatientConnector, PatientPort
 
 
@@ -31,8 +31,8 @@
         listening.startListening()
         return listening
 
-    def listenUDP(self, port, protocol, interface="", maxPacketSize=8192) -> PatientDatagramPort:
-        listening = PatientDatagramPort(port, protocol, interface, maxPacketSize, self)
+    def listenUDP(self, port, protocol, interface="", maxPacketSize=8192) -> ResilientDatagramPort:
+        listening = ResilientDatagramPort(port, protocol, interface, maxPacketSize, self)
         listening.startListening()
         return listening
 
--- a/tests/faults/flow.py
+++ b/tests/faults/flow.py
@@ -78,7 +78,7 @@
             if (text := self.texts.get(told["ref"])) is not None and text.notice is None:
                 text.notice = (time.monotonic(), told["result"])
 
-    def hand_in(self, within: float = 0.0) -> Text:
+    def submit_text(self, within: float = 0.0) -> Text:
         """A text that is taken on: as a client does, under a new id after a refusal, a close or no answer.
 
         `within`: seconds after which AssertionError is raised; the first try counts always."""
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -64,12 +64,12 @@
             flow.client = None  # a new connection meets it too
             began = time.monotonic()
             while time.monotonic() < began + bounds.get("seconds", 0.0):
-                flow.hand_in(within=BACK)
-            flow.hand_in(within=BACK)
+                flow.submit_text(within=BACK)
+            flow.submit_text(within=BACK)
             rule.end()
     flow.settle()
     assert flow.check() == []
-    flow.hand_in(within=BACK)
+    flow.submit_text(within=BACK)
 
 
 @pytest.mark.parametrize("place", ["clients", "hosts", "agent"])
@@ -80,7 +80,7 @@
     rule = faults.rule(call, most=1, port=port_at(flow, place))
     flow.start()
     for _ in range(9):
-        flow.hand_in()
+        flow.submit_text()
     assert rule.hits
     rule.end()
     flow.settle()
@@ -90,12 +90,12 @@
 @pytest.mark.parametrize("call, error", [("accept", errno.ENFILE), ("accept", errno.ECONNABORTED)])
 def test_a_port_that_accepts_nobody_for_long_rests_and_serves_those_that_it_has(flow, faults, call, error):
     """Clients that are there are served; the processor does not spin; those that wait are served then."""
-    flow.hand_in()
+    flow.submit_text()
     rule = faults.fail(call, error, port=flow.program.port, seconds=LONG)
     late, before = flow.program.client(), processor_seconds(flow.program)
     began = time.monotonic()
     while time.monotonic() < began + LONG:
-        flow.hand_in()
+        flow.submit_text()
         time.sleep(0.1)
     assert rule.hits < 100 * LONG * 1.5 * (1 if error == errno.ENFILE else ACCEPTS_MOST)
     assert processor_seconds(flow.program) - before < 0.3 * LONG
@@ -116,10 +116,10 @@
 def test_a_connection_outlives_a_kernel_without_buffers(flow, faults, call, error):
     """Neither a client's nor a host's connection is closed for it: no text that may run once is given up."""
     for _ in range(3):
-        flow.hand_in()
+        flow.submit_text()
     flow.settle()
     rule = faults.fail(call, error, times=6)
-    texts = [flow.hand_in() for _ in range(6)]
+    texts = [flow.submit_text() for _ in range(6)]
     flow.settle()
     assert rule.hits == 6
     assert flow.check() == [] and all(text.delivered for text in texts)
@@ -130,7 +130,7 @@
     made = Flow(faulty(), agent, party)
     faults.fail(call, errno.ENOBUFS, seconds=2.0, port=0 if call == "socket" else made.program.port)
     made.start()
-    made.hand_in(within=BACK)
+    made.submit_text(within=BACK)
     made.settle()
     assert made.check() == []
 
@@ -157,12 +157,12 @@
         until = time.monotonic() + WAIT
         while rule.hits < 3 and time.monotonic() < until:
             stranger.sendto(b"noise", (host, port))
-            flow.hand_in(within=BACK)
+            flow.submit_text(within=BACK)
         drain(flow.program.log)
         heard = time.monotonic()
         while "datagram-dropped" not in "".join(flow.program.said[-20:]) or time.monotonic() < heard + 1.2:
             stranger.sendto(b"noise", (host, port))
-            flow.hand_in(within=BACK)
+            flow.submit_text(within=BACK)
             assert time.monotonic() < heard + WAIT
         flow.program.says("event=datagram-dropped")
     flow.settle()
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -33,7 +33,7 @@
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         try:
-            flow.hand_in()
+            flow.submit_text()
         except AssertionError:
             threading.Event().wait(0.02)
 
@@ -41,7 +41,7 @@
 def held_over_a_kill(flow):
     """A text that is open at a kill has its end after the restart: its records can be read."""
     flow.host.reply = lambda request: request.hang()
-    held = flow.hand_in(within=BACK)
+    held = flow.submit_text(within=BACK)
     flow.program.kill()
     flow.host.reply = flow._called
     flow.restart()
@@ -54,13 +54,13 @@
 def test_a_ledger_that_cannot_be_written_for_a_span(flow, faults, call, name, most, span):
     """Whole and in part; the cut of a torn record fails as well. Texts go on once it can be written."""
     for _ in range(3):
-        flow.hand_in()
+        flow.submit_text()
     bounds = {"path": LEDGER, "seconds": span}
     faults.fail(call, getattr(errno, name), most=most, **bounds)
     faults.fail("ftruncate", getattr(errno, name), **bounds)
     hand_in_for(flow, span)
     for _ in range(3):
-        flow.hand_in(within=BACK)
+        flow.submit_text(within=BACK)
     flow.program.says("event=folder-mended")
     held_over_a_kill(flow)
     assert flow.check() == []
@@ -72,7 +72,7 @@
 def test_a_kill_within_a_failing_span_loses_repeats_and_reorders_nothing(flow, faults, moment, span, most):
     """The n-th record of the ledger fails, and all after it; then the process is killed and started again."""
     skip = {"taken": 0, "going": 1, "ended": 2, "owed": 3}[moment]
-    flow.hand_in()
+    flow.submit_text()
     flow.settle()
     faults.fail("write", errno.ENOSPC, path=LEDGER, skip=skip, most=most)
     faults.fail("ftruncate", errno.EIO, path=LEDGER)
@@ -81,7 +81,7 @@
     faults.clear_all()
     flow.restart()
     for _ in range(4):
-        flow.hand_in(within=BACK)
+        flow.submit_text(within=BACK)
     flow.settle()
     assert flow.check() == []
 
@@ -90,7 +90,7 @@
     """A span longer than all waits of the four submits that a text has."""
     flow.valid = 15.0
     flow.host.reply = lambda request: (503,)
-    text = flow.hand_in()
+    text = flow.submit_text()
     threading.Event().wait(0.05)
     faults.fail("write", errno.EIO, path=LEDGER, seconds=8.0)
     flow.host.reply = flow._called
@@ -106,7 +106,7 @@
     flow.host.reply = lambda request: request.answer(429, Retry_After="30")
     flow.start()
     faults.fail("write", errno.EIO, path=LEDGER, skip=2)
-    flow.hand_in()
+    flow.submit_text()
     flow.host.next()
     threading.Event().wait(0.6)
     flow.program.kill()
@@ -122,8 +122,8 @@
     flow = Flow(faulty(), agent, party)
     flow.host.reply = lambda request: (500,) if request.headers["X-Txn"] == "t2" else request.hang()
     flow.start()
-    early = flow.hand_in()  # t1, notice: out at a host that hangs until its time is up
-    flow.hand_in()  # t2, charge: it may have run, and ends at once
+    early = flow.submit_text()  # t1, notice: out at a host that hangs until its time is up
+    flow.submit_text()  # t2, charge: it may have run, and ends at once
     faults.fail("write", errno.EIO, path=LEDGER, seconds=20.0)
     flow.settle()
     assert early.notice is not None and flow.check() == []
@@ -141,7 +141,7 @@
     while time.monotonic() < until:  # 3 MB of disk: some 40 texts fill the file
         number += 1
         assert flow.client.submit(f"big{number}", body=body) in ("+OK", "-BUSY", "-BUSY 250")
-    flow.hand_in(within=BACK)
+    flow.submit_text(within=BACK)
     flow.settle()
     assert flow.check() == [] and number > 60
 
@@ -150,11 +150,11 @@
     "call, name", [("open", "EMFILE"), ("flock", "EIO"), ("write", "ENOSPC"), ("unlink", "EIO")]
 )
 def test_a_take_over_that_the_folder_refuses_is_tried_again(flow, faults, call, name):
-    old, before = flow.program.process, flow.hand_in()
+    old, before = flow.program.process, flow.submit_text()
     flow.settle()
     flow.host.reply = lambda request: request.hang()
     flow.valid = 6.0
-    held = flow.hand_in()
+    held = flow.submit_text()
     flow.program.start()
     flow.host.reply = flow._called
     rule = faults.fail(call, getattr(errno, name), path="state", seconds=1.5)
@@ -164,7 +164,7 @@
     flow.program.says("event=taken-over")
     rule.end()
     for _ in range(3):
-        flow.hand_in(within=BACK)
+        flow.submit_text(within=BACK)
     flow.settle()
     assert before.delivered and held.ended and flow.check() == []
     seat = flow.program.state / SEAT / FILE
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("call, name", START_CELLS)
 def test_a_folder_that_cannot_be_read_at_a_start_is_named_and_left_as_it_is(flow, faults, call, name):
-    flow.hand_in()
+    flow.submit_text()
     flow.settle()
     flow.program.kill()
     before = {each: each.read_bytes() for each in flow.program.state.iterdir() if each.is_file()}
@@ -207,7 +207,7 @@
 
 
 def test_a_torn_tail_that_cannot_be_cut_at_a_start_is_cut_before_the_first_write(flow, faults):
-    text = flow.hand_in()
+    text = flow.submit_text()
     flow.settle()
     flow.program.kill()
     with open(flow.program.state / "ledger", "ab") as file:
@@ -216,7 +216,7 @@
     flow.restart()
     hand_in_for(flow, 0.5)
     rule.end()
-    taken = [flow.hand_in(within=BACK) for _ in range(3)]
+    taken = [flow.submit_text(within=BACK) for _ in range(3)]
     held_over_a_kill(flow)
     assert text.delivered and all(each.ended for each in taken) and flow.check() == []
 
@@ -232,13 +232,13 @@
     agent.tell(watch)
     flow.program.says("event=clock-stepped")
     for _ in range(3):
-        flow.hand_in()
+        flow.submit_text()
     for rule in rules:
         rule.end()
     flow.program.kill()
     flow.restart()
     assert "by=same-boot" in "".join(flow.program.said[-4:])
-    flow.hand_in(within=BACK)
+    flow.submit_text(within=BACK)
     flow.settle()
     assert flow.check() == []
 
