--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -19,7 +19,7 @@
 from limelatch.relay.clients import Client, Listener, Handed
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.door import Door, HostsOut
+from limelatch.relay.operator_server import OperatorServer, SuspendedHosts
 from limelatch.relay.folder_watch import FolderWatch
 from limelatch.relay.handover import NOTICED_AFTER, Handover
 from limelatch.relay.hosts import Call, Outcome, Parcel, HostPool
@@ -31,7 +31,7 @@
 from limelatch.relay.slots import Slots
 from limelatch.relay.text_log import TextLog
 from limelatch.relay.transport import ACCEPT_SHORTAGES
-from limelatch.relay.wall_watch import WallWatch
+from limelatch.relay.wall_clock_monitor import WallClockMonitor
 
 log, policy_log = logger("driver"), logger("policy")
 NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.MOOT)
@@ -75,11 +75,11 @@
         self.started_with = plan.given
         self.deadlines = Deadlines(reactor, clock)
         self.policy = Policy(plan.terms, clock.now())
-        self.out = HostsOut(plan.state_dir)  # by hand, through the door; read before the folder is locked
+        self.suspended_hosts = SuspendedHosts(plan.state_dir)  # by operators; read before the folder is locked
         self.folder = FolderWatch(clock, self.deadlines, self._notify, self.soon)
         self.ledger = Ledger(plan.state_dir, plan.max_disk_bytes, plan.max_memory_bytes, self.folder.told)
         self.folder.ledger = self.ledger
-        self.wall_watch = WallWatch(
+        self.wall_clock_monitor = WallClockMonitor(
             clock, self.deadlines, AnchorFile(plan.state_dir), lambda: not self.ledger.beside
         )
         self.handover = Handover(
@@ -125,8 +125,8 @@
             lambda destination: destination in self.policy.dests,
         )
         self.listener = Listener(self, plan.shares.clients, plan.max_client_bytes, plan.shares.max_clients)
-        self.operations = Operations(self, self.out)
-        self.door = Door(self, self.operations, plan.shares.operators)
+        self.operations = Operations(self, self.suspended_hosts)
+        self.operator_server = OperatorServer(self, self.operations, plan.shares.operators)
         self.peers = None
         if plan.membership is not None:  # else nothing of it is loaded
             from limelatch.relay.peers import Peers
@@ -157,10 +157,10 @@
             ledger_bytes=self.ledger.size,
         )
         if self.plan.operator_address is not None:  # at once: STATUS says whether clients are served yet
-            self.door.listen(self.reactor, self.plan.operator_address.host, self.plan.operator_address.port)
+            self.operator_server.listen(self.reactor, self.plan.operator_address.host, self.plan.operator_address.port)
         if self.peers is not None:
             self.peers.start()
-        self.wall_watch.start()
+        self.wall_clock_monitor.start()
         log_event(log, "waiting", on="list", most_ms=self.plan.list_timeout // li.MS)
         self.deadlines.after(self.plan.list_timeout, self.serve)
         if not self.plan.terms.list_asked:
@@ -212,7 +212,7 @@
         if entry.out and owed.key is not None:  # its rest has to outlast this process too
             self.ledger.ended(entry.id, True, now, self._rest_of(owed, now))
         if entry.notice is not None:
-            self.notifier.notice(entry.id, entry.notice)
+            self.notifier.add_notice(entry.id, entry.notice)
         elif not known:
             log_event(log, "product-unknown", product=pairs["product"])
             self._end_later(owed, {"result": "dead"})
@@ -417,7 +417,9 @@
             else:
                 self.hosts[entry.host] = entry
                 self.pool.reach(entry.host, self.catalog.reached(entry.host))
-        self.policy.hosts_listed(now, [self.out.seen(entry) for entry in entries], whole, news)
+        self.policy.hosts_listed(
+            now, [self.suspended_hosts.as_listed(entry) for entry in entries], whole, news
+        )
         self._tell_of_sibling()
 
     def _hear_sibling(self) -> None:
@@ -550,7 +552,7 @@
             return  # what an earlier process took on waits for the list too
         if self.handover.has_news:
             self._hear_sibling()
-            self.operations.hear()
+            self.operations.refresh_suspended()
         now = self.clock.now()
         actions = self.policy.decide(now, self.folder.gate.may_submit)
         arrived, self.arrived = self.arrived, {}  # an answer may bring a client's next text, for a later turn
@@ -648,4 +650,4 @@
         self.folder.end(text.id, notice, text.valid_until, recorded)
 
     def _notify(self, text: bytes, notice: dict) -> None:
-        self.notifier.notice(text, notice)
+        self.notifier.add_notice(text, notice)
