--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -15,7 +15,7 @@
 from limelatch.interface import MS, SECOND
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.ending import Ending
-from limelatch.relay.lines import RingLines, waits
+from limelatch.relay.line_receiver import RingLines, waits
 from limelatch.relay.slots import Slots
 
 log = logger("clients")
--- a/limelatch/relay/directory.py
+++ b/limelatch/relay/directory.py
@@ -1,8 +1,8 @@
 """The directory: every row of the catalog's list, held compact. It holds data and decides nothing.
 
-A row is a line of text in one buffer, found by its host's name or by its destination. A row that is put costs
-what the row costs, whatever the list's size (`chains`), and a whole list comes row by row: those that it left
-out are swept a slice at a time.
+A row is a line of text in one buffer, found by its host's name or by its destination. Adding or changing a row
+takes the same time whatever the list's size (`hash_index`). A whole list arrives row by row; the rows that it
+left out are removed in batches afterwards.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from limelatch.relay.chains import END, Chains
+from limelatch.relay.hash_index import END, Chains
 
 NAME_MOST, WORD_MOST = 255, 64  # characters of a host's name or address, of a zone's or a kind's name
 NUMBER_MOST = 0xFFFFFFFE  # of a destination, as four bytes hold it
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -24,7 +24,7 @@
     Ending,
 )
 from limelatch.relay.http import Answer, HttpCaller, request_head
-from limelatch.relay.lines import waits
+from limelatch.relay.line_receiver import waits
 from limelatch.relay.slots import Slots
 
 log = logger("hosts")
--- a/limelatch/relay/http.py
+++ b/limelatch/relay/http.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from limelatch.relay.ending import Ending
-from limelatch.relay.lines import RingLines
+from limelatch.relay.line_receiver import RingLines
 
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9][0-9])(?: .*)?\Z")
 HEADER = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([\t\x20-\x7e\x80-\xff]*)\Z")
--- a/limelatch/relay/lines.py
+++ b/limelatch/relay/line_receiver.py
@@ -11,7 +11,7 @@
 from zope.interface import implementer
 
 from limelatch.relay.ending import Ending
-from limelatch.relay.ring import Ring
+from limelatch.relay.ring_buffer import Ring
 
 READ_SIZE = 16 * 1024  # taken from the socket at once
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -16,7 +16,7 @@
 from limelatch.policy import BUCKET, LESSON, REST, Policy
 from limelatch.relay import list_copy
 from limelatch.relay.catalog import Catalog, address_of
-from limelatch.relay.chains import Chains
+from limelatch.relay.hash_index import Chains
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.directory import GONE, LEFT_MOST, NUMBER_MOST, READY, Directory, Row
 from limelatch.relay.ending import Ending
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -33,7 +33,7 @@
 from limelatch.relay.http import Answer, HttpCaller
 from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
 from limelatch.relay.records import LATER, Kind, record
-from limelatch.relay.ring import Ring, RingFull
+from limelatch.relay.ring_buffer import Ring, RingFull
 from limelatch.relay.slots import Slots
 
 GOOD = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "s", "settings": SETTINGS}
