--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -42,8 +42,8 @@
     Mutant(
         "the rest in the ledger",
         "relay/driver.py",
-        "self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN, now, rest)",
-        "self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN)",
+        "self.ledger.ended(outgoing.text, outcome.result not in NEVER_RAN, now, rest)",
+        "self.ledger.ended(outgoing.text, outcome.result not in NEVER_RAN)",
     ),
     Mutant(
         "the rest of a call that was out at its process's end",
@@ -60,7 +60,7 @@
     Mutant(
         "the record of a submit before it goes",
         "relay/driver.py",
-        "owed.submit_out = self.ledger.going(text, call.sent, zone)",
+        "owed.submit_out = self.ledger.going(text, call.sent_at, zone)",
         "owed.submit_out = True",
     ),
     Mutant(
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -42,42 +42,42 @@
 
 
 @dataclass(slots=True)
-class Handed:
+class Submission:
     """A text as a client hands it in: the wire's words, the span of its validity in tenths of a ms."""
 
     id: bytes
-    order: bytes
+    key: bytes
     product: bytes
     customer: bytes
     destination: int
     valid_for: int
-    mark: bytes
+    idempotency_key: bytes
     body: bytes
 
 
-def read_submit(arguments: list[bytes]) -> Handed:
+def read_submit(arguments: list[bytes]) -> Submission:
     """SUBMIT ORDER-KEY ID NAMES BODY."""
     if len(arguments) != 5:
         raise BadCommand("SUBMIT takes a key, an id, a list of names and values, and a body")
-    _, order, text, names, body = arguments
+    _, key, text, names, body = arguments
     if len(body) > BODY_MOST:
         raise BadCommand(f"a body holds {BODY_MOST} bytes at most")
-    if not WORD.match(text) or not WORD.match(order):
+    if not WORD.match(text) or not WORD.match(key):
         raise BadCommand("the key and the id take 1 to 64 letters and digits")
     values = dict(pair.partition(b"=")[::2] for pair in names.split(b","))
-    mark, dest, span = values.get(b"k", b""), values.get(b"dest", b""), values.get(b"d", b"")
-    if mark and not WORD.match(mark):
+    idempotency_key, dest, span = values.get(b"k", b""), values.get(b"dest", b""), values.get(b"d", b"")
+    if idempotency_key and not WORD.match(idempotency_key):
         raise BadCommand("k takes 1 to 64 letters and digits")
     if not SIZE.match(dest) or not re.fullmatch(rb"-?[0-9]{1,9}(\.[0-9]{1,6})?", span):
         raise BadCommand("dest and d are wanted as numbers")
-    return Handed(
+    return Submission(
         text,
-        b"" if not order.strip(b"0") else order,
+        b"" if not key.strip(b"0") else key,
         values.get(b"c", b""),
         values.get(b"t", b""),
         int(dest),
         int(float(span) * MS),
-        mark,
+        idempotency_key,
         body,
     )
 
@@ -237,9 +237,9 @@
             if self.too_large:
                 raise BadCommand(f"a body holds {BODY_MOST} bytes at most")
             if name == b"SUBMIT":
-                handed = read_submit(arguments)
+                submission = read_submit(arguments)
                 self.waiting = True
-                self.listener.driver.handed_in(handed, self)
+                self.listener.driver.handed_in(submission, self)
             elif name == b"PING":
                 self.reply(
                     "-ERR stopping"
--- a/limelatch/relay/directory.py
+++ b/limelatch/relay/directory.py
@@ -1,6 +1,6 @@
 """The directory: every row of the catalog's list, held compact. It holds data and decides nothing.
 
-A row is a line of text in one buffer, found by its host's name or by its destination. Adding or changing a row
+A row is a line of text in one buffer, found by its host's name or by its destination. Adding or changing one
 takes the same time whatever the list's size (`hash_index`). A whole list arrives row by row; the rows that it
 left out are removed in batches afterwards.
 """
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -16,13 +16,13 @@
 from limelatch.policy import Policy
 from limelatch.relay.anchor_file import AnchorFile
 from limelatch.relay.catalog import BadList, Catalog
-from limelatch.relay.clients import Client, Listener, Handed
+from limelatch.relay.clients import Client, Listener, Submission
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.door import Door, HostsOut
 from limelatch.relay.folder_watch import FolderWatch
 from limelatch.relay.handover import NOTICED_AFTER, Handover
-from limelatch.relay.hosts import Call, Outcome, Parcel, HostPool
+from limelatch.relay.hosts import Call, Outcome, OutgoingText, HostPool
 from limelatch.relay.ledger import Ledger
 from limelatch.relay.list_copy import ListCopy
 from limelatch.relay.operations import Operations
@@ -175,7 +175,7 @@
         self.policy.processes = 2 if two else 1
         shares = Shares.of_two(self.plan.sockets) if two else self.plan.shares
         self.listener.bound(shares.clients, shares.clients_most)
-        self.pool.bound(shares.hosts)
+        self.pool.set_limit(shares.hosts)
 
     def _is_ordered(self, product: str) -> bool:
         """Whether a product is in order by the settings; one that they don't know counts as one that is."""
@@ -284,7 +284,7 @@
         handed_over = self.ready and self.ledger.successor()
         self.policy.stopping(self._stop_at)
         self.listener.stop(handed_over)
-        say(log, "stopping", owed=len(self.owed), calls=self.pool.calls_out, handed_over=handed_over)
+        say(log, "stopping", owed=len(self.owed), calls=self.pool.calls_in_flight, handed_over=handed_over)
         self.soon()
         if not self.ready:
             self._exit()
@@ -293,7 +293,7 @@
 
     def _exit_if_idle(self) -> None:
         """End early, once clients have stopped coming, when nothing is owed and no call is out."""
-        if self.clock.now() >= self._stop_least_at and not self.owed and not self.pool.calls_out:
+        if self.clock.now() >= self._stop_least_at and not self.owed and not self.pool.calls_in_flight:
             if self.listener.comes():  # it gets its answer first: at the latest when the stop's time is over
                 self.deadlines.after(LAST_LOOK, self._exit_if_idle)
             else:
@@ -310,56 +310,61 @@
             self.listener.last_words()
             if self.peers is not None:
                 self.peers.stop()
-            say(log, "stopped", owed=len(self.owed), calls=self.pool.calls_out)
+            say(log, "stopped", owed=len(self.owed), calls=self.pool.calls_in_flight)
             self.deadlines.after(0, self.reactor.stop)
 
     # What the parties tell.
 
-    def handed_in(self, handed: Handed, client: Client) -> None:
+    def handed_in(self, submission: Submission, client: Client) -> None:
         """A client hands in a text; the answer comes with this turn."""
         names, now = self.plan.names, self.clock.now()
-        if self.handover.holds(handed.id):
+        if self.handover.holds(submission.id):
             client.answer("+OK")  # this relay has taken it on, in its other process
             return
-        product, customer = handed.product.decode(errors="replace"), handed.customer.decode(errors="replace")
-        refusal = self._refusal(handed, product, customer)
+        product, customer = (
+            submission.product.decode(errors="replace"),
+            submission.customer.decode(errors="replace"),
+        )
+        refusal = self._refusal(submission, product, customer)
         if refusal is not None:
-            say(log, "text-refused", text=handed.id, why=refusal.why)
+            say(log, "text-refused", text=submission.id, why=refusal.why)
             client.answer(refusal.answer)
         else:
             number = names.customers.index(customer) if customer in names.customers else 0
             row = names.products.index(product)
-            most = self.plan.terms.products[row].validity_period or handed.valid_for
-            until = now + min(handed.valid_for, most)
+            most = self.plan.terms.products[row].validity_period or submission.valid_for
+            until = now + min(submission.valid_for, most)
             self._handed_in_last = max(now, self._handed_in_last + 1)  # each text has a time of its own
-            text = li.Text(handed.id, handed.destination, row, until, number, handed.order)
+            text = li.Text(submission.id, submission.destination, row, until, number, submission.key)
             text.handed_in_at = self._handed_in_last
             rules = self.plan.terms.products[row]
-            self.arrived[handed.id] = self._own(Owed(text, handed.mark, handed.body, rules, product, client))
+            self.arrived[submission.id] = self._own(
+                Owed(text, submission.idempotency_key, submission.body, rules, product, client)
+            )
             self._meet(now, text.destination)
             self.policy.text_taken(now, text)
             self.soon()
 
-    def _refusal(self, handed: Handed, product: str, customer: str) -> Refusal | None:
+    def _refusal(self, submission: Submission, product: str, customer: str) -> Refusal | None:
         """Why a text is turned back before the module hears of it; None where it is not."""
         names = self.plan.names
         if product not in names.products:
             return Refusal("product", f"-ERR unknown class {product[:40]!r}")
         if names.customers and customer and customer not in names.customers:
             return Refusal("customer", f"-ERR unknown tenant {customer[:40]!r}")
-        if self.catalog.fresh and not self._has_hosts(handed.destination):
+        if self.catalog.fresh and not self._has_hosts(submission.destination):
             # else it would be held until its validity ends
             return Refusal("destination", "-ERR unknown destination")
         if not self.catalog.holds_a_list:
             self.held_down("no-list", why="no list of hosts has been read yet")
             return Refusal("no-list", "-BUSY")
-        if handed.id in self.owed:
+        if submission.id in self.owed:
             return Refusal("id-known", "-ERR this id was handed in before")
         if self._stop_at is not None:
             return Refusal("stopping", "-BUSY")
         if self.slots.full:
             return Refusal("texts-most", "-BUSY")
-        if not self.ledger.has_room(len(handed.body)):
+        if not self.ledger.has_room(len(submission.body)):
             return Refusal("disk-most", "-BUSY")
         return None
 
@@ -407,7 +412,7 @@
                 self._leave(entry.host)
             else:
                 self.hosts[entry.host] = entry
-                self.pool.reach(entry.host, self.catalog.reached(entry.host))
+                self.pool.set_address(entry.host, self.catalog.reached(entry.host))
         self.policy.hosts_listed(now, [self.out.seen(entry) for entry in entries], whole, news)
         self._tell_of_sibling()
 
@@ -427,7 +432,7 @@
     def _leave(self, host: li.HostId) -> None:
         """The host is off the list, or its destination at rest."""
         self.hosts.pop(host, None)
-        self.pool.reach(host, None)
+        self.pool.set_address(host, None)
 
     @property
     def stopping(self) -> bool:
@@ -450,21 +455,21 @@
             self._hear_sibling()
         return self.policy.may_go(now, text, host)
 
-    def going(self, call: Call, parcel: Parcel) -> bool:
+    def going(self, call: Call, outgoing: OutgoingText) -> bool:
         """A submit is about to be written; not where the ledger can't tell of it, nor out of turn."""
-        if (owed := self.owed.get(parcel.text)) is None:
+        if (owed := self.owed.get(outgoing.text)) is None:
             return False
         if owed.key is None:
             return self._record_going(owed, call)
-        hold = self.handover.claim(owed.key, parcel.text, lambda: self._record_going(owed, call))
+        hold = self.handover.claim(owed.key, outgoing.text, lambda: self._record_going(owed, call))
         if hold is not None:
-            self.text_log.held(parcel.text, owed.key, call.host, hold.value)
+            self.text_log.held(outgoing.text, owed.key, call.host, hold.value)
         return owed.submit_out
 
     def _record_going(self, owed: Owed, call: Call) -> bool:
         text = owed.text.id
         zone = self.hosts[call.host].zone if call.host in self.hosts else -1
-        owed.submit_out = self.ledger.going(text, call.sent, zone)
+        owed.submit_out = self.ledger.going(text, call.sent_at, zone)
         if owed.submit_out:
             self.text_log.going(text, owed.key, call.host, self.ledger.entries[text].submits)
         return owed.submit_out
@@ -474,35 +479,35 @@
         rest = None if owed.key is None else self.policy.order.rests.get(owed.key)
         return rest.until if rest is not None and rest.text == owed.text.id and rest.until > now else None
 
-    def ended(self, call: Call, parcel: Parcel, outcome: Outcome) -> None:
+    def ended(self, call: Call, outgoing: OutgoingText, outcome: Outcome) -> None:
         """A submit's outcome."""
-        owed, now = self.owed.get(parcel.text), self.clock.now()
+        owed, now = self.owed.get(outgoing.text), self.clock.now()
         if owed is None:
             return
         left, rate = li.limit_told(outcome.report)
         self.policy.submit_ended(
             now,
             li.SubmitReport(
-                parcel.text,
+                outgoing.text,
                 call.host,
                 outcome.result,
-                now - call.sent,
-                outcome.over,
-                outcome.told_wait,
+                now - call.sent_at,
+                outcome.finished,
+                outcome.retry_after,
                 left,
                 rate,
-                call.idle,
+                call.idle_time,
                 outcome.unsent,
             ),
         )
         rest = self._rest_of(owed, now)
-        self.text_log.submit_ended(parcel.text, owed.key, call, outcome, rest)
-        if outcome.told_wait:
-            self.ledger.told_wait(call.host, now + outcome.told_wait, now)
-        if owed.submit_out and (rest is not None or not outcome.over):
-            self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN, now, rest)
-        if outcome.over:
-            self.ledger.over(parcel.text)
+        self.text_log.submit_ended(outgoing.text, owed.key, call, outcome, rest)
+        if outcome.retry_after:
+            self.ledger.told_wait(call.host, now + outcome.retry_after, now)
+        if owed.submit_out and (rest is not None or not outcome.finished):
+            self.ledger.ended(outgoing.text, outcome.result not in NEVER_RAN, now, rest)
+        if outcome.finished:
+            self.ledger.over(outgoing.text)
             self._release(owed)
         owed.submit_out = False
         self.soon()
@@ -548,7 +553,7 @@
                 self._refuse(arrived.pop(action.text), action)
         for text, owed in arrived.items():
             self._take_on(text, owed)
-        calls: dict[li.HostId, list[Parcel]] = {}
+        calls: dict[li.HostId, list[OutgoingText]] = {}
         for action in actions:
             match action:
                 case li.Submit(text, host) if text not in self.owed:  # it could not be taken on
@@ -576,8 +581,8 @@
                     say(policy_log, "mode", host=host, change=line)
                     if action.health is not None:
                         self.ledger.found_health(host, action.health, now)
-        for host, parcels in calls.items():
-            self.pool.send(host, parcels)
+        for host, texts in calls.items():
+            self.pool.send(host, texts)
         if self._stop_at is not None:
             self._exit_if_idle()
 
@@ -625,7 +630,7 @@
         most = self.plan.terms.kinds[self.hosts[host].kind].texts_per_call if host in self.hosts else 1
         if len(calls.get(host, [])) >= most:
             self.pool.send(host, calls.pop(host))
-        calls.setdefault(host, []).append(Parcel(text, owed.mark, owed.body, due, keep))
+        calls.setdefault(host, []).append(OutgoingText(text, owed.mark, owed.body, due, keep))
 
     def _end_later(self, owed: Owed, notice: dict) -> None:
         """The final answer of a text that was taken on is a notice, owed until it is answered."""
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -34,14 +34,14 @@
 
 
 @dataclass(slots=True)
-class Parcel:
+class OutgoingText:
     """One text in a call."""
 
     text: bytes
-    mark: bytes
+    idempotency_key: bytes
     body: bytes
-    due: int  # when the relay stops waiting
-    keep: int  # for how long the connection may stand idle afterwards
+    due_at: int  # when the relay stops waiting
+    idle_limit: int  # for how long the connection may stand idle afterwards
 
 
 @dataclass(slots=True)
@@ -49,38 +49,38 @@
     """How one text of a call fared."""
 
     result: Result
-    over: bool = False
-    told_wait: int = 0
+    finished: bool = False
+    retry_after: int = 0
     report: dict[str, float] = field(default_factory=dict)
     unsent: bool = False  # held back as its connection came up
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call, or one probe where it has no parcels."""
+    """One call, or one probe where it has no texts."""
 
     host: HostId
-    parcels: list[Parcel]
-    sent: int
+    texts: list[OutgoingText]
+    sent_at: int
     batched: bool = False  # written as a batch, and so answered as one
-    idle: int = 0  # how long its connection had stood idle; 0 for a new one
+    idle_time: int = 0  # how long its connection had stood idle; 0 for a new one
     deadline: Deadline | None = None
     connection: Connection | None = None
-    begun: int = 0  # when the first line of its answer was read
+    answer_started_at: int = 0  # when the first line of its answer was read
 
-    def late(self, now: int) -> bool:
+    def is_late(self, now: int) -> bool:
         """Whether what proves a delivery was read when the relay should have stopped waiting: the first line,
         in a batch the whole answer."""
-        return (now if self.batched else self.begun) >= self.deadline.when
+        return (now if self.batched else self.answer_started_at) >= self.deadline.when
 
 
-def told_wait(headers: dict[bytes, bytes]) -> int:
+def read_retry_after(headers: dict[bytes, bytes]) -> int:
     """Retry-After, in seconds with decimals, as tenths of a millisecond; rounded up."""
     match = re.fullmatch(rb"[0-9]{1,6}(\.[0-9]{1,9})?", headers.get(b"retry-after", b""))
     return -int(-float(match[0]) * SECOND // 1) if match else 0
 
 
-def report_of(headers: dict[bytes, bytes]) -> dict[str, float]:
+def read_report(headers: dict[bytes, bytes]) -> dict[str, float]:
     """X-Pressure: names and values; a report that can't be read whole, or is beyond reason, says nothing."""
     pairs = [REPORT.match(pair) for pair in headers.get(b"x-pressure", b"").split(b",")]
     found = {match[1].decode(): float(match[2]) for match in pairs if match}
@@ -89,24 +89,24 @@
 
 def read_outcomes(call: Call, answer: Answer, body: bytes) -> list[Outcome]:
     """What an answer says of each text of its call; raises ValueError where it can't be read."""
-    wait, report = told_wait(answer.headers), report_of(answer.headers)
+    wait, report = read_retry_after(answer.headers), read_report(answer.headers)
     if call.batched and answer.status == 200:
         states = {row["id"].encode(): row["state"] for row in json.loads(body)}
         return [
             Outcome(RESULT_OF_STATE[states[each.text]], states[each.text] in OVER_STATE, wait, report)
-            for each in call.parcels
+            for each in call.texts
         ]
     result = RESULT_OF_STATUS.get(answer.status, Result.ERROR)
     if call.batched and answer.status in (410, 504):  # these speak of one text
         result = Result.ERROR
     if answer.status == 503 and answer.headers.get(b"x-no-slot") == b"1":
         result = Result.MOOT
-    elif answer.status == 503 and not (call.idle or answer.keeps or report or wait):
+    elif answer.status == 503 and not (call.idle_time or answer.keeps or report or wait):
         result = Result.CONNECT  # a new connection, turned away and closed: the host holds no more of them
     if call.batched and answer.status == 400:
         result = Result.MOOT  # a batch that was not read
-    over = answer.status in OVER_STATUS and result is not Result.ERROR
-    return [Outcome(result, over, wait, report) for _ in call.parcels]
+    finished = answer.status in OVER_STATUS and result is not Result.ERROR
+    return [Outcome(result, finished, wait, report) for _ in call.texts]
 
 
 def too_late(outcome: Outcome) -> Outcome:
@@ -116,25 +116,25 @@
     Guards against a delivery that counts at the relay alone, so that a text has no end at all: nobody tells
     whether such an answer was given in time. Another end does no harm to a text that has one."""
     result = Result.TIMEOUT if outcome.result is Result.DELIVERED else outcome.result
-    return Outcome(result, False, outcome.told_wait, outcome.report)
+    return Outcome(result, False, outcome.retry_after, outcome.report)
 
 
 def write_call(call: Call, host: str, now: int) -> list[bytes]:
     """The request of a call, a batch or a probe, in pieces."""
-    if not call.parcels:
+    if not call.texts:
         return [request_head("GET", "/ping", host, None, [])]
-    wait = max(1, (min(each.due for each in call.parcels) - now) // MS)
+    wait = max(1, (min(each.due_at for each in call.texts) - now) // MS)
     headers = [("X-Remaining", f"{wait}m")]
-    if len(call.parcels) == 1:
-        one = call.parcels[0]
+    if len(call.texts) == 1:
+        one = call.texts[0]
         headers.append(("X-Txn", one.text.decode()))
-        if one.mark:
-            headers.append(("Idempotency-Key", one.mark.decode()))
+        if one.idempotency_key:
+            headers.append(("Idempotency-Key", one.idempotency_key.decode()))
         return [request_head("POST", "/v1/messages", host, len(one.body), headers), one.body]
     rows = []
-    for each in call.parcels:
+    for each in call.texts:
         row = {"id": each.text.decode(), "body": base64.b64encode(each.body).decode()}
-        rows.append(row | ({"key": each.mark.decode()} if each.mark else {}))
+        rows.append(row | ({"key": each.idempotency_key.decode()} if each.idempotency_key else {}))
     body = json.dumps(rows, separators=(",", ":")).encode()
     headers.append(("Content-Type", "application/json"))
     return [request_head("POST", "/v1/messages:batch", host, len(body), headers), body]
@@ -161,11 +161,11 @@
         super().connectionMade()
         self.up = True
         self.deadline.cancel()
-        self.pool.go(self)
+        self.pool.send_on(self)
 
     def begun(self) -> None:
         if self.call is not None:
-            self.call.begun = self.pool.clock.now()
+            self.call.answer_started_at = self.pool.clock.now()
 
     def answered(self, answer: Answer, body: bytes) -> None:
         self.pool.answered(self, answer, body)
@@ -220,21 +220,21 @@
         self.connections: Slots[Connection] = Slots(most)
         self.idle: defaultdict[HostId, list[Connection]] = defaultdict(list)
         self.addresses: dict[HostId, Address] = {}
-        self.calls_out, self.held_down = 0, HeldDown(log, clock)
+        self.calls_in_flight, self.held_down = 0, HeldDown(log, clock)
 
-    def send(self, host: HostId, parcels: list[Parcel]) -> None:
+    def send(self, host: HostId, texts: list[OutgoingText]) -> None:
         """One call with these texts, or a probe; its outcomes go to the driver."""
         now = self.clock.now()
-        call = Call(host, parcels, now)
-        self.calls_out += 1
-        due = min(each.due for each in parcels) if parcels else now + self.probe_wait
+        call = Call(host, texts, now)
+        self.calls_in_flight += 1
+        due = min(each.due_at for each in texts) if texts else now + self.probe_wait
         call.deadline = self.deadlines.at(due, lambda: self._out_of_time(call))
         while (waiting := self.idle.get(host)) and (connection := waiting.pop()):
             connection.deadline.cancel()
             if connection.clean():
                 call.connection, connection.call = connection, call
-                call.idle = max(1, now - connection.rested_at)
-                self.go(connection)
+                call.idle_time = max(1, now - connection.rested_at)
+                self.send_on(connection)
                 return
             connection.give_up(Ending.GARBLED if connection.inbound else Ending.CLOSED_BY_PEER)
         self._connect(call)
@@ -256,7 +256,7 @@
             address.host, address.port, Dial(connection), timeout=None
         )
 
-    def bound(self, most: int) -> None:
+    def set_limit(self, most: int) -> None:
         """Hold so many connections from now on; idle ones beyond it are closed."""
         self.connections.size = most
         while len(self.connections) > most and any(self.idle.values()):
@@ -271,7 +271,7 @@
             self.connections.release(oldest.number)
             oldest.number = None
 
-    def go(self, connection: Connection) -> None:
+    def send_on(self, connection: Connection) -> None:
         """The connection is up: write its call, less the texts that are not to go any more."""
         call, now = connection.call, self.clock.now()
         if call is None:  # it was given up as it came up
@@ -279,18 +279,18 @@
             return
         held = [
             each
-            for each in call.parcels
+            for each in call.texts
             if not (self.driver.may_go(now, each.text, call.host) and self.driver.going(call, each))
         ]
         if held:
-            call.parcels = [each for each in call.parcels if each not in held]
+            call.texts = [each for each in call.texts if each not in held]
             for each in held:
                 self.driver.ended(call, each, Outcome(RESULT_OF_ENDING[Ending.HELD_BACK], unsent=True))
-            if not call.parcels:
+            if not call.texts:
                 self._finish(call)
-                self._rest(connection, held[0].keep)
+                self._rest(connection, held[0].idle_limit)
                 return
-        call.batched = len(call.parcels) > 1
+        call.batched = len(call.texts) > 1
         connection.ask(*write_call(call, str(self.addresses.get(call.host, "")), now))
 
     def answered(self, connection: Connection, answer: Answer, body: bytes) -> None:
@@ -298,20 +298,20 @@
         if call is None:
             connection.give_up(Ending.GARBLED)
             return
-        keep = min((each.keep for each in call.parcels), default=0)
+        keep = min((each.idle_limit for each in call.texts), default=0)
         try:
             outcomes = read_outcomes(call, answer, body)
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             self.held_down("answer-not-read", host=call.host, why=repr(error))
             connection.give_up(Ending.GARBLED)
             return
-        late = call.late(self.clock.now())
+        late = call.is_late(self.clock.now())
         self._finish(call)
-        if not call.parcels:
+        if not call.texts:
             result = RESULT_OF_STATUS.get(answer.status, Result.ERROR)
-            self.driver.probed(call, result, report_of(answer.headers))
-        for each, outcome in zip(call.parcels, outcomes, strict=True):
-            self.driver.ended(call, each, too_late(outcome) if late and outcome.over else outcome)
+            self.driver.probed(call, result, read_report(answer.headers))
+        for each, outcome in zip(call.texts, outcomes, strict=True):
+            self.driver.ended(call, each, too_late(outcome) if late and outcome.finished else outcome)
         self._rest(connection, keep if answer.keeps else 0)
 
     def _rest(self, connection: Connection, keep: int) -> None:
@@ -333,7 +333,7 @@
         for connection in self.idle.pop(host, []):
             connection.give_up(Ending.IDLE)
 
-    def reach(self, host: HostId, address: Address | None) -> None:
+    def set_address(self, host: HostId, address: Address | None) -> None:
         """Where the host is reached now; nothing is kept to one that is gone, at rest or has moved."""
         if self.addresses.get(host, address) != address:
             self.close_idle(host)
@@ -350,7 +350,7 @@
         call.connection.give_up(Ending.SILENT if call.connection.asking else Ending.UNREACHED)
 
     def _finish(self, call: Call) -> None:
-        self.calls_out -= 1
+        self.calls_in_flight -= 1
         call.deadline.cancel()
 
     def lost(self, connection: Connection, ending: Ending) -> None:
@@ -371,10 +371,15 @@
         if call is None:
             return
         self._finish(call)
-        result, over, answer = RESULT_OF_ENDING[ending], False, connection.answer
-        if answer is not None and answer.status == 200 and not call.batched and not call.late(call.begun):
-            result, over = Result.SPOILT, True  # its first line is true; the call may run on
-        if not call.parcels:
+        result, finished, answer = RESULT_OF_ENDING[ending], False, connection.answer
+        if (
+            answer is not None
+            and answer.status == 200
+            and not call.batched
+            and not call.is_late(call.answer_started_at)
+        ):
+            result, finished = Result.SPOILT, True  # its first line is true; the call may run on
+        if not call.texts:
             self.driver.probed(call, result, {})
-        for each in call.parcels:
-            self.driver.ended(call, each, Outcome(result, over))
+        for each in call.texts:
+            self.driver.ended(call, each, Outcome(result, finished))
--- a/limelatch/relay/text_log.py
+++ b/limelatch/relay/text_log.py
@@ -67,8 +67,8 @@
             key=key,
             host=call.host,
             result=outcome.result.value,
-            took_ms=(now - call.sent) // li.MS,
-            wait_ms=outcome.told_wait // li.MS or None,
+            took_ms=(now - call.sent_at) // li.MS,
+            wait_ms=outcome.retry_after // li.MS or None,
             rest_ms=(rest - now) // li.MS if rest is not None else None,
         )
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -24,10 +24,10 @@
     Call,
     Connection,
     Outcome,
-    Parcel,
+    OutgoingText,
     HostPool,
     read_outcomes,
-    told_wait,
+    read_retry_after,
     write_call,
 )
 from limelatch.relay.http import Answer, HttpCaller
@@ -335,7 +335,7 @@
 
 
 def outcomes(status, body=b"", texts=(b"a",), **headers):
-    call = Call(b"s-1", [Parcel(text, b"", b"", 0, 0) for text in texts], 0)
+    call = Call(b"s-1", [OutgoingText(text, b"", b"", 0, 0) for text in texts], 0)
     call.batched = len(texts) > 1
     told = {name.replace("_", "-").encode(): value for name, value in headers.items()}
     return read_outcomes(call, Answer(status, told), body)
@@ -376,7 +376,7 @@
 )
 def test_a_new_connection_that_is_turned_away_and_closed_met_a_full_table(idle, keeps, headers, result):
     """Full tables once passed for used-up limits: paces were cut where much of a limit was left."""
-    call = Call(b"s-1", [Parcel(b"a", b"", b"", 0, 0)], 0, idle=idle)
+    call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, idle_time=idle)
     assert read_outcomes(call, Answer(503, headers, keeps), b"")[0].result is result
 
 
@@ -393,7 +393,7 @@
 
 
 def test_a_batch_of_which_one_text_is_left_is_still_answered_as_a_batch():
-    call = Call(b"s-1", [Parcel(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other's validity ended
+    call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other's validity ended
     body = b'[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]'
     assert read_outcomes(call, Answer(200), body) == [Outcome(Result.FULL)]
 
@@ -407,21 +407,21 @@
     def may_go(self, now, text, host):
         return self.goes
 
-    def going(self, call, parcel):
+    def going(self, call, outgoing):
         return True
 
-    def ended(self, call, parcel, outcome):
-        self.ends.append((parcel.text, outcome.result))
-        self.over += [parcel.text] if outcome.over else []
+    def ended(self, call, outgoing, outcome):
+        self.ends.append((outgoing.text, outcome.result))
+        self.over += [outgoing.text] if outcome.finished else []
 
 
-def call_out(deadlines, driver, *parcels):
+def call_out(deadlines, driver, *texts):
     """A connection that has just come up for a call with these texts."""
     deadlines, reactor = deadlines
     pool = HostPool(reactor, deadlines, reactor, driver, 4, SECOND, SECOND)
-    pool.addresses[b"s-1"], pool.calls_out = "127.0.0.1:80", 1
-    call = Call(b"s-1", list(parcels), 0)
-    call.deadline = deadlines.at(min(each.due for each in parcels), lambda: pool._out_of_time(call))
+    pool.addresses[b"s-1"], pool.calls_in_flight = "127.0.0.1:80", 1
+    call = Call(b"s-1", list(texts), 0)
+    call.deadline = deadlines.at(min(each.due_at for each in texts), lambda: pool._out_of_time(call))
     call.connection = Connection(pool, b"s-1", call)
     call.connection.number = pool.connections.take(call.connection)
     call.connection.deadline = deadlines.at(SECOND, None)
@@ -431,9 +431,9 @@
 
 def test_a_text_held_back_as_the_connection_comes_up_writes_nothing(deadlines):
     driver = Ears(goes=False)
-    pool, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", 9 * SECOND, SECOND))
+    pool, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
     assert driver.ends == [(b"a", Result.MOOT)] and connection.transport.value() == b""
-    assert pool.idle[b"s-1"] == [connection] and pool.calls_out == 0
+    assert pool.idle[b"s-1"] == [connection] and pool.calls_in_flight == 0
     deadlines[1].advance(1)
     assert connection.ending is Ending.IDLE
 
@@ -441,18 +441,21 @@
 def test_a_batch_is_given_up_whole_when_the_time_of_one_text_is_over(deadlines):
     driver = Ears()
     pool, connection = call_out(
-        deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0), Parcel(b"b", b"", b"y", 3 * SECOND, 0)
+        deadlines,
+        driver,
+        OutgoingText(b"a", b"", b"x", SECOND, 0),
+        OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     assert connection.transport.value().startswith(b"POST /v1/messages:batch HTTP/1.1\r\n")
     deadlines[1].advance(1)
     assert connection.ending is Ending.SILENT and driver.ends == []  # no text ends while its submit is out
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_out == 0
+    assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_in_flight == 0
 
 
 def test_a_first_line_of_200_delivers_though_the_connection_breaks(deadlines):
     driver = Ears()
-    _, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0))
+    _, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Le")
     connection.connectionLost(None)
     assert driver.ends == [(b"a", Result.SPOILT)] and driver.over == [b"a"]
@@ -462,7 +465,10 @@
     """The next text of its key would go out beside it."""
     driver = Ears()
     _, connection = call_out(
-        deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0), Parcel(b"b", b"", b"y", 3 * SECOND, 0)
+        deadlines,
+        driver,
+        OutgoingText(b"a", b"", b"x", SECOND, 0),
+        OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     deadlines[1].advance(1)
     assert connection.ending is Ending.SILENT and driver.ends == []
@@ -473,7 +479,7 @@
 )
 def test_of_a_spoilt_answer_only_a_first_line_of_200_is_true(deadlines, line, over):
     driver = Ears()
-    _, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0))
+    _, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 " + line + b"\r\nContent-Length: 3000000000\r\n\r\nxx")
     connection.connectionLost(None)
     assert driver.ends == [(b"a", Result.SPOILT)] and driver.over == over
@@ -482,7 +488,7 @@
 @pytest.mark.parametrize("raw, later", [(b"no more", b""), (b"", b"HTTP/1.1 200 OK\r\n\r\n"), (b"", b"")])
 def test_a_connection_with_more_than_its_answer_is_never_used_again(deadlines, raw, later):
     driver = Ears()
-    pool, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, SECOND))
+    pool, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, SECOND))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" + raw)
     assert driver.ends == [(b"a", Result.DELIVERED)] and (connection in pool.idle[b"s-1"]) != bool(raw)
     connection.transport.peer.sendall(later)  # not read yet
@@ -491,8 +497,8 @@
 
 @pytest.mark.parametrize("address, kept", [("127.0.0.1:80", True), ("127.0.0.1:81", False), (None, False)])
 def test_a_connection_in_use_while_its_host_moves_is_not_kept_for_it(deadlines, address, kept):
-    pool, connection = call_out(deadlines, Ears(), Parcel(b"a", b"", b"x", 9 * SECOND, SECOND))
-    pool.reach(b"s-1", address)
+    pool, connection = call_out(deadlines, Ears(), OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
+    pool.set_address(b"s-1", address)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.ending is None) == kept
 
@@ -510,16 +516,21 @@
 
 
 def test_a_told_wait_is_rounded_up_and_a_date_is_none():
-    assert told_wait({b"retry-after": b"0.00001"}) == 1
-    assert told_wait({b"retry-after": b"Tue, 01 Dec 2026 12:00:00 GMT"}) == 0
+    assert read_retry_after({b"retry-after": b"0.00001"}) == 1
+    assert read_retry_after({b"retry-after": b"Tue, 01 Dec 2026 12:00:00 GMT"}) == 0
 
 
 def test_submit_names_what_it_hands_in():
     names = b"c=notice,t=acme,d=80.5,k=5c,dest=7,r=1"
-    handed = read_submit([b"SUBMIT", b"0000", b"9b1f", names, b"\r\n\0"])
-    assert (handed.id, handed.order, handed.destination, handed.valid_for) == (b"9b1f", b"", 7, 805)
-    assert (handed.mark, handed.body) == (b"5c", b"\r\n\0")
-    assert (handed.product, handed.customer) == (b"notice", b"acme")
+    submission = read_submit([b"SUBMIT", b"0000", b"9b1f", names, b"\r\n\0"])
+    assert (submission.id, submission.key, submission.destination, submission.valid_for) == (
+        b"9b1f",
+        b"",
+        7,
+        805,
+    )
+    assert (submission.idempotency_key, submission.body) == (b"5c", b"\r\n\0")
+    assert (submission.product, submission.customer) == (b"notice", b"acme")
     with pytest.raises(BadCommand):
         read_submit([b"SUBMIT", b"0", b"a\r\nX-Evil: 1", b"d=1,dest=7", b""])
 
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -83,7 +83,7 @@
     """The connection on which these texts are out, and their call."""
     hand_in(driver, *texts, **more)
     loop.turn()
-    assert len(loop.lines) == 1 and len(loop.lines[0].call.parcels) == len(texts)
+    assert len(loop.lines) == 1 and len(loop.lines[0].call.texts) == len(texts)
     return loop.lines[0], loop.lines[0].call
 
 
@@ -116,7 +116,7 @@
     """At three-products a 200 read 0.8 ms after a text's end, before its time-out was called, passed for the
     delivery at the relay alone: the bench counted neither that nor any other end."""
     line, call = call_out(driver, loop, *texts, dest=dest, product=product)
-    end = min(each.due for each in call.parcels)
+    end = min(each.due_at for each in call.texts)
     if first == "answer in time":
         loop.pass_to(end - 1)
         line.dataReceived(answer(*texts))
@@ -136,7 +136,7 @@
     settle(line, loop)
     loop.pass_to(end + 200 * MS)
     loop.turn()
-    assert len(loop.lines) == 1 and driver.pool.calls_out == 0  # and none is sent a second time
+    assert len(loop.lines) == 1 and driver.pool.calls_in_flight == 0  # and none is sent a second time
     notices = {text: words["result"] for text, words in driver.notifier.owed.items()}
     if first == "answer in time":
         assert not driver.owed and not notices
@@ -161,7 +161,7 @@
 ):
     """None: the connection breaks instead."""
     line, call = call_out(driver, loop, *texts, dest=dest, product="charge")
-    end, raw = min(each.due for each in call.parcels), answer(*texts)
+    end, raw = min(each.due_at for each in call.texts), answer(*texts)
     loop.pass_to(end + line_at)
     line.dataReceived(raw[:17])
     if rest_at is None:
@@ -199,7 +199,7 @@
     assert set(driver.notifier.owed) == (set() if again else {text.encode() for text in texts})
     assert set(driver.owed) == {text.encode() for text in texts}
     if again:
-        assert {held.ran_at for held in driver.policy.texts.values()} == {call.sent}
+        assert {held.ran_at for held in driver.policy.texts.values()} == {call.sent_at}
 
 
 def test_a_wait_that_is_told_too_late_for_the_text_is_heeded_all_the_same(driver, loop):
@@ -237,7 +237,7 @@
     monkeypatch.setattr(driver.ledger, "taken", slowly)
     line, call = call_out(driver, loop, *texts, dest=dest)
     ends = [driver.owed[text.encode()].text.valid_until for text in texts]
-    assert call.deadline.when == min(ends) and [each.due for each in call.parcels] == ends
+    assert call.deadline.when == min(ends) and [each.due_at for each in call.texts] == ends
     assert line.ending is None
     loop.pass_to(min(ends))
     loop.turn()
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -80,44 +80,44 @@
         driver.turn()
         return self
 
-    def send(self, host, parcels):
+    def send(self, host, texts):
         """The host begins each text as it is sent."""
-        call = Call(host, parcels, self.clock.now())
+        call = Call(host, texts, self.clock.now())
         self.clock.rightNow += self.late / S
         now = self.clock.now()
-        for each in parcels:
+        for each in texts:
             if not self.driver.may_go(now, each.text, host):
                 self.driver.ended(call, each, Outcome(Result.MOOT))
-        for each in [one for one in parcels if self.driver.may_go(now, one.text, host)]:
+        for each in [one for one in texts if self.driver.may_go(now, one.text, host)]:
             assert self.driver.going(call, each)
             self.sent.append((now, each.text, host))
             self.out.append((call, each))
-            known = self.ran.get((each.mark, host))
-            if not known or not each.mark or now - known >= WINDOW:
-                self.ran[each.mark, host] = now
+            known = self.ran.get((each.idempotency_key, host))
+            if not known or not each.idempotency_key or now - known >= WINDOW:
+                self.ran[each.idempotency_key, host] = now
                 self.effects[each.text] += 1
 
     def hand_in(self, text, product):
         client = SimpleNamespace(answers=[])
         client.answer = client.answers.append
-        handed = SimpleNamespace(
+        submission = SimpleNamespace(
             id=text,
             destination=1,
             product=product,
             customer=b"acme",
             valid_for=8 * S,
-            order=b"",
-            mark=b"m-" + text,
+            key=b"",
+            idempotency_key=b"m-" + text,
             body=b"x",
         )
-        self.driver.handed_in(handed, client)
+        self.driver.handed_in(submission, client)
         self.driver.turn()
         assert client.answers == ["+OK"]
 
     def answered(self, result):
         """All calls that are out get this answer."""
-        for call, parcel in self.out:
-            self.driver.ended(call, parcel, Outcome(result, result is Result.DELIVERED))
+        for call, outgoing in self.out:
+            self.driver.ended(call, outgoing, Outcome(result, result is Result.DELIVERED))
         self.out = []
 
     def killed(self, restart, **more):
