--- a/limelatch/relay/catalog.py
+++ b/limelatch/relay/catalog.py
@@ -11,7 +11,7 @@
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.directory import DRAINING, GONE, READY, Directory, Row
 from limelatch.relay.ending import Ending
-from limelatch.relay.http import Answer, HttpCaller, request_head
+from limelatch.relay.http import HttpClientProtocol, Response, request_head
 from limelatch.relay.list_copy import ListCopy
 from limelatch.relay.list_reader import BadList, ListReader
 
@@ -57,7 +57,7 @@
     return Address(address, int(port))
 
 
-class Watch(HttpCaller):
+class Watch(HttpClientProtocol):
     """The connection to the catalog: the whole list first where none is held, then the changes."""
 
     def __init__(self, catalog: Catalog) -> None:
@@ -70,29 +70,29 @@
 
     def _ask(self, index: int | None) -> None:
         target = "/catalog/members" + ("" if index is None else f"?stream=1&index={index}")
-        self.ask(request_head("GET", target, str(self.catalog.address), None, []))
+        self.send_request(request_head("GET", target, str(self.catalog.address), None, []))
 
-    def answered(self, answer: Answer, body: bytes) -> None:
+    def response_received(self, response: Response, body: bytes) -> None:
         objects, self._objects = self._objects, 0
-        if answer.status != 200 or not objects and self._reader.between:
+        if response.status != 200 or not objects and self._reader.between:
             self.close(Ending.CLOSED_BY_PEER)  # a watch that ended, or no list
         elif not self._reader.between:
             say(log, "list-not-read", why="it ended within an object")
             self.close(Ending.GARBLED)
-        elif answer.keeps:
+        elif response.keep_alive:
             self._ask(self.catalog.index)
         else:
             self.close(Ending.CLOSED_BY_PEER)
 
-    def body_part(self, part: bytes) -> bool:
+    def body_received(self, part: bytes) -> bool:
         """Rows are taken as they come: neither a list's size nor its pace holds up a turn."""
-        if self.answer.status == 200 and self.ending is None:
+        if self.response.status == 200 and self.end_reason is None:
             try:
                 self._reader.feed(part)
             except BadList as error:
                 say(log, "list-not-read", why=error)
                 self.close(Ending.GARBLED)
-            self.catalog.told_so_far()
+            self.catalog.report_rows_so_far()
         return True
 
     # What the reader finds. Only a whole row or object, or an empty line between two, tells that the catalog
@@ -105,15 +105,15 @@
         self.catalog.row(raw)
 
     def empty_line(self) -> None:
-        self.catalog.heard()
+        self.catalog.note_activity()
 
     def whole_object(self) -> None:
         self._objects += 1
         self.catalog.ended()
-        self.catalog.heard()
+        self.catalog.note_activity()
 
-    def ended(self, ending: Ending) -> None:
-        self.catalog.lost(ending)
+    def connection_ended(self, end_reason: Ending) -> None:
+        self.catalog.lost(end_reason)
 
 
 class Catalog(ClientFactory):
@@ -129,27 +129,27 @@
         names: Names,
         silence: int,
         again: int,
-        told: Callable[[list[HostEntry], bool], None],
-        failed: Callable[[], None] | None = None,
+        on_update: Callable[[list[HostEntry], bool], None],
+        on_watch_lost: Callable[[], None] | None = None,
         copy: ListCopy | None = None,
-        wanted: Callable[[int], bool] = lambda destination: True,
+        is_wanted: Callable[[int], bool] = lambda destination: True,
     ) -> None:
-        """`wanted`: whether news of a destination are to be told; the others are held, and not told."""
+        """`is_wanted`: whether news of a destination are to be told; the others are held, and not told."""
         self.reactor, self.deadlines, self.address, self.names = reactor, deadlines, address, names
-        self.silence, self.again, self.told = silence, again, told
-        self.failed = failed  # hears of a lost watch and says when to ask again; none: after a fixed wait
+        self.silence, self.again, self.on_update = silence, again, on_update
+        self.on_watch_lost = on_watch_lost  # decides when to reconnect; None: after a fixed wait
         self.index: int | None = None
-        self.fresh = False  # the catalog itself has told a list since the start
-        self.directory, self.copy, self.wanted = Directory(), copy, wanted
+        self.is_fresh = False  # the catalog itself has told a list since the start
+        self.directory, self.copy, self.is_wanted = Directory(), copy, is_wanted
         self._coming: tuple[int, bool] | None = None  # index of the object that comes, whether it is whole
         self._news: list[HostEntry] = []  # read and not told yet
         self._rows = self._rows_heard = 0  # of the object that comes
         self.held_down = HeldDown(log, deadlines.clock) if deadlines is not None else None
         self._watch: Watch | None = None
         self._deadline, self._connector = None, None
-        self.heard_at = LONG_AGO  # the last sign of life, or the call since
+        self.last_activity_at = LONG_AGO  # the last sign of life, or the call since
 
-    def known(self, raw: dict) -> None:
+    def load_known_list(self, raw: dict) -> None:
         """The list as the configuration last had it; it may be old, so what has changed since is asked for.
         BadList where it can't be read: nothing of it is held then.
 
@@ -165,7 +165,7 @@
             self.directory, self.index, self._news = Directory(), None, []
             raise BadList(f"{type(error).__name__}: {error}") from None
 
-    def recall(self) -> None:
+    def load_copy(self) -> None:
         """Take the folder's copy, unless the list held is as late; another catalog's index means nothing."""
         if self.copy is None or (found := self.copy.read()) is None:
             return
@@ -174,32 +174,32 @@
         if self.index is None or same and index > self.index:
             self.index, self.directory = index if same else None, directory
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watch at another address, the whole list first: an index means nothing to another catalog.
 
         The list held serves until the new one has told its own."""
         if address != self.address:
-            self.address, self.index, self.fresh = address, None, False
-            self.heard_at = LONG_AGO  # nothing has come from there: guards against a wait for the one before
+            self.address, self.index, self.is_fresh = address, None, False
+            self.last_activity_at = LONG_AGO  # guards against a wait for the old one
             if self.copy is not None:
                 self.copy.abort()
             if self._watch is not None:
                 self._watch.close(Ending.MOVED)
             elif self._connector is not None and self._connector.state == "connecting":
                 self._connector.stopConnecting()
-            elif self.failed is not None:
-                self.failed()
+            elif self.on_watch_lost is not None:
+                self.on_watch_lost()
 
     def connect(self) -> None:
         self._connector = self.reactor.connectTCP(self.address.host, self.address.port, self, timeout=None)
-        self.heard()
+        self.note_activity()
 
-    def heard(self) -> None:
+    def note_activity(self) -> None:
         """The catalog lives: the silence counts from here."""
         if self._deadline is not None:
             self._deadline.cancel()
         self._deadline = self.deadlines.after(self.silence, self._silent)
-        self.heard_at = self._deadline.when - self.silence
+        self.last_activity_at = self._deadline.when - self.silence
 
     def _silent(self) -> None:
         if self._watch is not None:
@@ -215,7 +215,7 @@
             raise BadList("changes older than the list that is held")
         self._coming, self._rows, self._rows_heard = (index, whole), 0, 0
         if whole:
-            self.directory.begin()
+            self.directory.begin_list()
             if self.copy is not None:
                 self.copy.abort()
 
@@ -232,9 +232,9 @@
             self.held_down("row-not-read", host=row.name[:64], why=error)
             return
         moved = before is not None and before.destination != row.destination
-        if moved and self.wanted(before.destination) and before.kind in self.names.kinds:
+        if moved and self.is_wanted(before.destination) and before.kind in self.names.kinds:
             self._news.append(entry_of(before._replace(status=GONE), self.names))
-        if self.wanted(row.destination):
+        if self.is_wanted(row.destination):
             self._news.append(entry_of(row, self.names))
 
     def ended(self, known: bool = False) -> None:
@@ -243,22 +243,22 @@
         if whole and not self._rows and len(self.directory):
             self.index = None
             raise BadList(f"a whole list with nothing, where {len(self.directory)} hosts are held")
-        self.index, self.fresh = index, not known
+        self.index, self.is_fresh = index, not known
         if whole:
-            self.directory.end()
+            self.directory.end_list()
             self._sweep()
         news, self._news = self._news, []
-        self.told(news, whole)
+        self.on_update(news, whole)
         if self.copy is not None and not known:
-            self.copy.soon(self)
+            self.copy.schedule(self)
 
-    def told_so_far(self) -> None:
+    def report_rows_so_far(self) -> None:
         """Rows of an object that has more to come: at once, lest a drain waits for a long list's end."""
         if self._rows > self._rows_heard:
-            self.heard()
+            self.note_activity()
         if self._news:
             news, self._news = self._news, []
-            self.told(news, False)
+            self.on_update(news, False)
         self._rows_heard = self._rows
 
     def _sweep(self) -> None:
@@ -273,15 +273,15 @@
             if row.kind in self.names.kinds
         ]
 
-    def reached(self, host: HostId) -> Address | None:
+    def host_address(self, host: HostId) -> Address | None:
         """Where the host is reached, None where it is not on the list."""
         row = self.directory.find(host)
         return address_of(row) if row is not None else None
 
     @property
-    def holds_a_list(self) -> bool:
+    def has_list(self) -> bool:
         """Whether any list is held, told or known: else nobody can say where a text is to go."""
-        return self.fresh or len(self.directory) > 0
+        return self.is_fresh or len(self.directory) > 0
 
     def buildProtocol(self, address) -> Watch:
         self._watch = Watch(self)
@@ -290,14 +290,14 @@
     def clientConnectionFailed(self, connector, reason) -> None:
         self.lost(Ending.REFUSED)
 
-    def lost(self, ending: Ending) -> None:
+    def lost(self, end_reason: Ending) -> None:
         self._watch = None
         if self._deadline is not None:
             self._deadline.cancel()
         if not self.reactor.running:
             return  # the relay ends
-        say(log, "catalog-lost", why=ending.value, index=self.index)
-        if self.failed is not None:
-            self.failed()
+        say(log, "catalog-lost", why=end_reason.value, index=self.index)
+        if self.on_watch_lost is not None:
+            self.on_watch_lost()
         else:
-            self.deadlines.after(0 if ending is Ending.MOVED else self.again, self.connect)
+            self.deadlines.after(0 if end_reason is Ending.MOVED else self.again, self.connect)
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -26,9 +26,9 @@
 LOOK_MOST = SECOND // 2  # between two looks at a connection's silence
 CROWD_PART = 4  # a crowded listener closes those between commands so many times sooner
 BACKLOG = 128  # connections that wait to be accepted
-ACCEPTS_MOST = 32  # in one turn of the reactor: calls, the list and due times have theirs in between
-UNREAD_MOST = 16  # connections found with a request unread, for one that needs room; then the port waits
-ROOM_LOOK = SECOND // 100  # between two looks for room while the port waits
+MAX_ACCEPTS_PER_TURN = 32  # in one turn of the reactor: calls, the list and due times have theirs in between
+MAX_UNREAD_CHECKS = 16  # connections found with an unread request before the search for room gives up
+FULL_TABLE_CHECK_INTERVAL = SECOND // 100  # between two looks for room while the port waits
 OPEN_MOST = 1 << 20  # where nobody says how many there may be
 BAD_MOST = 8  # bad commands on one connection, then it is closed
 ARGUMENTS_MOST, SKIP_MOST, REPLY_MOST = 16, 1024 * 1024, 256
@@ -131,25 +131,25 @@
                 min(max(due, now + SECOND // 10), now + LOOK_MOST), self._look
             )
 
-    def end(self, ending: Ending) -> None:
-        if self.ending is not None:
+    def end(self, end_reason: Ending) -> None:
+        if self.end_reason is not None:
             return
         if self.between_requests():
-            self.close(ending, finish_writing=True)
+            self.close(end_reason, finish_writing=True)
         else:
-            self._close_lingering(ending)
+            self._close_lingering(end_reason)
         if self.deadline is not None:
             self.deadline.cancel()
         self.deadline = self.listener.driver.deadlines.after(  # if it reads no more
             LINGER, self.transport.abortConnection
         )
 
-    def _close_lingering(self, ending: Ending) -> None:
+    def _close_lingering(self, end_reason: Ending) -> None:
         """Close for writing, and read past what still comes until the client closes as well.
 
         Guards against a close over unread bytes: it resets the connection, and the last answer may be lost
         with it."""
-        self.ending, self.lingers = ending, True
+        self.end_reason, self.lingers = end_reason, True
         self.outflow.finish()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
@@ -168,7 +168,7 @@
         """Between requests, and none has arrived that is not read yet.
 
         Guards against closing under a request: the peer is reset, and may lose its last answer with it."""
-        return self.ending is None and self.between_requests() and not waits(self.transport)
+        return self.end_reason is None and self.between_requests() and not waits(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
         if self.lingers:
@@ -286,9 +286,11 @@
 
     def connectionLost(self, reason) -> None:
         self.listener.count_open(-1)
-        self.ending = self.ending or Ending.CLOSED_BY_PEER
-        if self.ending in (Ending.GARBLED, Ending.CROWDED, Ending.SILENT):
-            self.listener.held_down("client-ended", why=self.ending.value, peer=self.transport.getPeer().host)
+        self.end_reason = self.end_reason or Ending.CLOSED_BY_PEER
+        if self.end_reason in (Ending.GARBLED, Ending.CROWDED, Ending.SILENT):
+            self.listener.held_down(
+                "client-ended", why=self.end_reason.value, peer=self.transport.getPeer().host
+            )
         if self.deadline is not None:
             self.deadline.cancel()
         self.listener.held -= self.held
@@ -340,19 +342,19 @@
         self._measured, free = False, self.open_most - self.open
         if self.port is None:
             return
-        self.port.numberAccepts = max(1, min(ACCEPTS_MOST, free))
+        self.port.numberAccepts = max(1, min(MAX_ACCEPTS_PER_TURN, free))
         if free <= 0 and not self._held:
             self._held = True
             self.port.stopReading()
 
-    def listen(self, reactor, host: str, port: int, beside: bool = False) -> None:
-        """Shared with SO_REUSEPORT, so that a new version can serve beside this one during an upgrade.
+    def listen(self, reactor, host: str, port: int, is_standby: bool = False) -> None:
+        """Listen with SO_REUSEPORT, so that a new version can serve on the same port during an upgrade.
 
-        Only a process `beside` the one that holds its folder joins a port in use; any other is refused, as
-        it would share the clients of another relay."""
+        Only a standby process (`is_standby`) joins a port in use; any other is refused, because it would share
+        the clients of another relay. Raises CannotListenError."""
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as shared:
-                if not beside:
+                if not is_standby:
                     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as alone:
                         alone.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                         alone.bind((host, port))
@@ -371,7 +373,7 @@
 
         Guards against half-sent bodies on many connections, which together outgrow the memory. One whose text
         awaits its answer stays: a refusal would pass for that answer."""
-        held = len(client.inbound) + client.size if client.ending is None else 0
+        held = len(client.inbound) + client.size if client.end_reason is None else 0
         self.held, client.held = self.held + held - client.held, held
         while self.held > self.bytes_most:
             partial = [each for each in self.connections if each.held and not each.waiting]
@@ -410,9 +412,9 @@
                 self._held = True
                 self.port.stopReading()
             if self._room_look is None:
-                self._room_look = self.driver.deadlines.after(ROOM_LOOK, self._look_for_room)
+                self._room_look = self.driver.deadlines.after(FULL_TABLE_CHECK_INTERVAL, self._look_for_room)
 
-    def bound(self, most: int, open_most: int) -> None:
+    def set_limits(self, most: int, open_most: int) -> None:
         """Hold so many connections from now on; of those beyond it the ones at rest end, the others later."""
         self.connections.size, self.open_most = most, open_most
         while len(self.connections) > most and (silent := self._longest_silent(None)) is not None:
@@ -432,13 +434,13 @@
         asked, until nothing but that was done."""
         unread, found = [], None
         for each in self._by_silence:
-            if each is newest or each.waiting or each.ending is not None:
+            if each is newest or each.waiting or each.end_reason is not None:
                 continue
             if not waits(each.transport):
                 found = each
                 break
             unread.append(each)
-            if len(unread) == UNREAD_MOST:
+            if len(unread) == MAX_UNREAD_CHECKS:
                 break
         for each in unread:  # they have said something, and are read in the reactor's next turn
             self._by_silence.move_to_end(each)
@@ -464,7 +466,7 @@
             self._close_port()
         self._close_resting()
 
-    def comes(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Whether a request is not answered, not even read, comes just now, or may come on a connection just
         made."""
         now = self.driver.clock.now()
@@ -476,14 +478,14 @@
             or not each.between_requests()
             and each.heard_at > now - LOOK_MOST
             for each in self.connections
-            if each.ending is None
+            if each.end_reason is None
         )
 
-    def last_words(self) -> None:
+    def stop_reading(self) -> None:
         """Nothing more is read; what is answered is still written."""
         self._close_port()
         for each in self.connections:
-            if each.ending is None:
+            if each.end_reason is None:
                 each.transport.pauseProducing()
 
     def _close_port(self) -> None:
--- a/limelatch/relay/datagrams.py
+++ b/limelatch/relay/datagrams.py
@@ -5,21 +5,21 @@
 from twisted.internet import udp
 
 from limelatch.logs import HeldDown, logger
-from limelatch.relay.transport import Resting, SteadyTicks
+from limelatch.relay.transport import PausableDescriptor, MonotonicClock
 
 log = logger("membership")
 
 
-class PatientDatagramPort(Resting, udp.Port):
+class PatientDatagramPort(PausableDescriptor, udp.Port):
     """A UDP socket that outlives a read which fails; Twisted's own closes for good."""
 
     def __init__(self, *arguments, **more) -> None:
         super().__init__(*arguments, **more)
-        self.held_down = HeldDown(log, SteadyTicks())
+        self.held_down = HeldDown(log, MonotonicClock())
 
     def doRead(self) -> None:
         try:
             super().doRead()
         except OSError as error:
             self.held_down("datagram-not-read", why=error)
-            self.rest_from_reading()
+            self.pause_reading()
--- a/limelatch/relay/directory.py
+++ b/limelatch/relay/directory.py
@@ -16,9 +16,9 @@
 from limelatch.relay.hash_index import END, Chains
 
 NAME_MOST, WORD_MOST = 255, 64  # characters of a host's name or address, of a zone's or a kind's name
-NUMBER_MOST = 0xFFFFFFFE  # of a destination, as four bytes hold it
+MAX_DESTINATION = 0xFFFFFFFE  # of a destination, as four bytes hold it
 PIECE = 512  # rows of a piece of the copy
-LEFT_MOST = 1024  # hosts gone whose destinations stay known, since others of them are on their way
+MAX_REMOVED_ROWS = 1024  # hosts gone whose destinations stay known, since others of them are on their way
 SPARE_LEAST = 64 * 1024  # bytes of rows replaced or gone before the buffer is written anew
 READY, DRAINING, GONE = "a", "d", "g"  # a row's status, one letter, so that a change of it goes in its place
 LINE = re.compile(
@@ -50,7 +50,7 @@
             f"{self.name}\t{self.address}\t{self.zone}\t{self.kind}\t{self.destination}\t{self.status}\t"
             f"{self.rate!r}\n"
         )
-        if not LINE.fullmatch(line) or self.destination > NUMBER_MOST:
+        if not LINE.fullmatch(line) or self.destination > MAX_DESTINATION:
             raise BadRow(f"beyond what a row holds: {line[:80]!r}")
         return line.encode()
 
@@ -111,7 +111,7 @@
         return None
 
     def _numbers(self, destination: int) -> Iterator[int]:
-        if 0 <= destination <= NUMBER_MOST:
+        if 0 <= destination <= MAX_DESTINATION:
             for row in self._by_destination.rows(self._key(destination)):
                 if self._destination[row] == destination:
                     yield row
@@ -129,7 +129,7 @@
             if row not in self._left and not self._stale(row)
         )
 
-    def knows(self, destination: int) -> bool:
+    def has_destination(self, destination: int) -> bool:
         """Whether the destination has a host, or had one of those gone last."""
         return any(True for _ in self._numbers(destination))
 
@@ -162,7 +162,7 @@
         self._count += (status != GONE) - was_listed
         if status == GONE:
             self._left[number] = None
-            if len(self._left) > LEFT_MOST:
+            if len(self._left) > MAX_REMOVED_ROWS:
                 self._drop(next(iter(self._left)))
 
     def _add(self, key: int, destination: int, line: bytes) -> int:
@@ -215,13 +215,13 @@
 
     # A whole list, row by row.
 
-    def begin(self) -> None:
+    def begin_list(self) -> None:
         """A whole list is about to be put; until it has ended, what was held stays on the list."""
         while self.sweep(1 << 16):
             pass
         self._seen, self.reading = bytearray(len(self._at)), True
 
-    def end(self) -> None:
+    def end_list(self) -> None:
         """The whole list has been put: what it left out is off the list from here on, and is swept later."""
         if self.reading:
             self.reading, self._swept = False, 0
@@ -276,8 +276,8 @@
             if not whole:
                 raise BadRow(f"a row of a copy that can't be: {piece[:40]!r}")
             at += whole
-        if destinations and max(destinations) > NUMBER_MOST:
-            raise BadRow(f"a destination beyond {NUMBER_MOST}")
+        if destinations and max(destinations) > MAX_DESTINATION:
+            raise BadRow(f"a destination beyond {MAX_DESTINATION}")
         self._by_name.fill(names)
         self._by_destination.fill(array("I", map(self._key, destinations)))
         self._text, self._seen = text, bytearray(b"\1") * len(self._at)
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -22,7 +22,7 @@
 from limelatch.relay.door import Door, HostsOut
 from limelatch.relay.folder_watch import FolderWatch
 from limelatch.relay.handover import NOTICED_AFTER, Handover
-from limelatch.relay.hosts import Call, Outcome, OutgoingText, HostPool
+from limelatch.relay.hosts import Call, HostPool, Outcome, OutgoingText
 from limelatch.relay.ledger import Ledger
 from limelatch.relay.list_copy import ListCopy
 from limelatch.relay.operations import Operations
@@ -30,7 +30,7 @@
 from limelatch.relay.records import Entry
 from limelatch.relay.slots import Slots
 from limelatch.relay.text_log import TextLog
-from limelatch.relay.transport import ACCEPT_SHORTAGES
+from limelatch.relay.transport import ACCEPT_RESOURCE_ERRORS
 from limelatch.relay.wall_watch import WallWatch
 
 log, policy_log = logger("driver"), logger("policy")
@@ -131,11 +131,11 @@
     def start(self) -> None:
         """Take up what the ledger holds, then wait for the first list before serving."""
         try:
-            self.catalog.known(self.plan.known)
+            self.catalog.load_known_list(self.plan.known)
         except BadList as error:
             say(log, "known-list-not-read", why=error)
         self.plan = replace(self.plan, known={})  # the directory has it
-        self.catalog.recall()
+        self.catalog.load_copy()
         now = self.clock.now()
         if self.ledger.cut:
             say(log, "ledger-cut", bytes=self.ledger.cut)
@@ -174,7 +174,7 @@
         half of what a host back from an outage bears."""
         self.policy.processes = 2 if two else 1
         shares = Shares.of_two(self.plan.sockets) if two else self.plan.shares
-        self.listener.bound(shares.clients, shares.clients_most)
+        self.listener.set_limits(shares.clients, shares.clients_most)
         self.pool.set_limit(shares.hosts)
 
     def _is_ordered(self, product: str) -> bool:
@@ -228,7 +228,7 @@
                 "serving",
                 listen=listen,
                 hosts=len(self.catalog.directory),
-                fresh_list=self.catalog.fresh,
+                fresh_list=self.catalog.is_fresh,
             )
             self.soon()
 
@@ -236,7 +236,7 @@
         """Guards against a process before that has given back the folder and, ending, not yet the port."""
         now, listen = self.clock.now(), self.plan.listen
         if self._port_until is None:
-            short = error.socketError.errno in ACCEPT_SHORTAGES
+            short = error.socketError.errno in ACCEPT_RESOURCE_ERRORS
             self._port_until = now + (SHORTAGE_WAIT if short else PORT_WAIT)
             say(log, "port-taken", listen=listen, why=error.socketError)
         if now < self._port_until:
@@ -261,7 +261,7 @@
             names=replace(self.plan.names, products=plan.names.products),
         )
         self.policy.terms = terms  # what it holds keeps the rows it came with
-        self.catalog.move(plan.discovery)
+        self.catalog.change_address(plan.discovery)
         self.notifier.move(plan.discovery)
         start_logs(plan.log)
         say(
@@ -294,7 +294,9 @@
     def _exit_if_idle(self) -> None:
         """End early, once clients have stopped coming, when nothing is owed and no call is out."""
         if self.clock.now() >= self._stop_least_at and not self.owed and not self.pool.calls_in_flight:
-            if self.listener.comes():  # it gets its answer first: at the latest when the stop's time is over
+            if (
+                self.listener.has_pending_requests()
+            ):  # it gets its answer first: at the latest when the stop's time is over
                 self.deadlines.after(LAST_LOOK, self._exit_if_idle)
             else:
                 self._exit()
@@ -307,7 +309,7 @@
         if not self._ended:
             self._ended = True
             self.folder.last_try()
-            self.listener.last_words()
+            self.listener.stop_reading()
             if self.peers is not None:
                 self.peers.stop()
             say(log, "stopped", owed=len(self.owed), calls=self.pool.calls_in_flight)
@@ -352,10 +354,10 @@
             return Refusal("product", f"-ERR unknown class {product[:40]!r}")
         if names.customers and customer and customer not in names.customers:
             return Refusal("customer", f"-ERR unknown tenant {customer[:40]!r}")
-        if self.catalog.fresh and not self._has_hosts(submission.destination):
+        if self.catalog.is_fresh and not self._has_hosts(submission.destination):
             # else it would be held until its validity ends
             return Refusal("destination", "-ERR unknown destination")
-        if not self.catalog.holds_a_list:
+        if not self.catalog.has_list:
             self.held_down("no-list", why="no list of hosts has been read yet")
             return Refusal("no-list", "-BUSY")
         if submission.id in self.owed:
@@ -373,7 +375,7 @@
         at_work = self.policy.dests.get(destination)
         if at_work is not None and any(host.listing is not li.Listing.GONE for host in at_work.hosts):
             return True
-        return self.catalog.directory.knows(destination)
+        return self.catalog.directory.has_destination(destination)
 
     def _own(self, owed: Owed) -> Owed:
         owed.number = self.slots.take(owed)
@@ -398,7 +400,7 @@
         self._tell(self.clock.now(), entries, whole)
         if entries or whole:  # else nothing that is held has changed
             self.soon()
-        if self.catalog.fresh and not self.ready:
+        if self.catalog.is_fresh and not self.ready:
             self.deadlines.after(0, self.serve)
 
     def _meet(self, now: int, destination: int) -> None:
@@ -412,7 +414,7 @@
                 self._leave(entry.host)
             else:
                 self.hosts[entry.host] = entry
-                self.pool.set_address(entry.host, self.catalog.reached(entry.host))
+                self.pool.set_address(entry.host, self.catalog.host_address(entry.host))
         self.policy.hosts_listed(now, [self.out.seen(entry) for entry in entries], whole, news)
         self._tell_of_sibling()
 
@@ -447,7 +449,7 @@
 
     def list_failed(self) -> None:
         """A watch that the module had asked for ended: it says when to ask again."""
-        self.policy.list_failed(self.clock.now(), self.catalog.heard_at)
+        self.policy.list_failed(self.clock.now(), self.catalog.last_activity_at)
         self.soon()
 
     def may_go(self, now: int, text: bytes, host: li.HostId) -> bool:
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -23,7 +23,7 @@
     RESULT_OF_STATUS,
     Ending,
 )
-from limelatch.relay.http import Answer, HttpCaller, request_head
+from limelatch.relay.http import HttpClientProtocol, Response, request_head
 from limelatch.relay.line_receiver import waits
 from limelatch.relay.slots import Slots
 
@@ -66,12 +66,12 @@
     idle_time: int = 0  # how long its connection had stood idle; 0 for a new one
     deadline: Deadline | None = None
     connection: Connection | None = None
-    answer_started_at: int = 0  # when the first line of its answer was read
+    response_started_at: int = 0  # when the first line of its answer was read
 
     def is_late(self, now: int) -> bool:
         """Whether what proves a delivery was read when the relay should have stopped waiting: the first line,
         in a batch the whole answer."""
-        return (now if self.batched else self.answer_started_at) >= self.deadline.when
+        return (now if self.batched else self.response_started_at) >= self.deadline.when
 
 
 def read_retry_after(headers: dict[bytes, bytes]) -> int:
@@ -87,25 +87,25 @@
     return found if all(pairs) and all(value <= REPORT_MOST for value in found.values()) else {}
 
 
-def read_outcomes(call: Call, answer: Answer, body: bytes) -> list[Outcome]:
+def read_outcomes(call: Call, response: Response, body: bytes) -> list[Outcome]:
     """What an answer says of each text of its call; raises ValueError where it can't be read."""
-    wait, report = read_retry_after(answer.headers), read_report(answer.headers)
-    if call.batched and answer.status == 200:
+    wait, report = read_retry_after(response.headers), read_report(response.headers)
+    if call.batched and response.status == 200:
         states = {row["id"].encode(): row["state"] for row in json.loads(body)}
         return [
             Outcome(RESULT_OF_STATE[states[each.text]], states[each.text] in OVER_STATE, wait, report)
             for each in call.texts
         ]
-    result = RESULT_OF_STATUS.get(answer.status, Result.ERROR)
-    if call.batched and answer.status in (410, 504):  # these speak of one text
+    result = RESULT_OF_STATUS.get(response.status, Result.ERROR)
+    if call.batched and response.status in (410, 504):  # these speak of one text
         result = Result.ERROR
-    if answer.status == 503 and answer.headers.get(b"x-no-slot") == b"1":
+    if response.status == 503 and response.headers.get(b"x-no-slot") == b"1":
         result = Result.MOOT
-    elif answer.status == 503 and not (call.idle_time or answer.keeps or report or wait):
+    elif response.status == 503 and not (call.idle_time or response.keep_alive or report or wait):
         result = Result.CONNECT  # a new connection, turned away and closed: the host holds no more of them
-    if call.batched and answer.status == 400:
+    if call.batched and response.status == 400:
         result = Result.MOOT  # a batch that was not read
-    finished = answer.status in OVER_STATUS and result is not Result.ERROR
+    finished = response.status in OVER_STATUS and result is not Result.ERROR
     return [Outcome(result, finished, wait, report) for _ in call.texts]
 
 
@@ -140,7 +140,7 @@
     return [request_head("POST", "/v1/messages:batch", host, len(body), headers), body]
 
 
-class Connection(HttpCaller):
+class Connection(HttpClientProtocol):
     """One connection to a host."""
 
     def __init__(self, pool: HostPool, host: HostId, call: Call) -> None:
@@ -153,7 +153,7 @@
         """Whether nothing is left of its last call, either way, and its peer has sent nothing since.
 
         Guards against a second answer, or noise, that would pass for the answer to the next call."""
-        if self.ending is not None or not self.connected or self.inbound or not self.outflow.empty:
+        if self.end_reason is not None or not self.connected or self.inbound or not self.outflow.empty:
             return False
         return not waits(self.transport)
 
@@ -163,24 +163,24 @@
         self.deadline.cancel()
         self.pool.send_on(self)
 
-    def begun(self) -> None:
+    def response_started(self) -> None:
         if self.call is not None:
-            self.call.answer_started_at = self.pool.clock.now()
+            self.call.response_started_at = self.pool.clock.now()
 
-    def answered(self, answer: Answer, body: bytes) -> None:
-        self.pool.answered(self, answer, body)
+    def response_received(self, response: Response, body: bytes) -> None:
+        self.pool.response_received(self, response, body)
 
-    def ended(self, ending: Ending) -> None:
-        if ending is Ending.BROKEN and not self.outflow.empty:
-            ending = self.ending = Ending.CUT_SHORT
-        self.pool.lost(self, ending)
+    def connection_ended(self, end_reason: Ending) -> None:
+        if end_reason is Ending.BROKEN and not self.outflow.empty:
+            end_reason = self.end_reason = Ending.CUT_SHORT
+        self.pool.lost(self, end_reason)
 
-    def give_up(self, ending: Ending) -> None:
+    def give_up(self, end_reason: Ending) -> None:
         """Close it, whether it is up or still coming up."""
         if self.up:
-            self.close(ending)
-        elif self.ending is None:
-            self.ending = ending
+            self.close(end_reason)
+        elif self.end_reason is None:
+            self.end_reason = end_reason
             if self.connector is not None:
                 self.connector.stopConnecting()
 
@@ -198,8 +198,8 @@
 
     def clientConnectionFailed(self, connector, reason) -> None:
         connection = self.connection
-        connection.ending = connection.ending or Ending.REFUSED
-        connection.pool.lost(connection, connection.ending)
+        connection.end_reason = connection.end_reason or Ending.REFUSED
+        connection.pool.lost(connection, connection.end_reason)
 
 
 class HostPool:
@@ -246,8 +246,8 @@
         connection.number = self.connections.take(connection)
         address = self.addresses.get(call.host)
         if connection.number is None or address is None:
-            ending = Ending.CROWDED if connection.number is None else Ending.REFUSED
-            self.deadlines.after(0, lambda: self.lost(connection, ending))
+            end_reason = Ending.CROWDED if connection.number is None else Ending.REFUSED
+            self.deadlines.after(0, lambda: self.lost(connection, end_reason))
             return
         connection.deadline = self.deadlines.after(
             self.connect_wait, lambda: connection.give_up(Ending.UNREACHED)
@@ -291,16 +291,16 @@
                 self._rest(connection, held[0].idle_limit)
                 return
         call.batched = len(call.texts) > 1
-        connection.ask(*write_call(call, str(self.addresses.get(call.host, "")), now))
+        connection.send_request(*write_call(call, str(self.addresses.get(call.host, "")), now))
 
-    def answered(self, connection: Connection, answer: Answer, body: bytes) -> None:
+    def response_received(self, connection: Connection, response: Response, body: bytes) -> None:
         call = connection.call
         if call is None:
             connection.give_up(Ending.GARBLED)
             return
         keep = min((each.idle_limit for each in call.texts), default=0)
         try:
-            outcomes = read_outcomes(call, answer, body)
+            outcomes = read_outcomes(call, response, body)
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             self.held_down("answer-not-read", host=call.host, why=repr(error))
             connection.give_up(Ending.GARBLED)
@@ -308,18 +308,18 @@
         late = call.is_late(self.clock.now())
         self._finish(call)
         if not call.texts:
-            result = RESULT_OF_STATUS.get(answer.status, Result.ERROR)
-            self.driver.probed(call, result, read_report(answer.headers))
+            result = RESULT_OF_STATUS.get(response.status, Result.ERROR)
+            self.driver.probed(call, result, read_report(response.headers))
         for each, outcome in zip(call.texts, outcomes, strict=True):
             self.driver.ended(call, each, too_late(outcome) if late and outcome.finished else outcome)
-        self._rest(connection, keep if answer.keeps else 0)
+        self._rest(connection, keep if response.keep_alive else 0)
 
     def _rest(self, connection: Connection, keep: int) -> None:
         """The connection stands idle for as long as the module said.
 
         Guards against one in use while its host moved: it would go on to the address that it has left."""
         connection.call = None
-        if connection.ending is not None:
+        if connection.end_reason is not None:
             return
         moved = connection.address is None or self.addresses.get(connection.host) != connection.address
         if keep <= 0 or moved or not connection.clean():
@@ -347,13 +347,13 @@
 
         Guards against a text of a batch that ends alone while its submit stays out: what the others are
         answered after that end does not count as delivered, and a copy of it may go out beside it."""
-        call.connection.give_up(Ending.SILENT if call.connection.asking else Ending.UNREACHED)
+        call.connection.give_up(Ending.SILENT if call.connection.awaiting_response else Ending.UNREACHED)
 
     def _finish(self, call: Call) -> None:
         self.calls_in_flight -= 1
         call.deadline.cancel()
 
-    def lost(self, connection: Connection, ending: Ending) -> None:
+    def lost(self, connection: Connection, end_reason: Ending) -> None:
         """A connection is over; a call that was out on it has its outcome now."""
         if connection.deadline is not None:
             connection.deadline.cancel()
@@ -364,19 +364,19 @@
         if connection in waiting:
             waiting.remove(connection)
         call, connection.call = connection.call, None
-        if ending in (Ending.GARBLED, Ending.CROWDED):
-            self.held_down("host-connection-bad", host=connection.host, why=ending.value)
+        if end_reason in (Ending.GARBLED, Ending.CROWDED):
+            self.held_down("host-connection-bad", host=connection.host, why=end_reason.value)
         else:
-            say(log, "host-connection-ended", host=connection.host, why=ending.value)
+            say(log, "host-connection-ended", host=connection.host, why=end_reason.value)
         if call is None:
             return
         self._finish(call)
-        result, finished, answer = RESULT_OF_ENDING[ending], False, connection.answer
+        result, finished, response = RESULT_OF_ENDING[end_reason], False, connection.response
         if (
-            answer is not None
-            and answer.status == 200
+            response is not None
+            and response.status == 200
             and not call.batched
-            and not call.is_late(call.answer_started_at)
+            and not call.is_late(call.response_started_at)
         ):
             result, finished = Result.SPOILT, True  # its first line is true; the call may run on
         if not call.texts:
--- a/limelatch/relay/http.py
+++ b/limelatch/relay/http.py
@@ -16,12 +16,12 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """Status and headers, their names in lower case."""
 
     status: int
     headers: dict[bytes, bytes] = field(default_factory=dict)
-    keeps: bool = True
+    keep_alive: bool = True
 
 
 def request_head(
@@ -34,7 +34,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-class HttpCaller(RingLines):
+class HttpClientProtocol(RingLines):
     """Reads answers; a subclass takes what comes: `answered`, `body_part`, `ended`.
 
     `parts`: a body of any length comes to `body_part`, at most so many bytes at once; else it is kept, up to
@@ -44,37 +44,37 @@
         super().__init__(body_most, outbound)
         self.body_most, self._parts = body_most, parts
         self._left = 0  # bytes of the body, or of its chunk, that are still to come
-        self.asking = False  # a request is out
-        self.answer: Answer | None = None
+        self.awaiting_response = False  # a request is out
+        self.response: Response | None = None
         self._body: list[bytes] = []
         self._held = self._head = 0  # bytes of this answer's body that are kept, and of its heads so far
         self._step = self._status
 
-    def ask(self, *pieces: bytes) -> None:
+    def send_request(self, *pieces: bytes) -> None:
         """Send a whole request."""
-        self.asking, self.answer, self._body, self._step = True, None, [], self._status
+        self.awaiting_response, self.response, self._body, self._step = True, None, [], self._status
         self._held = self._head = 0
         self.send(*pieces)
 
-    def begun(self) -> None:
+    def response_started(self) -> None:
         """The first line of an answer has come; that of an interim one too."""
 
-    def answered(self, answer: Answer, body: bytes) -> None:
+    def response_received(self, response: Response, body: bytes) -> None:
         """A whole answer has come."""
         raise NotImplementedError
 
-    def body_part(self, part: bytes) -> bool:
+    def body_received(self, part: bytes) -> bool:
         """Part of a body that comes in parts or in chunks; True if it was used up."""
         return False
 
-    def ended(self, ending: Ending) -> None:
+    def connection_ended(self, end_reason: Ending) -> None:
         """The connection is over."""
         raise NotImplementedError
 
     def lineReceived(self, line: bytes) -> None:
         if self._step not in (self._chunk_size, self._chunk_end):
             self._head += len(line) + 2
-        if not self.asking or self._head > HEAD_MOST:
+        if not self.awaiting_response or self._head > HEAD_MOST:
             self.close(Ending.GARBLED)  # an answer that nobody asked for, or a head that does not end
         else:
             self._step(line)
@@ -84,9 +84,9 @@
         if match is None:
             self.close(Ending.GARBLED)
             return
-        self.answer = Answer(int(match[2]), keeps=match[1] == b"1")
+        self.response = Response(int(match[2]), keep_alive=match[1] == b"1")
         self._step = self._header
-        self.begun()
+        self.response_started()
 
     def _header(self, line: bytes) -> None:
         if not line:
@@ -94,18 +94,20 @@
             return
         match = HEADER.match(line)
         name, value = (match[1].lower(), match[2].strip()) if match else (b"", b"")
-        if not match or name in FRAMING and self.answer.headers.get(name, value) != value:
+        if not match or name in FRAMING and self.response.headers.get(name, value) != value:
             self.close(Ending.GARBLED)  # no header, or two lengths: nobody knows where the answer ends
             return
-        self.answer.headers[name] = value
+        self.response.headers[name] = value
 
     def _headers_end(self) -> None:
-        headers, status = self.answer.headers, self.answer.status
+        headers, status = self.response.headers, self.response.status
         if status < 200:  # an interim answer
-            self._step, self.answer = self._status, None
+            self._step, self.response = self._status, None
             return
         options = [word.strip() for word in headers.get(b"connection", b"").lower().split(b",")]
-        self.answer.keeps = b"close" not in options and (self.answer.keeps or b"keep-alive" in options)
+        self.response.keep_alive = b"close" not in options and (
+            self.response.keep_alive or b"keep-alive" in options
+        )
         if status in (204, 304):
             self._whole()
         elif (coding := headers.get(b"transfer-encoding")) is not None:
@@ -113,7 +115,7 @@
                 self.close(Ending.GARBLED)
             self._step = self._chunk_size
         elif (length := headers.get(b"content-length")) is None:
-            self.answer.keeps = False  # the body lasts until the connection ends, and nobody needs it
+            self.response.keep_alive = False  # the body lasts until the connection ends, and nobody needs it
             self._whole()
         elif not LENGTH.match(length) or self._too_long(int(length)):
             self.close(Ending.GARBLED)
@@ -153,12 +155,12 @@
     def rawDataReceived(self, data: bytes) -> None:
         self.setLineMode()
         by_length = self._step is None
-        if by_length and self._parts is None or not self.body_part(data):
+        if by_length and self._parts is None or not self.body_received(data):
             self._body.append(data)
             self._held += len(data)
             if self._held > self.body_most:
                 self.close(Ending.GARBLED)
-        if self.ending is not None:
+        if self.end_reason is not None:
             return
         if self._left:
             self._expect_part(self._left)
@@ -166,11 +168,11 @@
             self._whole()
 
     def _whole(self) -> None:
-        answer, body, self.asking = self.answer, b"".join(self._body), False
+        response, body, self.awaiting_response = self.response, b"".join(self._body), False
         self._body, self._step = [], self._status
-        self.answered(answer, body)
+        self.response_received(response, body)
 
     def connectionLost(self, reason) -> None:
-        if self.ending is None:
-            self.ending = Ending.BROKEN if self.asking else Ending.CLOSED_BY_PEER
-        self.ended(self.ending)
+        if self.end_reason is None:
+            self.end_reason = Ending.BROKEN if self.awaiting_response else Ending.CLOSED_BY_PEER
+        self.connection_ended(self.end_reason)
--- a/limelatch/relay/line_receiver.py
+++ b/limelatch/relay/line_receiver.py
@@ -81,7 +81,7 @@
         self.inbound, self._outbound = Ring(max(inbound, self.MAX_LENGTH) + READ_SIZE), Ring(outbound)
         self._wanted, self._pumping, self._reading = 0, False, True
         self.outflow: Outflow | None = None
-        self.ending: Ending | None = None
+        self.end_reason: Ending | None = None
 
     def connectionMade(self) -> None:
         self.transport.bufferSize = READ_SIZE
@@ -91,7 +91,7 @@
 
     def send(self, *pieces: bytes) -> None:
         """Write; nothing is written to a connection that has ended."""
-        if self.ending is None:
+        if self.end_reason is None:
             self.outflow.send(list(pieces))
 
     def expect(self, count: int) -> None:
@@ -104,7 +104,7 @@
         return False
 
     def dataReceived(self, data: bytes) -> None:
-        if self.ending is None:
+        if self.end_reason is None:
             self.inbound.write(data)
             self.pump()
 
@@ -114,12 +114,12 @@
             return
         self._pumping = True
         try:
-            while self.ending is None and not self.held_back() and (chunk := self._next_chunk()):
+            while self.end_reason is None and not self.held_back() and (chunk := self._next_chunk()):
                 super().dataReceived(chunk)
         finally:
             self._pumping = False
         reading = self.inbound.free >= READ_SIZE
-        if self.ending is None and reading != self._reading:
+        if self.end_reason is None and reading != self._reading:
             self._reading = reading
             (self.transport.resumeProducing if reading else self.transport.pauseProducing)()
 
@@ -134,11 +134,11 @@
     def lineLengthExceeded(self, line: bytes) -> None:
         self.close(Ending.GARBLED)
 
-    def close(self, ending: Ending, finish_writing: bool = False) -> None:
+    def close(self, end_reason: Ending, finish_writing: bool = False) -> None:
         """End the connection from this side; `connectionLost` follows."""
-        if self.ending is not None:
+        if self.end_reason is not None:
             return
-        self.ending = ending
+        self.end_reason = end_reason
         if finish_writing:
             self.outflow.finish()
             self.transport.unregisterProducer()
--- a/limelatch/relay/list_copy.py
+++ b/limelatch/relay/list_copy.py
@@ -19,9 +19,9 @@
 
 log = logger("catalog")
 
-FILE, NEW_FILE = "list", "list.new"
-FORM = 1
-COPY_EVERY = 60 * SECOND  # between two copies at the least: the catalog tells a restart the rest
+COPY_FILE, NEW_COPY_FILE = "list", "list.new"
+COPY_FORM = 1
+COPY_INTERVAL = 60 * SECOND  # between two copies at the least: the catalog tells a restart the rest
 HEAD_MOST = 4096  # bytes of the head, or of the end
 
 
@@ -38,8 +38,8 @@
         head_end = text.index(b"\n", 0, HEAD_MOST) + 1
         end_at = text.rindex(b"\n", 0, len(text) - 1) + 1
         head, end = json.loads(text[:head_end]), json.loads(text[end_at:])
-        if head["form"] != FORM:
-            raise BadCopy(f"its form is {str(head['form'])[:20]}, this version reads {FORM}")
+        if head["form"] != COPY_FORM:
+            raise BadCopy(f"its form is {str(head['form'])[:20]}, this version reads {COPY_FORM}")
         catalog, index, rows = str(head["catalog"]), int(head["index"]), int(end["rows"])
         del text[end_at:], text[:head_end]
         if end["crc"] != crc32(text):
@@ -59,10 +59,10 @@
     """Writes the copy now and then, as far as the ledger leaves it room; what fails is tried later."""
 
     def __init__(self, folder: str, deadlines, ledger) -> None:
-        self.path, self._new = os.path.join(folder, FILE), os.path.join(folder, NEW_FILE)
+        self.path, self._new = os.path.join(folder, COPY_FILE), os.path.join(folder, NEW_COPY_FILE)
         self._deadlines, self._ledger = deadlines, ledger
         self._due, self._file, self._slices, self._again = None, None, None, None
-        self._begun_at = -COPY_EVERY
+        self._begun_at = -COPY_INTERVAL
         self._crc = self._rows = 0
 
     def read(self) -> tuple[str, int, Directory] | None:
@@ -81,12 +81,12 @@
             return None
         return found
 
-    def soon(self, source) -> None:
+    def schedule(self, source) -> None:
         """The list has changed: a copy follows, the first at once. `source` tells address, index and rows."""
         if self._slices is not None:
             self._again = source
         elif self._due is None:
-            wait = max(0, self._begun_at + COPY_EVERY - self._deadlines.clock.now())
+            wait = max(0, self._begun_at + COPY_INTERVAL - self._deadlines.clock.now())
             self._due = self._deadlines.after(wait, lambda: self._begin(source))
 
     def abort(self) -> None:
@@ -101,7 +101,7 @@
         if not self._ledger.leave_room(2 * (directory.size + HEAD_MOST)):
             say(log, "copy-not-written", why=f"{directory.size} bytes, and no room beside the ledger")
             return
-        head = {"form": FORM, "catalog": str(source.address), "index": source.index}
+        head = {"form": COPY_FORM, "catalog": str(source.address), "index": source.index}
         try:
             self._file = os.open(self._new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         except OSError as error:
@@ -128,7 +128,7 @@
                 os.replace(self._new, self.path)
                 self._end_writing(done=True)
                 if self._again is not None:
-                    self.soon(self._again)
+                    self.schedule(self._again)
                 return
             while piece:
                 piece = piece[os.write(self._file, piece) :]
--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -10,14 +10,14 @@
 from limelatch.configuration import Address
 from limelatch.logs import logger, say
 from limelatch.relay.ending import Ending
-from limelatch.relay.http import Answer, HttpCaller, request_head
+from limelatch.relay.http import HttpClientProtocol, Response, request_head
 
 log = logger("platform")
 
 BODY_MOST, NOTICES_MOST = 4 * 1024, 200
 
 
-class Reporting(HttpCaller):
+class Reporting(HttpClientProtocol):
     """The connection to the platform."""
 
     def __init__(self, notifier: Notifier) -> None:
@@ -28,12 +28,14 @@
         super().connectionMade()
         self.notifier.send()
 
-    def answered(self, answer: Answer, body: bytes) -> None:
-        if not answer.keeps or self.inbound:  # what came behind would pass for the next request's answer
+    def response_received(self, response: Response, body: bytes) -> None:
+        if (
+            not response.keep_alive or self.inbound
+        ):  # what came behind would pass for the next request's answer
             self.close(Ending.CLOSED_BY_PEER)
-        self.notifier.answered(answer.status)
+        self.notifier.answered(response.status)
 
-    def ended(self, ending: Ending) -> None:
+    def connection_ended(self, ending: Ending) -> None:
         self.notifier.lost(self, ending)
 
 
@@ -75,7 +77,7 @@
                 self._connector = self.reactor.connectTCP(address.host, address.port, self, timeout=None)
                 self._deadline = self.deadlines.after(self.wait, self._too_long)
             return
-        if not self.connection.connected or self.connection.ending is not None:
+        if not self.connection.connected or self.connection.end_reason is not None:
             return
         self.out = list(self.owed)[:NOTICES_MOST]
         rows = [json.dumps({"ref": text.decode()} | self.owed[text]) + "\n" for text in self.out]
@@ -85,7 +87,7 @@
         )
         self._clear()
         self._deadline = self.deadlines.after(self.wait, self._too_long)
-        self.connection.ask(head + body)
+        self.connection.send_request(head + body)
 
     def _clear(self) -> None:
         if self._deadline is not None:
--- a/limelatch/relay/reactor.py
+++ b/limelatch/relay/reactor.py
@@ -13,7 +13,7 @@
 from twisted.internet.main import installReactor
 
 from limelatch.relay.datagrams import PatientDatagramPort
-from limelatch.relay.transport import PatientConnector, PatientPort
+from limelatch.relay.transport import RetryingConnector, RetryingPort
 
 
 class RelayReactor(EPollReactor):
@@ -21,13 +21,13 @@
 
     seconds = staticmethod(time.monotonic)
 
-    def connectTCP(self, host, port, factory, timeout=None, bindAddress=None) -> PatientConnector:
-        connector = PatientConnector(host, port, factory, timeout, bindAddress, self)
+    def connectTCP(self, host, port, factory, timeout=None, bindAddress=None) -> RetryingConnector:
+        connector = RetryingConnector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
-    def listenTCP(self, port, factory, backlog=50, interface="") -> PatientPort:
-        listening = PatientPort(port, factory, backlog, interface, self)
+    def listenTCP(self, port, factory, backlog=50, interface="") -> RetryingPort:
+        listening = RetryingPort(port, factory, backlog, interface, self)
         listening.startListening()
         return listening
 
@@ -36,8 +36,8 @@
         listening.startListening()
         return listening
 
-    def adoptStreamPort(self, fileDescriptor, addressFamily, factory) -> PatientPort:
-        listening = PatientPort._fromListeningDescriptor(self, fileDescriptor, addressFamily, factory)
+    def adoptStreamPort(self, fileDescriptor, addressFamily, factory) -> RetryingPort:
+        listening = RetryingPort._fromListeningDescriptor(self, fileDescriptor, addressFamily, factory)
         listening.startListening()
         return listening
 
--- a/limelatch/relay/transport.py
+++ b/limelatch/relay/transport.py
@@ -1,8 +1,8 @@
-"""Ports and connections that bear a kernel which lacks memory, buffers or descriptors for a while.
+"""Ports and connections that survive a temporary lack of kernel memory, buffers or descriptors.
 
-Twisted's own end a connection on ENOMEM or ENOBUFS of a read, and ask again without a pause while accept
-fails. Here the one socket rests for `REST_SECONDS` and is tried again; the errors that end a connection
-(accept(2), recv(2), send(2), tcp(7)) still do.
+Twisted closes a connection when a read fails with ENOMEM or ENOBUFS, and retries without a pause while accept
+fails. Here the affected socket alone is paused for `RETRY_DELAY_SECONDS` and then retried. Errors that end a
+connection (accept(2), recv(2), send(2), tcp(7)) still end it.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 
 log = logger("clients")
 
-REST_SECONDS = 0.01
-SHORTAGES = frozenset({errno.ENOBUFS, errno.ENOMEM})  # of the machine: the connection is as it was
-ACCEPT_SHORTAGES = SHORTAGES | {errno.EMFILE, errno.ENFILE}
+RETRY_DELAY_SECONDS = 0.01
+RESOURCE_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM})  # of the machine: the connection is as it was
+ACCEPT_RESOURCE_ERRORS = RESOURCE_ERRORS | {errno.EMFILE, errno.ENFILE}
 
 
-class SteadyTicks:
+class MonotonicClock:
     """What held down log lines count their seconds by."""
 
     now = staticmethod(monotonic_now)
 
 
-class Resting:
+class PausableDescriptor:
     """A descriptor whose reading or writing can rest, whatever else starts and stops it meanwhile."""
 
     reading_wanted = writing_wanted = False
-    reading_rests = writing_rests = False
+    reading_paused = writing_paused = False
 
     def startReading(self) -> None:
         self.reading_wanted = True
-        if not self.reading_rests:
+        if not self.reading_paused:
             super().startReading()
 
     def stopReading(self) -> None:
@@ -46,37 +46,37 @@
 
     def startWriting(self) -> None:
         self.writing_wanted = True
-        if not self.writing_rests:
+        if not self.writing_paused:
             super().startWriting()
 
     def stopWriting(self) -> None:
         self.writing_wanted = False
         super().stopWriting()
 
-    def rest_from_reading(self) -> None:
+    def pause_reading(self) -> None:
         """Read again after the rest, if that is wanted by then."""
-        self.reading_rests = True
+        self.reading_paused = True
         super().stopReading()
-        self.reactor.callLater(REST_SECONDS, self._read_again)
+        self.reactor.callLater(RETRY_DELAY_SECONDS, self._resume_reading)
 
-    def rest_from_writing(self) -> None:
+    def pause_writing(self) -> None:
         """Write again after the rest, if that is wanted by then."""
-        self.writing_rests = True
+        self.writing_paused = True
         super().stopWriting()
-        self.reactor.callLater(REST_SECONDS, self._write_again)
+        self.reactor.callLater(RETRY_DELAY_SECONDS, self._resume_writing)
 
-    def _read_again(self) -> None:
-        self.reading_rests = False
+    def _resume_reading(self) -> None:
+        self.reading_paused = False
         if self.reading_wanted:
             super().startReading()
 
-    def _write_again(self) -> None:
-        self.writing_rests = False
+    def _resume_writing(self) -> None:
+        self.writing_paused = False
         if self.writing_wanted:
             super().startWriting()
 
 
-class PatientConnection(Resting):
+class RetryingConnection(PausableDescriptor):
     """Reads and writes of a connection."""
 
     def doRead(self):
@@ -85,9 +85,9 @@
         except BlockingIOError:
             return None
         except OSError as error:
-            if error.errno not in SHORTAGES:
+            if error.errno not in RESOURCE_ERRORS:
                 return main.CONNECTION_LOST
-            self.rest_from_reading()
+            self.pause_reading()
             return None
         return self._dataReceived(data)
 
@@ -97,9 +97,9 @@
         except BlockingIOError:
             return 0
         except OSError as error:
-            if error.errno not in SHORTAGES:
+            if error.errno not in RESOURCE_ERRORS:
                 return main.CONNECTION_LOST
-            self.rest_from_writing()
+            self.pause_writing()
             return 0
 
     def setTcpNoDelay(self, enabled: bool) -> None:
@@ -108,31 +108,31 @@
             self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, enabled)
 
 
-class PatientServer(PatientConnection, tcp.Server):
+class RetryingServer(RetryingConnection, tcp.Server):
     """A connection that a port has accepted."""
 
 
-class PatientClient(PatientConnection, tcp.Client):
+class RetryingClient(RetryingConnection, tcp.Client):
     """A connection that the relay has made."""
 
 
-class PatientConnector(tcp.Connector):
-    """Makes a `PatientClient`."""
+class RetryingConnector(tcp.Connector):
+    """Makes a `RetryingClient`."""
 
-    def _makeTransport(self) -> PatientClient:
-        return PatientClient(self.host, self.port, self.bindAddress, self, self.reactor)
+    def _makeTransport(self) -> RetryingClient:
+        return RetryingClient(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
-class PatientPort(Resting, tcp.Port):
+class RetryingPort(PausableDescriptor, tcp.Port):
     """Accepts up to `numberAccepts` connections in a turn of the reactor, and rests while it can't.
 
     Connections wait in the kernel's queue meanwhile; none is closed for it."""
 
-    transport = PatientServer
+    transport = RetryingServer
 
     def __init__(self, *arguments, **more) -> None:
         super().__init__(*arguments, **more)
-        self.held_down = HeldDown(log, SteadyTicks())
+        self.held_down = HeldDown(log, MonotonicClock())
 
     def doRead(self) -> None:
         accepted, failed = 0, None
@@ -143,7 +143,7 @@
                 break
             except OSError as error:  # by accept(2) it may be one of the connection that was to come
                 failed = error
-                if error.errno in ACCEPT_SHORTAGES:
+                if error.errno in ACCEPT_RESOURCE_ERRORS:
                     break
                 continue
             accepted += 1
@@ -151,7 +151,7 @@
         if failed is not None:
             self.held_down("accept-failed", why=failed)
             if not accepted:
-                self.rest_from_reading()
+                self.pause_reading()
 
     def _serve(self, connection: socket.socket, address: tuple[str, int]) -> None:
         """Guards against a fault with one connection that takes those behind it along."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -161,8 +161,8 @@
         9 * SECOND,
         lambda entries, whole: told.extend((each.host, each.listing.value) for each in entries),
     )
-    catalog.known(page(41))
-    catalog.heard()
+    catalog.load_known_list(page(41))
+    catalog.note_activity()
     (watch := catalog.buildProtocol(None)).makeConnection(Wire())
     watch.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     watch.told, told[:] = told, []
@@ -182,7 +182,7 @@
     ).encode()
     for at in range(0, len(raw), size):
         say(watch, raw[at : at + size])
-    assert watch.told == [(b"s-42", "ready"), (b"s-43", "ready")] and watch.ending is None
+    assert watch.told == [(b"s-42", "ready"), (b"s-43", "ready")] and watch.end_reason is None
     assert watch.catalog.index == 43
 
 
@@ -192,7 +192,7 @@
     for _ in range(10):  # for five seconds
         clock.advance(0.5)
         say(watch, piece[-1:])
-    assert watch.ending is (None if piece == b"\n" else Ending.SILENT)
+    assert watch.end_reason is (None if piece == b"\n" else Ending.SILENT)
 
 
 @pytest.mark.parametrize(
@@ -200,18 +200,18 @@
 )
 def test_a_list_that_can_t_be_read_ends_the_watch(watch, raw):
     say(watch, raw)
-    assert watch.ending is Ending.GARBLED and watch.told == []
+    assert watch.end_reason is Ending.GARBLED and watch.told == []
 
 
 def test_changes_older_than_the_list_held_have_the_whole_list_asked_for(watch):
     say(watch, json.dumps(page(40, status="left")).encode() + b"\n")
-    assert watch.ending is Ending.GARBLED and watch.told == [] and watch.catalog.index is None
+    assert watch.end_reason is Ending.GARBLED and watch.told == [] and watch.catalog.index is None
 
 
 def test_a_whole_list_of_a_lower_version_is_taken(watch):
     """The agent has begun to count anew."""
     say(watch, json.dumps(page(3, True)).encode() + b"\n")
-    assert watch.told == [(b"s-1", "ready")] and watch.catalog.index == 3 and watch.ending is None
+    assert watch.told == [(b"s-1", "ready")] and watch.catalog.index == 3 and watch.end_reason is None
 
 
 # Notices.
@@ -225,7 +225,7 @@
     reporting.makeConnection(Wire())
     notifier.notice(b"b", {"result": "dead"})  # while the request of the first is out
     reporting.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n" * 2)
-    assert heard == [b"a"] and list(notifier.owed) == [b"b"] and reporting.ending is Ending.CLOSED_BY_PEER
+    assert heard == [b"a"] and list(notifier.owed) == [b"b"] and reporting.end_reason is Ending.CLOSED_BY_PEER
 
 
 # Clients.
@@ -247,7 +247,7 @@
     client.dataReceived(b"PING\r\n")
     client.transport.peer.send(arrived)
     listener.stop()
-    assert (client.ending is None) == bool(arrived) == listener.comes()
+    assert (client.end_reason is None) == bool(arrived) == listener.has_pending_requests()
 
 
 @pytest.fixture
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -13,7 +13,12 @@
 from test_parts import Wire
 
 from limelatch.relay import clients
-from limelatch.relay.clients import ACCEPTS_MOST, ROOM_LOOK, UNREAD_MOST, Listener
+from limelatch.relay.clients import (
+    FULL_TABLE_CHECK_INTERVAL,
+    MAX_ACCEPTS_PER_TURN,
+    MAX_UNREAD_CHECKS,
+    Listener,
+)
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.ending import Ending
 
@@ -77,7 +82,7 @@
     clock.advance(0.1)
     made[0].dataReceived(b"PING")  # begun
     come(listener)
-    assert [each for each in made if each.ending is Ending.CROWDED] == [made[1]]
+    assert [each for each in made if each.end_reason is Ending.CROWDED] == [made[1]]
 
 
 def test_no_connection_with_a_request_unread_makes_room_while_another_rests(listener, looks):
@@ -85,8 +90,8 @@
     for each in made[:5]:
         each.transport.peer.send(ASKED)
     come(listener, 30)
-    assert not any(each.ending for each in made[:5])
-    assert sum(each.ending is Ending.CROWDED for each in made) == 30
+    assert not any(each.end_reason for each in made[:5])
+    assert sum(each.end_reason is Ending.CROWDED for each in made) == 30
     assert len(looks) <= 30 + 5
 
 
@@ -96,13 +101,17 @@
     for each in made:
         each.transport.peer.send(ASKED)
     made += come(listener)
-    assert not listener.port.reading and not any(each.ending for each in made) and len(looks) == UNREAD_MOST
+    assert (
+        not listener.port.reading
+        and not any(each.end_reason for each in made)
+        and len(looks) == MAX_UNREAD_CHECKS
+    )
     made[-1].transport.peer.send(ASKED)
-    clock.pump([ROOM_LOOK / 10_000] * 4)
-    assert not listener.port.reading and not any(each.ending for each in made)
+    clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
+    assert not listener.port.reading and not any(each.end_reason for each in made)
     made[7].transport.socket.recv(99)  # read and answered
-    clock.pump([ROOM_LOOK / 10_000] * 4)
-    assert listener.port.reading and [each for each in made if each.ending] == [made[7]]
+    clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
+    assert listener.port.reading and [each for each in made if each.end_reason] == [made[7]]
 
 
 def test_a_client_whose_text_awaits_its_answer_gives_way_for_no_memory(listener):
@@ -112,7 +121,7 @@
     waiting, partial = come(listener, 2)
     waiting.dataReceived(ASKED + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
     partial.dataReceived(b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 6000)
-    assert handed == [waiting] and waiting.ending is None and partial.ending is Ending.CROWDED
+    assert handed == [waiting] and waiting.end_reason is None and partial.end_reason is Ending.CROWDED
     assert b"-BUSY" not in waiting.transport.value() and b"-BUSY" in partial.transport.value()
 
 
@@ -198,7 +207,7 @@
                 assert client.submit(text, d=20_000) == "+OK"
         assert sorted(host.next().headers["X-Txn"] for _ in texts) == sorted(texts)
         until(lambda: crowd.opened > 12 * TABLE, BACKED_OFF)
-        assert crowd.peak < TABLE + 3 * ACCEPTS_MOST
+        assert crowd.peak < TABLE + 3 * MAX_ACCEPTS_PER_TURN
     finally:
         crowd.end()
     assert agent.notices.empty()
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -18,10 +18,10 @@
 from limelatch.relay.catalog import Catalog, address_of
 from limelatch.relay.hash_index import Chains
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.directory import GONE, LEFT_MOST, NUMBER_MOST, READY, Directory, Row
+from limelatch.relay.directory import GONE, MAX_REMOVED_ROWS, MAX_DESTINATION, READY, Directory, Row
 from limelatch.relay.ending import Ending
 from limelatch.relay.ledger import Ledger
-from limelatch.relay.list_copy import COPY_EVERY, ListCopy, read_copy
+from limelatch.relay.list_copy import COPY_INTERVAL, ListCopy, read_copy
 
 
 def row(name="s-1", destination=1, status=READY, address="127.0.0.1:80"):
@@ -90,10 +90,10 @@
             if status != GONE:
                 plain[f"s-{host}"] = destination
         else:
-            directory.begin()
+            directory.begin_list()
             for host, destination in change:
                 directory.put(row(f"s-{host}", destination))
-            directory.end()
+            directory.end_list()
             plain = {f"s-{host}": destination for host, destination in change}
             assert listed(directory, range(5)) == plain  # before the sweep too
             while directory.sweep(3):
@@ -121,17 +121,17 @@
         directory.put(row("lasting", 2, address=f"10.0.0.1:{number}"))
         directory.put(row(f"s-{number}", 1, GONE))
     assert len(directory) == 1 and directory.size < 300_000
-    assert directory.knows(1) and not directory.rows(1)  # its next host may be on its way
-    for number in range(LEFT_MOST):
+    assert directory.has_destination(1) and not directory.rows(1)  # its next host may be on its way
+    for number in range(MAX_REMOVED_ROWS):
         directory.put(row(f"t-{number}", 3, GONE))
-    assert not directory.knows(1) and directory.knows(2)
+    assert not directory.has_destination(1) and directory.has_destination(2)
 
 
 @pytest.mark.parametrize(
     "bad",
     [
         row(destination=-1),
-        row(destination=NUMBER_MOST + 1),
+        row(destination=MAX_DESTINATION + 1),
         row(destination=1 << 70),
         row(name=""),
         row(name="x" * 256),
@@ -150,9 +150,11 @@
     directory.put(row(bad.name if bad.name == "s-1" else "s-2"))
     with pytest.raises(ValueError):
         directory.put(bad)
-    assert len(directory) == 1 and not directory.knows(NUMBER_MOST)
-    directory.put(row("edge", NUMBER_MOST))
-    assert directory.rows(NUMBER_MOST) == [row("edge", NUMBER_MOST)] and not directory.knows(NUMBER_MOST + 1)
+    assert len(directory) == 1 and not directory.has_destination(MAX_DESTINATION)
+    directory.put(row("edge", MAX_DESTINATION))
+    assert directory.rows(MAX_DESTINATION) == [
+        row("edge", MAX_DESTINATION)
+    ] and not directory.has_destination(MAX_DESTINATION + 1)
 
 
 def test_a_destination_has_none_or_a_hundred_hosts_and_a_row_may_come_twice():
@@ -161,7 +163,7 @@
         for number in range(100):
             directory.put(row(f"s-{number:02}", 7))
     assert [each.name for each in directory.rows(7)] == [f"s-{number:02}" for number in range(100)]
-    assert len(directory) == 100 and directory.rows(8) == [] and not directory.knows(8)
+    assert len(directory) == 100 and directory.rows(8) == [] and not directory.has_destination(8)
 
 
 # The catalog's list, row by row.
@@ -218,20 +220,22 @@
         catalog = make()
         watch = watch_of(catalog, b"GET /catalog/members HTTP")
         say(watch, raw[:cut] or b" ")
-        assert watch.ending is None
+        assert watch.end_reason is None
         watch.connectionLost(None)
-        assert catalog.index is None and not catalog.fresh
+        assert catalog.index is None and not catalog.is_fresh
         again = watch_of(catalog, b"GET /catalog/members HTTP")
         say(again, raw)
         assert listed(catalog.directory, range(6)) == {f"s-{number}": number for number in range(6)}
-        assert catalog.index == 4 and catalog.fresh and again.ending is None
+        assert catalog.index == 4 and catalog.is_fresh and again.end_reason is None
 
 
 def test_rows_are_told_before_a_long_list_has_ended_and_only_those_wanted(make):
     catalog = make(wanted=lambda destination: destination == 2)
     watch, raw = watch_of(catalog), page(4, ROWS, True)
     say(watch, raw[: raw.index(b'"s-4"')])
-    assert [each.host for entries, _ in catalog.found for each in entries] == [b"s-2"] and not catalog.fresh
+    assert [each.host for entries, _ in catalog.found for each in entries] == [
+        b"s-2"
+    ] and not catalog.is_fresh
     assert len(catalog.directory) == 4  # the others are held
 
 
@@ -256,9 +260,9 @@
     catalog = make()
     say(watch_of(catalog), page(4, ROWS, True))
     say(second := watch_of(catalog, b"index=4"), page(9, ROWS[:2], True))
-    assert listed(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1} and second.ending is None
+    assert listed(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1} and second.end_reason is None
     say(third := watch_of(catalog, b"index=9"), page(10, [], True))
-    assert third.ending is Ending.GARBLED and catalog.index is None
+    assert third.end_reason is Ending.GARBLED and catalog.index is None
     assert listed(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1}
     say(watch_of(make()), page(1, [], True))  # where none was held it may be so
 
@@ -288,8 +292,8 @@
 
 def test_a_row_that_can_t_be_held_is_left_out_and_logged(make, caplog):
     catalog = make()
-    say(watch := watch_of(catalog), page(4, [told("s-1", NUMBER_MOST + 1), told("s-2", 2)], True))
-    assert listed(catalog.directory, range(3)) == {"s-2": 2} and watch.ending is None
+    say(watch := watch_of(catalog), page(4, [told("s-1", MAX_DESTINATION + 1), told("s-2", 2)], True))
+    assert listed(catalog.directory, range(3)) == {"s-2": 2} and watch.end_reason is None
     assert "row-not-read" in caplog.text
 
 
@@ -318,7 +322,7 @@
     catalog = make()
     say(watch := watch_of(catalog), page(4, ROWS[:1], True))
     say(watch, raw)
-    assert watch.ending is (None if raw == b'{"index"' else Ending.GARBLED)
+    assert watch.end_reason is (None if raw == b'{"index"' else Ending.GARBLED)
     assert catalog.directory.rows(0)[0].name == "s-0"
 
 
@@ -326,16 +330,16 @@
     catalog = make()
     raw = page(4, ROWS, True)
     say(watch := watch_of(catalog), raw[: raw.index(b"[") + 1])
-    catalog.heard()
+    catalog.note_activity()
     for number in range(6):  # four seconds each
         clock.advance(4)
         start = raw.index(b'{"name": "s-%d"' % number)
         say(watch, raw[start : raw.index(b"}", raw.index(b'"since_ms"', start)) + 1] + b",")
-        assert watch.ending is None
+        assert watch.end_reason is None
     clock.advance(4)
     say(watch, b'{"name":')
     clock.advance(1)
-    assert watch.ending is Ending.SILENT
+    assert watch.end_reason is Ending.SILENT
 
 
 # The folder's copy.
@@ -348,7 +352,7 @@
 
 def write(catalog, clock):
     """A minute passes, and the turns that the copy takes."""
-    clock.advance(COPY_EVERY / S)
+    clock.advance(COPY_INTERVAL / S)
     for _ in range(40):
         clock.advance(0)
 
@@ -360,9 +364,9 @@
     write(catalog, clock)
     assert sorted(os.listdir(os.path.dirname(copy.path))) == ["ledger", "list"]
     after = make(copy, address_of(row(address="127.0.0.1:9")))
-    after.recall()
+    after.load_copy()
     assert listed(after.directory, range(6)) == {f"s-{number}": number for number in range(1, 6)}
-    assert after.entries(1)[0].listing is Listing.DRAINING and after.holds_a_list and not after.fresh
+    assert after.entries(1)[0].listing is Listing.DRAINING and after.has_list and not after.is_fresh
     watch_of(after, b"GET /catalog/members?stream=1&index=5 ")
 
 
@@ -371,7 +375,7 @@
     say(watch_of(catalog), page(4, ROWS, True))
     write(catalog, clock)
     after = make(copy, address_of(row(address="127.0.0.1:8")))
-    after.recall()
+    after.load_copy()
     assert len(after.directory) == 6 and after.index is None
     watch_of(after, b"GET /catalog/members HTTP")
 
@@ -382,8 +386,8 @@
     say(watch_of(catalog), page(4, ROWS, True))
     write(catalog, clock)
     after = make(copy, "a:1")
-    after.known({"index": index, "snapshot": True, "endpoints": [told()]})
-    after.recall()
+    after.load_known_list({"index": index, "snapshot": True, "endpoints": [told()]})
+    after.load_copy()
     assert len(after.directory) == held and after.index == max(index, 4)
 
 
@@ -400,7 +404,7 @@
         with open(copy.path, "wb") as file:
             file.write(each)
         after = make(copy, "a:1")
-        after.recall()
+        after.load_copy()
         assert (after.index, len(after.directory)) == (None, 0)
     assert "copy-not-read" in caplog.text
     with open(copy.path, "wb") as file:
@@ -464,7 +468,7 @@
     write(catalog, clock)
     full = SimpleNamespace(beside=beside, leave_room=lambda size, at_once=False: False)
     after = make(ListCopy(os.path.dirname(copy.path), Deadlines(clock, clock), full), "a:1")
-    after.recall()
+    after.load_copy()
     assert len(after.directory) == 6
     assert os.path.exists(copy.path) == beside  # in an upgrade it is the other's
 
@@ -503,7 +507,7 @@
         if comes == "list":
             say(watch, page(2, ROWS[:1], True))
         else:
-            catalog.move("a:2")
+            catalog.change_address("a:2")
         while turns.calls:
             turns.calls.pop()()
         assert (read_copy(copy.path)[1] if comes == "list" else os.listdir(tmp_path)) in (2, ["list"])
@@ -515,7 +519,7 @@
     clock.advance(0)
     assert read_copy(copy.path)[1] == 4
     say(watch, page(5, [told("s-9", 9)]))
-    clock.advance(COPY_EVERY / S - 1)
+    clock.advance(COPY_INTERVAL / S - 1)
     assert read_copy(copy.path)[1] == 4
     clock.advance(1)
     assert read_copy(copy.path)[1] == 5
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -9,7 +9,7 @@
 from conftest import WAIT
 from faults.flow import Flow, drain
 
-from limelatch.relay.clients import ACCEPTS_MOST
+from limelatch.relay.clients import MAX_ACCEPTS_PER_TURN
 
 SPAN = 0.25  # seconds that a call fails for, with each errno in turn
 LONG = 5.0
@@ -97,7 +97,7 @@
     while time.monotonic() < began + LONG:
         flow.hand_in()
         time.sleep(0.1)
-    assert rule.hits < 100 * LONG * 1.5 * (1 if error == errno.ENFILE else ACCEPTS_MOST)
+    assert rule.hits < 100 * LONG * 1.5 * (1 if error == errno.ENFILE else MAX_ACCEPTS_PER_TURN)
     assert processor_seconds(flow.program) - before < 0.3 * LONG
     late.socket.settimeout(WAIT)
     assert late.ask("PING") == "+PONG"
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -23,14 +23,14 @@
 from limelatch.relay.hosts import (
     Call,
     Connection,
+    HostPool,
     Outcome,
     OutgoingText,
-    HostPool,
     read_outcomes,
     read_retry_after,
     write_call,
 )
-from limelatch.relay.http import Answer, HttpCaller
+from limelatch.relay.http import HttpClientProtocol, Response
 from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
 from limelatch.relay.records import LATER, Kind, record
 from limelatch.relay.ring_buffer import Ring, RingFull
@@ -40,19 +40,19 @@
 NAMES = plan_of(read_platform(GOOD)[0]).names
 
 
-class Caller(HttpCaller):
+class Caller(HttpClientProtocol):
     """Keeps what a peer's bytes became."""
 
     def __init__(self):
         super().__init__(1024, 256)
         self.got = []
         self.makeConnection(Wire())
-        self.ask(b"GET / HTTP/1.1\r\n\r\n")
+        self.send_request(b"GET / HTTP/1.1\r\n\r\n")
 
-    def answered(self, answer, body):
-        self.got.append((answer.status, body, answer.keeps))
+    def response_received(self, response, body):
+        self.got.append((response.status, body, response.keep_alive))
 
-    def ended(self, ending):
+    def connection_ended(self, ending):
         self.got.append(ending)
 
 
@@ -321,7 +321,7 @@
     caller = Caller()
     for at in range(0, len(raw), 1000):
         caller.dataReceived(raw[at : at + 1000])
-    assert caller.ending is Ending.GARBLED and caller.transport.disconnecting
+    assert caller.end_reason is Ending.GARBLED and caller.transport.disconnecting
 
 
 def test_a_choked_transport_holds_back_ring_and_source():
@@ -338,7 +338,7 @@
     call = Call(b"s-1", [OutgoingText(text, b"", b"", 0, 0) for text in texts], 0)
     call.batched = len(texts) > 1
     told = {name.replace("_", "-").encode(): value for name, value in headers.items()}
-    return read_outcomes(call, Answer(status, told), body)
+    return read_outcomes(call, Response(status, told), body)
 
 
 @pytest.mark.parametrize(
@@ -377,7 +377,7 @@
 def test_a_new_connection_that_is_turned_away_and_closed_met_a_full_table(idle, keeps, headers, result):
     """Full tables once passed for used-up limits: paces were cut where much of a limit was left."""
     call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, idle_time=idle)
-    assert read_outcomes(call, Answer(503, headers, keeps), b"")[0].result is result
+    assert read_outcomes(call, Response(503, headers, keeps), b"")[0].result is result
 
 
 def test_a_batch_answer_says_how_each_text_fared():
@@ -395,7 +395,7 @@
 def test_a_batch_of_which_one_text_is_left_is_still_answered_as_a_batch():
     call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other's validity ended
     body = b'[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]'
-    assert read_outcomes(call, Answer(200), body) == [Outcome(Result.FULL)]
+    assert read_outcomes(call, Response(200), body) == [Outcome(Result.FULL)]
 
 
 class Ears:
@@ -435,7 +435,7 @@
     assert driver.ends == [(b"a", Result.MOOT)] and connection.transport.value() == b""
     assert pool.idle[b"s-1"] == [connection] and pool.calls_in_flight == 0
     deadlines[1].advance(1)
-    assert connection.ending is Ending.IDLE
+    assert connection.end_reason is Ending.IDLE
 
 
 def test_a_batch_is_given_up_whole_when_the_time_of_one_text_is_over(deadlines):
@@ -448,7 +448,9 @@
     )
     assert connection.transport.value().startswith(b"POST /v1/messages:batch HTTP/1.1\r\n")
     deadlines[1].advance(1)
-    assert connection.ending is Ending.SILENT and driver.ends == []  # no text ends while its submit is out
+    assert (
+        connection.end_reason is Ending.SILENT and driver.ends == []
+    )  # no text ends while its submit is out
     connection.connectionLost(None)
     assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_in_flight == 0
 
@@ -471,7 +473,7 @@
         OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     deadlines[1].advance(1)
-    assert connection.ending is Ending.SILENT and driver.ends == []
+    assert connection.end_reason is Ending.SILENT and driver.ends == []
 
 
 @pytest.mark.parametrize(
@@ -500,7 +502,7 @@
     pool, connection = call_out(deadlines, Ears(), OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
     pool.set_address(b"s-1", address)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.ending is None) == kept
+    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.end_reason is None) == kept
 
 
 @pytest.mark.parametrize("valid_for", [7_200_000, 0.5, 24_000, 999_999.125])
@@ -549,11 +551,16 @@
     deadlines, _ = deadlines
     rows, told = [ROW, ROW | {"name": "s-2", "type": "unheard of"}], []
     catalog = Catalog(None, deadlines, None, NAMES, 9, 9, lambda *news: told.append(news))
-    catalog.known({"index": 4, "snapshot": True, "endpoints": rows})
+    catalog.load_known_list({"index": 4, "snapshot": True, "endpoints": rows})
     ((entries, whole),) = told
-    assert (catalog.index, whole, len(entries), str(catalog.reached(b"s-1"))) == (4, True, 1, "127.0.0.1:80")
+    assert (catalog.index, whole, len(entries), str(catalog.host_address(b"s-1"))) == (
+        4,
+        True,
+        1,
+        "127.0.0.1:80",
+    )
     assert (entries[0].zone, entries[0].kind, entries[0].listing) == (1, 2, Listing.DRAINING)
-    assert catalog.entries(3) == entries and catalog.reached(b"s-2") is None
+    assert catalog.entries(3) == entries and catalog.host_address(b"s-2") is None
 
 
 @pytest.mark.parametrize(
@@ -569,8 +576,8 @@
     deadlines, _ = deadlines
     catalog = Catalog(None, deadlines, None, NAMES, 9, 9, lambda entries, whole: None)
     with pytest.raises(BadList):
-        catalog.known(raw)
-    assert catalog.index is None and not catalog.directory.rows(3) and not catalog.holds_a_list
+        catalog.load_known_list(raw)
+    assert catalog.index is None and not catalog.directory.rows(3) and not catalog.has_list
 
 
 def test_settings_get_defaults_and_unknown_effects_never_run_twice():
@@ -614,6 +621,6 @@
 )
 def test_a_start_is_one_call_for_the_list_where_the_one_held_has_a_version(known, asked):
     catalog = Catalog(None, None, None, NAMES, 9, 9, lambda entries, whole: None)
-    catalog.known(known)
+    catalog.load_known_list(known)
     (watch := catalog.buildProtocol(None)).makeConnection(Wire())
     assert watch.transport.value().split(b"\r\n")[0] == asked
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -68,7 +68,7 @@
         }
         for name, kind, group in (("s-1", "single", 1), ("s-5", "batching", 2))
     ]
-    driver.catalog.known({"index": 1, "snapshot": True, "endpoints": rows})
+    driver.catalog.load_known_list({"index": 1, "snapshot": True, "endpoints": rows})
     yield driver
     driver.ledger.close()
 
@@ -238,10 +238,10 @@
     line, call = call_out(driver, loop, *texts, dest=dest)
     ends = [driver.owed[text.encode()].text.valid_until for text in texts]
     assert call.deadline.when == min(ends) and [each.due_at for each in call.texts] == ends
-    assert line.ending is None
+    assert line.end_reason is None
     loop.pass_to(min(ends))
     loop.turn()
-    assert line.ending is Ending.SILENT
+    assert line.end_reason is Ending.SILENT
 
 
 # Paces on a wall's clock.
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -140,12 +140,12 @@
     feeder = control.Feeder(300)
     names, told = Names(["n"], ["c"], list("abcdefg"), ["m2"], []), []
     catalog = Catalog(None, None, None, names, 9, 9, lambda *news: told.append(news))
-    catalog.known(json.loads(feeder.whole()))
+    catalog.load_known_list(json.loads(feeder.whole()))
     ((entries, whole),) = told
     assert (catalog.index, whole, len(entries), len(catalog.directory)) == (1, True, 300, 300)
-    assert all(catalog.reached(each.host) for each in entries)
+    assert all(catalog.host_address(each.host) for each in entries)
     feeder.change(3)
-    catalog.known(json.loads(feeder.since(1)))
+    catalog.load_known_list(json.loads(feeder.since(1)))
     entries, whole = told[-1]
     assert (catalog.index, whole, len(entries)) == (4, False, 3)
     assert {each.listing for each in entries} == {Listing.READY, Listing.DRAINING}
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -41,9 +41,9 @@
         if (client := listener.buildProtocol(Peer)) is not None:
             client.makeConnection(Wire())
             made.append(client)
-    assert len(made) == listener.open == 14 and sum(each.ending is None for each in made) == 9
+    assert len(made) == listener.open == 14 and sum(each.end_reason is None for each in made) == 9
     for each in made:
-        if each.ending is not None:
+        if each.end_reason is not None:
             each.connectionLost(None)
     assert listener.open == 9 and listener.buildProtocol(Peer) is not None
 
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -227,14 +227,14 @@
         driver = Driver(plan_of(read_platform(raw)[0]), agent, agent)
         driver.ready, driver.told_at = True, None
         made.append(driver)
-        listed = driver.catalog.told
+        listed = driver.catalog.on_update
 
         def told(entries, whole):
             listed(entries, whole)
             if driver.told_at is None and driver.catalog.directory.find(CHANGED.encode()) is not None:
                 driver.told_at = agent.seconds()
 
-        driver.catalog.told = told
+        driver.catalog.on_update = told
         driver.start()
         return driver
 
@@ -300,7 +300,7 @@
     agent = Agent(state)
     driver = relays(agent, **settings)
     agent.run(moved)
-    driver.catalog.move(Address(*ELSEWHERE))
+    driver.catalog.change_address(Address(*ELSEWHERE))
     agent.run(moved + 1)
     assert driver.told_at is not None and driver.told_at - moved < 0.26
     assert agent.calls_made[-1].asked[0] == "/catalog/members"
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -59,7 +59,7 @@
         driver.notifier.notice = lambda text, words: self.ended.setdefault(text, words["result"])
         driver.start()
         driver.ready = True
-        driver.catalog.known(
+        driver.catalog.load_known_list(
             {
                 "index": 1,
                 "snapshot": True,
@@ -76,7 +76,7 @@
                 ],
             }
         )
-        driver.catalog.fresh = True
+        driver.catalog.is_fresh = True
         driver.turn()
         return self
 
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -13,8 +13,7 @@
 
 from limelatch.configuration.plan import OWN, Shares
 from limelatch.relay.directory import Directory
-from limelatch.relay.list_copy import FILE as LIST
-from limelatch.relay.list_copy import FORM, ListCopy
+from limelatch.relay.list_copy import COPY_FILE, COPY_FORM, ListCopy
 from limelatch.relay.ledger import BLOCK, FILE, NEW_FILE, SEAT, Ledger
 
 DISK = 300_000
@@ -69,9 +68,11 @@
     clock = Running()
     old = process(tmp_path, clock)
     directory = Directory(10)
-    with open(tmp_path / LIST, "wb") as file:
+    with open(tmp_path / COPY_FILE, "wb") as file:
         rows = list(directory.lines())
-        head = json.dumps({"form": FORM, "catalog": "a:1", "index": 3, "more": "x" * 3000}).encode() + b"\n"
+        head = (
+            json.dumps({"form": COPY_FORM, "catalog": "a:1", "index": 3, "more": "x" * 3000}).encode() + b"\n"
+        )
         file.write(head + b"".join(rows) + json.dumps({"rows": 0, "crc": 0}).encode() + b"\n")
     new = process(tmp_path, clock)
     whole = new.ledger.disk
