--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -15,7 +15,7 @@
 from limelatch.interface import MS, SECOND
 from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.relay.end_reason import EndReason
-from limelatch.relay.lines import RingLines, waits
+from limelatch.relay.line_receiver import RingLines, waits
 from limelatch.relay.slots import Slots
 
 log = logger("clients")
@@ -26,9 +26,9 @@
 LOOK_MOST = SECOND // 2  # between two looks at a connection's silence
 CROWD_PART = 4  # a crowded listener closes those between commands so many times sooner
 BACKLOG = 128  # connections that wait to be accepted
-ACCEPTS_MOST = 32  # in one turn of the reactor: calls, the list and due times have theirs in between
-UNREAD_MOST = 16  # connections found with a request unread, for one that needs room; then the port waits
-ROOM_LOOK = SECOND // 100  # between two looks for room while the port waits
+MAX_ACCEPTS_PER_TURN = 32  # in one turn of the reactor: calls, the list and due times have theirs in between
+MAX_UNREAD_CHECKS = 16  # connections found with an unread request before the search for room gives up
+FULL_TABLE_CHECK_INTERVAL = SECOND // 100  # between two looks for room while the port waits
 OPEN_MOST = 1 << 20  # where nobody says how many there may be
 BAD_MOST = 8  # bad commands on one connection, then it is closed
 ARGUMENTS_MOST, SKIP_MOST, REPLY_MOST = 16, 1024 * 1024, 256
@@ -42,42 +42,42 @@
 
 
 @dataclass(slots=True)
-class Handed:
+class Submission:
     """A text as a client hands it in: the wire's words, the span of its validity in tenths of a ms."""
 
     id: bytes
-    order: bytes
+    key: bytes
     product: bytes
     customer: bytes
     destination: int
     valid_for: int
-    mark: bytes
+    idempotency_key: bytes
     body: bytes
 
 
-def read_submit(arguments: list[bytes]) -> Handed:
+def read_submit(arguments: list[bytes]) -> Submission:
     """SUBMIT ORDER-KEY ID NAMES BODY."""
     if len(arguments) != 5:
         raise BadCommand("SUBMIT takes a key, an id, a list of names and values, and a body")
-    _, order, text, names, body = arguments
+    _, key, text, names, body = arguments
     if len(body) > BODY_MOST:
         raise BadCommand(f"a body holds {BODY_MOST} bytes at most")
-    if not WORD.match(text) or not WORD.match(order):
+    if not WORD.match(text) or not WORD.match(key):
         raise BadCommand("the key and the id take 1 to 64 letters and digits")
     values = dict(pair.partition(b"=")[::2] for pair in names.split(b","))
-    mark, dest, span = values.get(b"k", b""), values.get(b"dest", b""), values.get(b"d", b"")
-    if mark and not WORD.match(mark):
+    idempotency_key, dest, span = values.get(b"k", b""), values.get(b"dest", b""), values.get(b"d", b"")
+    if idempotency_key and not WORD.match(idempotency_key):
         raise BadCommand("k takes 1 to 64 letters and digits")
     if not SIZE.match(dest) or not re.fullmatch(rb"-?[0-9]{1,9}(\.[0-9]{1,6})?", span):
         raise BadCommand("dest and d are wanted as numbers")
-    return Handed(
+    return Submission(
         text,
-        b"" if not order.strip(b"0") else order,
+        b"" if not key.strip(b"0") else key,
         values.get(b"c", b""),
         values.get(b"t", b""),
         int(dest),
         int(float(span) * MS),
-        mark,
+        idempotency_key,
         body,
     )
 
@@ -237,9 +237,9 @@
             if self.too_large:
                 raise BadCommand(f"a body holds {BODY_MOST} bytes at most")
             if name == b"SUBMIT":
-                handed = read_submit(arguments)
+                submission = read_submit(arguments)
                 self.waiting = True
-                self.listener.driver.handed_in(handed, self)
+                self.listener.driver.handed_in(submission, self)
             elif name == b"PING":
                 self.reply(
                     "-ERR stopping"
@@ -342,19 +342,19 @@
         self._measured, free = False, self.open_most - self.open
         if self.port is None:
             return
-        self.port.numberAccepts = max(1, min(ACCEPTS_MOST, free))
+        self.port.numberAccepts = max(1, min(MAX_ACCEPTS_PER_TURN, free))
         if free <= 0 and not self._held:
             self._held = True
             self.port.stopReading()
 
-    def listen(self, reactor, host: str, port: int, beside: bool = False) -> None:
-        """Shared with SO_REUSEPORT, so that a new version can serve beside this one during an upgrade.
+    def listen(self, reactor, host: str, port: int, is_standby: bool = False) -> None:
+        """Listen with SO_REUSEPORT, so that a new version can serve on the same port during an upgrade.
 
-        Only a process `beside` the one that holds its folder joins a port in use; any other is refused, as
-        it would share the clients of another relay."""
+        Only a standby process (`is_standby`) joins a port in use; any other is refused, because it would share
+        the clients of another relay. Raises CannotListenError."""
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as shared:
-                if not beside:
+                if not is_standby:
                     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as alone:
                         alone.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                         alone.bind((host, port))
@@ -412,9 +412,9 @@
                 self._held = True
                 self.port.stopReading()
             if self._room_look is None:
-                self._room_look = self.driver.deadlines.after(ROOM_LOOK, self._look_for_room)
+                self._room_look = self.driver.deadlines.after(FULL_TABLE_CHECK_INTERVAL, self._look_for_room)
 
-    def bound(self, most: int, open_most: int) -> None:
+    def set_limits(self, most: int, open_most: int) -> None:
         """Hold so many connections from now on; of those beyond it the ones at rest end, the others later."""
         self.connections.size, self.open_most = most, open_most
         while len(self.connections) > most and (silent := self._longest_silent(None)) is not None:
@@ -440,7 +440,7 @@
                 found = each
                 break
             unread.append(each)
-            if len(unread) == UNREAD_MOST:
+            if len(unread) == MAX_UNREAD_CHECKS:
                 break
         for each in unread:  # they have said something, and are read in the reactor's next turn
             self._by_silence.move_to_end(each)
@@ -466,7 +466,7 @@
             self._close_port()
         self._close_resting()
 
-    def comes(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Whether a request is not answered, not even read, comes just now, or may come on a connection just
         made."""
         now = self.driver.clock.now()
@@ -481,7 +481,7 @@
             if each.end_reason is None
         )
 
-    def last_words(self) -> None:
+    def stop_reading(self) -> None:
         """Nothing more is read; what is answered is still written."""
         self._close_port()
         for each in self.connections:
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -23,8 +23,8 @@
     RESULT_BY_STATUS,
     EndReason,
 )
-from limelatch.relay.http import Answer, HttpCaller, request_head
-from limelatch.relay.lines import waits
+from limelatch.relay.http import HttpClientProtocol, Response, request_head
+from limelatch.relay.line_receiver import waits
 from limelatch.relay.slots import Slots
 
 log = logger("hosts")
@@ -34,14 +34,14 @@
 
 
 @dataclass(slots=True)
-class Parcel:
+class OutgoingText:
     """One text in a call."""
 
     text: bytes
-    mark: bytes
+    idempotency_key: bytes
     body: bytes
-    due: int  # when the relay stops waiting
-    keep: int  # for how long the connection may stand idle afterwards
+    due_at: int  # when the relay stops waiting
+    idle_limit: int  # for how long the connection may stand idle afterwards
 
 
 @dataclass(slots=True)
@@ -49,64 +49,64 @@
     """How one text of a call fared."""
 
     result: Result
-    over: bool = False
-    told_wait: int = 0
+    finished: bool = False
+    retry_after: int = 0
     report: dict[str, float] = field(default_factory=dict)
     unsent: bool = False  # held back as its connection came up
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call, or one probe where it has no parcels."""
+    """One call, or one probe where it has no texts."""
 
     host: HostId
-    parcels: list[Parcel]
-    sent: int
+    texts: list[OutgoingText]
+    sent_at: int
     batched: bool = False  # written as a batch, and so answered as one
-    idle: int = 0  # how long its connection had stood idle; 0 for a new one
+    idle_time: int = 0  # how long its connection had stood idle; 0 for a new one
     deadline: Deadline | None = None
     connection: Connection | None = None
-    begun: int = 0  # when the first line of its answer was read
+    response_started_at: int = 0  # when the first line of its answer was read
 
-    def late(self, now: int) -> bool:
+    def is_late(self, now: int) -> bool:
         """Whether what proves a delivery was read when the relay should have stopped waiting: the first line,
         in a batch the whole answer."""
-        return (now if self.batched else self.begun) >= self.deadline.when
+        return (now if self.batched else self.response_started_at) >= self.deadline.when
 
 
-def told_wait(headers: dict[bytes, bytes]) -> int:
+def read_retry_after(headers: dict[bytes, bytes]) -> int:
     """Retry-After, in seconds with decimals, as tenths of a millisecond; rounded up."""
     match = re.fullmatch(rb"[0-9]{1,6}(\.[0-9]{1,9})?", headers.get(b"retry-after", b""))
     return -int(-float(match[0]) * SECOND // 1) if match else 0
 
 
-def report_of(headers: dict[bytes, bytes]) -> dict[str, float]:
+def read_report(headers: dict[bytes, bytes]) -> dict[str, float]:
     """X-Pressure: names and values; a report that can't be read whole, or is beyond reason, says nothing."""
     pairs = [REPORT.match(pair) for pair in headers.get(b"x-pressure", b"").split(b",")]
     found = {match[1].decode(): float(match[2]) for match in pairs if match}
     return found if all(pairs) and all(value <= REPORT_MOST for value in found.values()) else {}
 
 
-def read_outcomes(call: Call, answer: Answer, body: bytes) -> list[Outcome]:
+def read_outcomes(call: Call, response: Response, body: bytes) -> list[Outcome]:
     """What an answer says of each text of its call; raises ValueError where it can't be read."""
-    wait, report = told_wait(answer.headers), report_of(answer.headers)
-    if call.batched and answer.status == 200:
+    wait, report = read_retry_after(response.headers), read_report(response.headers)
+    if call.batched and response.status == 200:
         states = {row["id"].encode(): row["state"] for row in json.loads(body)}
         return [
             Outcome(RESULT_BY_STATE[states[each.text]], states[each.text] in FINISHED_STATES, wait, report)
-            for each in call.parcels
+            for each in call.texts
         ]
-    result = RESULT_BY_STATUS.get(answer.status, Result.ERROR)
-    if call.batched and answer.status in (410, 504):  # these speak of one text
+    result = RESULT_BY_STATUS.get(response.status, Result.ERROR)
+    if call.batched and response.status in (410, 504):  # these speak of one text
         result = Result.ERROR
-    if answer.status == 503 and answer.headers.get(b"x-no-slot") == b"1":
+    if response.status == 503 and response.headers.get(b"x-no-slot") == b"1":
         result = Result.MOOT
-    elif answer.status == 503 and not (call.idle or answer.keeps or report or wait):
+    elif response.status == 503 and not (call.idle_time or response.keep_alive or report or wait):
         result = Result.CONNECT  # a new connection, turned away and closed: the host holds no more of them
-    if call.batched and answer.status == 400:
+    if call.batched and response.status == 400:
         result = Result.MOOT  # a batch that was not read
-    over = answer.status in FINISHED_STATUSES and result is not Result.ERROR
-    return [Outcome(result, over, wait, report) for _ in call.parcels]
+    finished = response.status in FINISHED_STATUSES and result is not Result.ERROR
+    return [Outcome(result, finished, wait, report) for _ in call.texts]
 
 
 def too_late(outcome: Outcome) -> Outcome:
@@ -116,31 +116,31 @@
     Guards against a delivery that counts at the relay alone, so that a text has no end at all: nobody tells
     whether such an answer was given in time. Another end does no harm to a text that has one."""
     result = Result.TIMEOUT if outcome.result is Result.DELIVERED else outcome.result
-    return Outcome(result, False, outcome.told_wait, outcome.report)
+    return Outcome(result, False, outcome.retry_after, outcome.report)
 
 
 def write_call(call: Call, host: str, now: int) -> list[bytes]:
     """The request of a call, a batch or a probe, in pieces."""
-    if not call.parcels:
+    if not call.texts:
         return [request_head("GET", "/ping", host, None, [])]
-    wait = max(1, (min(each.due for each in call.parcels) - now) // MS)
+    wait = max(1, (min(each.due_at for each in call.texts) - now) // MS)
     headers = [("X-Remaining", f"{wait}m")]
-    if len(call.parcels) == 1:
-        one = call.parcels[0]
+    if len(call.texts) == 1:
+        one = call.texts[0]
         headers.append(("X-Txn", one.text.decode()))
-        if one.mark:
-            headers.append(("Idempotency-Key", one.mark.decode()))
+        if one.idempotency_key:
+            headers.append(("Idempotency-Key", one.idempotency_key.decode()))
         return [request_head("POST", "/v1/messages", host, len(one.body), headers), one.body]
     rows = []
-    for each in call.parcels:
+    for each in call.texts:
         row = {"id": each.text.decode(), "body": base64.b64encode(each.body).decode()}
-        rows.append(row | ({"key": each.mark.decode()} if each.mark else {}))
+        rows.append(row | ({"key": each.idempotency_key.decode()} if each.idempotency_key else {}))
     body = json.dumps(rows, separators=(",", ":")).encode()
     headers.append(("Content-Type", "application/json"))
     return [request_head("POST", "/v1/messages:batch", host, len(body), headers), body]
 
 
-class Connection(HttpCaller):
+class Connection(HttpClientProtocol):
     """One connection to a host."""
 
     def __init__(self, pool: HostPool, host: HostId, call: Call) -> None:
@@ -161,16 +161,16 @@
         super().connectionMade()
         self.up = True
         self.deadline.cancel()
-        self.pool.go(self)
+        self.pool.send_on(self)
 
-    def begun(self) -> None:
+    def response_started(self) -> None:
         if self.call is not None:
-            self.call.begun = self.pool.clock.now()
+            self.call.response_started_at = self.pool.clock.now()
 
-    def answered(self, answer: Answer, body: bytes) -> None:
-        self.pool.answered(self, answer, body)
+    def response_received(self, response: Response, body: bytes) -> None:
+        self.pool.response_received(self, response, body)
 
-    def ended(self, end_reason: EndReason) -> None:
+    def connection_ended(self, end_reason: EndReason) -> None:
         if end_reason is EndReason.CONNECTION_LOST and not self.outflow.empty:
             end_reason = self.end_reason = EndReason.REQUEST_INCOMPLETE
         self.pool.lost(self, end_reason)
@@ -220,21 +220,21 @@
         self.connections: Slots[Connection] = Slots(most)
         self.idle: defaultdict[HostId, list[Connection]] = defaultdict(list)
         self.addresses: dict[HostId, Address] = {}
-        self.calls_out, self.limited_log = 0, LimitedLog(log, clock)
+        self.calls_in_flight, self.limited_log = 0, LimitedLog(log, clock)
 
-    def send(self, host: HostId, parcels: list[Parcel]) -> None:
+    def send(self, host: HostId, texts: list[OutgoingText]) -> None:
         """One call with these texts, or a probe; its outcomes go to the driver."""
         now = self.clock.now()
-        call = Call(host, parcels, now)
-        self.calls_out += 1
-        due = min(each.due for each in parcels) if parcels else now + self.probe_wait
+        call = Call(host, texts, now)
+        self.calls_in_flight += 1
+        due = min(each.due_at for each in texts) if texts else now + self.probe_wait
         call.deadline = self.deadlines.at(due, lambda: self._out_of_time(call))
         while (waiting := self.idle.get(host)) and (connection := waiting.pop()):
             connection.deadline.cancel()
             if connection.clean():
                 call.connection, connection.call = connection, call
-                call.idle = max(1, now - connection.rested_at)
-                self.go(connection)
+                call.idle_time = max(1, now - connection.rested_at)
+                self.send_on(connection)
                 return
             connection.give_up(EndReason.MALFORMED if connection.inbound else EndReason.CLOSED_BY_PEER)
         self._connect(call)
@@ -256,7 +256,7 @@
             address.host, address.port, Dial(connection), timeout=None
         )
 
-    def bound(self, most: int) -> None:
+    def set_limit(self, most: int) -> None:
         """Hold so many connections from now on; idle ones beyond it are closed."""
         self.connections.size = most
         while len(self.connections) > most and any(self.idle.values()):
@@ -271,7 +271,7 @@
             self.connections.release(oldest.number)
             oldest.number = None
 
-    def go(self, connection: Connection) -> None:
+    def send_on(self, connection: Connection) -> None:
         """The connection is up: write its call, less the texts that are not to go any more."""
         call, now = connection.call, self.clock.now()
         if call is None:  # it was given up as it came up
@@ -279,40 +279,40 @@
             return
         held = [
             each
-            for each in call.parcels
+            for each in call.texts
             if not (self.driver.may_go(now, each.text, call.host) and self.driver.going(call, each))
         ]
         if held:
-            call.parcels = [each for each in call.parcels if each not in held]
+            call.texts = [each for each in call.texts if each not in held]
             for each in held:
                 self.driver.ended(call, each, Outcome(RESULT_BY_END_REASON[EndReason.NOT_SENT], unsent=True))
-            if not call.parcels:
+            if not call.texts:
                 self._finish(call)
-                self._rest(connection, held[0].keep)
+                self._rest(connection, held[0].idle_limit)
                 return
-        call.batched = len(call.parcels) > 1
-        connection.ask(*write_call(call, str(self.addresses.get(call.host, "")), now))
+        call.batched = len(call.texts) > 1
+        connection.send_request(*write_call(call, str(self.addresses.get(call.host, "")), now))
 
-    def answered(self, connection: Connection, answer: Answer, body: bytes) -> None:
+    def response_received(self, connection: Connection, response: Response, body: bytes) -> None:
         call = connection.call
         if call is None:
             connection.give_up(EndReason.MALFORMED)
             return
-        keep = min((each.keep for each in call.parcels), default=0)
+        keep = min((each.idle_limit for each in call.texts), default=0)
         try:
-            outcomes = read_outcomes(call, answer, body)
+            outcomes = read_outcomes(call, response, body)
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             self.limited_log("answer-not-read", host=call.host, why=repr(error))
             connection.give_up(EndReason.MALFORMED)
             return
-        late = call.late(self.clock.now())
+        late = call.is_late(self.clock.now())
         self._finish(call)
-        if not call.parcels:
-            result = RESULT_BY_STATUS.get(answer.status, Result.ERROR)
-            self.driver.probed(call, result, report_of(answer.headers))
-        for each, outcome in zip(call.parcels, outcomes, strict=True):
-            self.driver.ended(call, each, too_late(outcome) if late and outcome.over else outcome)
-        self._rest(connection, keep if answer.keeps else 0)
+        if not call.texts:
+            result = RESULT_BY_STATUS.get(response.status, Result.ERROR)
+            self.driver.probed(call, result, read_report(response.headers))
+        for each, outcome in zip(call.texts, outcomes, strict=True):
+            self.driver.ended(call, each, too_late(outcome) if late and outcome.finished else outcome)
+        self._rest(connection, keep if response.keep_alive else 0)
 
     def _rest(self, connection: Connection, keep: int) -> None:
         """The connection stands idle for as long as the module said.
@@ -333,7 +333,7 @@
         for connection in self.idle.pop(host, []):
             connection.give_up(EndReason.IDLE)
 
-    def reach(self, host: HostId, address: Address | None) -> None:
+    def set_address(self, host: HostId, address: Address | None) -> None:
         """Where the host is reached now; nothing is kept to one that is gone, at rest or has moved."""
         if self.addresses.get(host, address) != address:
             self.close_idle(host)
@@ -348,11 +348,11 @@
         Guards against a text of a batch that ends alone while its submit stays out: what the others are
         answered after that end does not count as delivered, and a copy of it may go out beside it."""
         call.connection.give_up(
-            EndReason.ANSWER_TIMEOUT if call.connection.asking else EndReason.CONNECT_TIMEOUT
+            EndReason.ANSWER_TIMEOUT if call.connection.awaiting_response else EndReason.CONNECT_TIMEOUT
         )
 
     def _finish(self, call: Call) -> None:
-        self.calls_out -= 1
+        self.calls_in_flight -= 1
         call.deadline.cancel()
 
     def lost(self, connection: Connection, end_reason: EndReason) -> None:
@@ -373,10 +373,15 @@
         if call is None:
             return
         self._finish(call)
-        result, over, answer = RESULT_BY_END_REASON[end_reason], False, connection.answer
-        if answer is not None and answer.status == 200 and not call.batched and not call.late(call.begun):
-            result, over = Result.SPOILT, True  # its first line is true; the call may run on
-        if not call.parcels:
+        result, finished, response = RESULT_BY_END_REASON[end_reason], False, connection.response
+        if (
+            response is not None
+            and response.status == 200
+            and not call.batched
+            and not call.is_late(call.response_started_at)
+        ):
+            result, finished = Result.SPOILT, True  # its first line is true; the call may run on
+        if not call.texts:
             self.driver.probed(call, result, {})
-        for each in call.parcels:
-            self.driver.ended(call, each, Outcome(result, over))
+        for each in call.texts:
+            self.driver.ended(call, each, Outcome(result, finished))
--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -10,14 +10,14 @@
 from limelatch.configuration import Address
 from limelatch.logs import logger, log_event
 from limelatch.relay.end_reason import EndReason
-from limelatch.relay.http import Answer, HttpCaller, request_head
+from limelatch.relay.http import HttpClientProtocol, Response, request_head
 
 log = logger("platform")
 
 BODY_MOST, NOTICES_MOST = 4 * 1024, 200
 
 
-class PlatformConnection(HttpCaller):
+class PlatformConnection(HttpClientProtocol):
     """The connection to the platform."""
 
     def __init__(self, notifier: Notifier) -> None:
@@ -28,12 +28,14 @@
         super().connectionMade()
         self.notifier.send()
 
-    def answered(self, answer: Answer, body: bytes) -> None:
-        if not answer.keeps or self.inbound:  # what came behind would pass for the next request's answer
+    def response_received(self, response: Response, body: bytes) -> None:
+        if (
+            not response.keep_alive or self.inbound
+        ):  # what came behind would pass for the next request's answer
             self.close(EndReason.CLOSED_BY_PEER)
-        self.notifier.answered(answer.status)
+        self.notifier.answered(response.status)
 
-    def ended(self, end_reason: EndReason) -> None:
+    def connection_ended(self, end_reason: EndReason) -> None:
         self.notifier.lost(self, end_reason)
 
 
@@ -91,7 +93,7 @@
         )
         self._clear()
         self._deadline = self.deadlines.after(self.wait, self._too_long)
-        self.connection.ask(head + body)
+        self.connection.send_request(head + body)
 
     def _clear(self) -> None:
         if self._deadline is not None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -161,8 +161,8 @@
         9 * SECOND,
         lambda entries, whole: told.extend((each.host, each.listing.value) for each in entries),
     )
-    catalog.known(page(41))
-    catalog.heard()
+    catalog.load_known_list(page(41))
+    catalog.note_activity()
     (watch := catalog.buildProtocol(None)).makeConnection(Wire())
     watch.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     watch.told, told[:] = told, []
@@ -251,7 +251,7 @@
     client.dataReceived(b"PING\r\n")
     client.transport.peer.send(arrived)
     listener.stop()
-    assert (client.end_reason is None) == bool(arrived) == listener.comes()
+    assert (client.end_reason is None) == bool(arrived) == listener.has_pending_requests()
 
 
 @pytest.fixture
@@ -275,7 +275,7 @@
     assert not clock.stopped and driver._ended
     assert client.transport.value() == b"+PONG\r\n-BUSY\r\n"
     clock.advance(0)  # the reactor has gone round, and written
-    assert clock.stopped and driver.pool.calls_out == len(driver.owed) == 0
+    assert clock.stopped and driver.pool.calls_in_flight == len(driver.owed) == 0
 
 
 def test_a_wait_told_to_the_other_process_while_a_connection_comes_up_holds_the_text_back(
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -13,7 +13,12 @@
 from test_parts import Wire
 
 from limelatch.relay import clients
-from limelatch.relay.clients import ACCEPTS_MOST, ROOM_LOOK, UNREAD_MOST, Listener
+from limelatch.relay.clients import (
+    FULL_TABLE_CHECK_INTERVAL,
+    MAX_ACCEPTS_PER_TURN,
+    MAX_UNREAD_CHECKS,
+    Listener,
+)
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.end_reason import EndReason
 
@@ -97,13 +102,15 @@
         each.transport.peer.send(ASKED)
     made += come(listener)
     assert (
-        not listener.port.reading and not any(each.end_reason for each in made) and len(looks) == UNREAD_MOST
+        not listener.port.reading
+        and not any(each.end_reason for each in made)
+        and len(looks) == MAX_UNREAD_CHECKS
     )
     made[-1].transport.peer.send(ASKED)
-    clock.pump([ROOM_LOOK / 10_000] * 4)
+    clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
     assert not listener.port.reading and not any(each.end_reason for each in made)
     made[7].transport.socket.recv(99)  # read and answered
-    clock.pump([ROOM_LOOK / 10_000] * 4)
+    clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
     assert listener.port.reading and [each for each in made if each.end_reason] == [made[7]]
 
 
@@ -200,7 +207,7 @@
                 assert client.submit(text, d=20_000) == "+OK"
         assert sorted(host.next().headers["X-Txn"] for _ in texts) == sorted(texts)
         until(lambda: crowd.opened > 12 * TABLE, BACKED_OFF)
-        assert crowd.peak < TABLE + 3 * ACCEPTS_MOST
+        assert crowd.peak < TABLE + 3 * MAX_ACCEPTS_PER_TURN
     finally:
         crowd.end()
     assert agent.notices.empty()
