--- a/limelatch/relay/anchor_file.py
+++ b/limelatch/relay/anchor_file.py
@@ -7,7 +7,7 @@
 from limelatch.logs import logger, say
 from limelatch.relay.clock import ANCHOR_MOST, Anchor, BadAnchor, Clock, Machine, begin_in_doubt, resume
 from limelatch.relay.ledger import named
-from limelatch.relay.whole_file import replace_whole
+from limelatch.relay.atomic_file import replace_whole
 
 log = logger("deadlines")
 
--- a/limelatch/relay/door.py
+++ b/limelatch/relay/door.py
@@ -16,7 +16,7 @@
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.ledger import named
 from limelatch.relay.slots import Slots
-from limelatch.relay.whole_file import replace_whole
+from limelatch.relay.atomic_file import replace_whole
 
 log = logger("door")
 
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -20,7 +20,7 @@
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.door import Door, HostsOut
-from limelatch.relay.folder_watch import FolderWatch
+from limelatch.relay.storage_monitor import FolderWatch
 from limelatch.relay.handover import NOTICED_AFTER, Handover
 from limelatch.relay.hosts import Call, Outcome, Parcel, HostPool
 from limelatch.relay.ledger import Ledger
--- a/limelatch/relay/incarnation.py
+++ b/limelatch/relay/incarnation.py
@@ -7,7 +7,7 @@
 
 from limelatch.logs import logger, say
 from limelatch.membership.messages import INCARNATION_MOST
-from limelatch.relay.whole_file import replace_whole
+from limelatch.relay.atomic_file import replace_whole
 
 log = logger("membership")
 FILE = "incarnation"
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -14,7 +14,7 @@
 
 from limelatch.relay.anchor_file import AnchorFile
 from limelatch.relay.clock import Anchor
-from limelatch.relay.whole_file import replace_whole
+from limelatch.relay.atomic_file import replace_whole
 
 ENDS_WITHIN = 1.0  # seconds from a relay's last word to its process's end, on a machine with load too
 SLACK = 0.3  # seconds after a text's time within which it must have its end, as the protocol allows
