--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -60,8 +60,8 @@
     Mutant(
         "the record of a submit before it goes",
         "relay/driver.py",
-        "owed.submit_out = self.ledger.going(text, call.sent, zone)",
-        "owed.submit_out = True",
+        "accepted.submit_out = self.ledger.going(text, call.sent, zone)",
+        "accepted.submit_out = True",
     ),
     Mutant(
         "the window for repeats",
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -500,7 +500,7 @@
         """A drain: PING says no at once; after a grace no connection stays, so that none is held idle."""
         if not self.paused:
             self.paused = True
-            say(log, "paused", owed=len(self.driver.owed))
+            say(log, "paused", owed=len(self.driver.accepted))
             self._grace = self.driver.deadlines.after(PAUSE_GRACE, self._close_all)
 
     def _close_all(self) -> None:
@@ -510,7 +510,7 @@
     def resume(self) -> None:
         if self.paused:
             self.paused = self.closing = False
-            say(log, "resumed", owed=len(self.driver.owed))
+            say(log, "resumed", owed=len(self.driver.accepted))
             if self._grace is not None:
                 self._grace.cancel()
                 self._grace = None
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Owed:
+class AcceptedText:
     """One text of the relay, from its arrival to the end that its client or the platform has heard."""
 
     text: li.Text
@@ -94,9 +94,9 @@
         )
         self._handed_in_last = 0
         self._serves_from = clock.now() + (NOTICED_AFTER if self.ledger.beside else 0)
-        self.slots: Slots[Owed] = Slots(max(plan.terms.max_texts, len(self.ledger.entries)))
-        self.owed: dict[bytes, Owed] = {}
-        self.arrived: dict[bytes, Owed] = {}  # this turn, not taken on yet
+        self.slots: Slots[AcceptedText] = Slots(max(plan.terms.max_texts, len(self.ledger.entries)))
+        self.accepted: dict[bytes, AcceptedText] = {}
+        self.arrived: dict[bytes, AcceptedText] = {}  # this turn, not taken on yet
         self.hosts: dict[li.HostId, li.HostEntry] = {}  # of the destinations at work, as last told
         self.held_down, self.text_log = HeldDown(log, clock), TextLog(clock)
         self._turn_due, self.ready, self._stop_at, self._stop_least_at = False, False, None, 0
@@ -145,7 +145,7 @@
         say(
             log,
             "started",
-            owed=len(self.owed),
+            owed=len(self.accepted),
             hosts=len(self.catalog.directory),
             ledger_bytes=self.ledger.size,
         )
@@ -162,11 +162,11 @@
 
     def _adopt(self, entries: list[Entry]) -> None:
         """Texts that another process of this relay has left are this one's."""
-        self.slots.size = max(self.slots.size, len(self.owed) + len(entries))
+        self.slots.size = max(self.slots.size, len(self.accepted) + len(entries))
         now = self.clock.now()
         for entry in entries:
             self._resume(now, entry)
-        say(log, "taken-over", owed=len(self.owed), adopted=len(entries))
+        say(log, "taken-over", owed=len(self.accepted), adopted=len(entries))
         self.soon()
 
     def _share_limits(self, two: bool) -> None:
@@ -193,22 +193,22 @@
         self._handed_in_last = max(self._handed_in_last, entry.handed_in_at)
         in_order = self._is_ordered(pairs["product"]) if entry.in_order is None else entry.in_order
         row = replace(self.plan.terms.products[product], in_order=in_order)
-        owed = self._own(Owed(text, pairs["mark"].encode(), entry.body, row, pairs["product"]))
+        accepted = self._own(AcceptedText(text, pairs["mark"].encode(), entry.body, row, pairs["product"]))
         answered = entry.notice is not None or not known
         ran_at = entry.ran_at
         if ran_at is not None and ran_at < self.clock.certain_from:
             ran_at = min(ran_at, now - row.repeat_window)  # nobody knows how long ago: its window is over
         past = li.Past(entry.submits, ran_at, entry.ran_zone, entry.out, answered, in_order)
-        self.text_log.adopted(entry, owed.key, ran_at is not None, answered)
+        self.text_log.adopted(entry, accepted.key, ran_at is not None, answered)
         self._meet(now, text.destination)
         self.policy.text_taken(now, text, past)
-        if entry.out and owed.key is not None:  # its rest has to outlast this process too
-            self.ledger.ended(entry.id, True, now, self._rest_of(owed, now))
+        if entry.out and accepted.key is not None:  # its rest has to outlast this process too
+            self.ledger.ended(entry.id, True, now, self._rest_of(accepted, now))
         if entry.notice is not None:
             self.notifier.notice(entry.id, entry.notice)
         elif not known:
             say(log, "product-unknown", product=pairs["product"])
-            self._end_later(owed, {"result": "dead"})
+            self._end_later(accepted, {"result": "dead"})
 
     def serve(self) -> None:
         """Open for clients; PING is answered from here on."""
@@ -268,7 +268,7 @@
             log,
             "configured",
             catalog=plan.discovery,
-            owed=len(self.owed),
+            owed=len(self.accepted),
             products=len(terms.products),
             submits=terms.max_submits,
             restart_for=",".join(later),
@@ -284,7 +284,7 @@
         handed_over = self.ready and self.ledger.successor()
         self.policy.stopping(self._stop_at)
         self.listener.stop(handed_over)
-        say(log, "stopping", owed=len(self.owed), calls=self.pool.calls_out, handed_over=handed_over)
+        say(log, "stopping", owed=len(self.accepted), calls=self.pool.calls_out, handed_over=handed_over)
         self.soon()
         if not self.ready:
             self._exit()
@@ -293,7 +293,7 @@
 
     def _exit_if_idle(self) -> None:
         """End early, once clients have stopped coming, when nothing is owed and no call is out."""
-        if self.clock.now() >= self._stop_least_at and not self.owed and not self.pool.calls_out:
+        if self.clock.now() >= self._stop_least_at and not self.accepted and not self.pool.calls_out:
             if self.listener.comes():  # it gets its answer first: at the latest when the stop's time is over
                 self.deadlines.after(LAST_LOOK, self._exit_if_idle)
             else:
@@ -310,7 +310,7 @@
             self.listener.last_words()
             if self.peers is not None:
                 self.peers.stop()
-            say(log, "stopped", owed=len(self.owed), calls=self.pool.calls_out)
+            say(log, "stopped", owed=len(self.accepted), calls=self.pool.calls_out)
             self.deadlines.after(0, self.reactor.stop)
 
     # What the parties tell.
@@ -335,7 +335,9 @@
             text = li.Text(handed.id, handed.destination, row, until, number, handed.order)
             text.handed_in_at = self._handed_in_last
             rules = self.plan.terms.products[row]
-            self.arrived[handed.id] = self._own(Owed(text, handed.mark, handed.body, rules, product, client))
+            self.arrived[handed.id] = self._own(
+                AcceptedText(text, handed.mark, handed.body, rules, product, client)
+            )
             self._meet(now, text.destination)
             self.policy.text_taken(now, text)
             self.soon()
@@ -353,7 +355,7 @@
         if not self.catalog.holds_a_list:
             self.held_down("no-list", why="no list of hosts has been read yet")
             return Refusal("no-list", "-BUSY")
-        if handed.id in self.owed:
+        if handed.id in self.accepted:
             return Refusal("id-known", "-ERR this id was handed in before")
         if self._stop_at is not None:
             return Refusal("stopping", "-BUSY")
@@ -370,17 +372,17 @@
             return True
         return self.catalog.directory.knows(destination)
 
-    def _own(self, owed: Owed) -> Owed:
-        owed.number = self.slots.take(owed)
-        self.owed[owed.text.id] = owed
-        return owed
+    def _own(self, accepted: AcceptedText) -> AcceptedText:
+        accepted.number = self.slots.take(accepted)
+        self.accepted[accepted.text.id] = accepted
+        return accepted
 
     def client_gone(self, client: Client) -> None:
         """A client left before its text was taken on: it hands it in again, under a new id."""
-        for owed in [each for each in self.arrived.values() if each.client is client]:
-            del self.arrived[owed.text.id]
-            self.policy.text_over(self.clock.now(), owed.text.id)
-            self._release(owed)
+        for accepted in [each for each in self.arrived.values() if each.client is client]:
+            del self.arrived[accepted.text.id]
+            self.policy.text_over(self.clock.now(), accepted.text.id)
+            self._release(accepted)
             self.soon()
 
     def listed(self, entries: list[li.HostEntry], whole: bool) -> None:
@@ -452,32 +454,32 @@
 
     def going(self, call: Call, parcel: Parcel) -> bool:
         """A submit is about to be written; not where the ledger can't tell of it, nor out of turn."""
-        if (owed := self.owed.get(parcel.text)) is None:
+        if (accepted := self.accepted.get(parcel.text)) is None:
             return False
-        if owed.key is None:
-            return self._record_going(owed, call)
-        hold = self.handover.claim(owed.key, parcel.text, lambda: self._record_going(owed, call))
+        if accepted.key is None:
+            return self._record_going(accepted, call)
+        hold = self.handover.claim(accepted.key, parcel.text, lambda: self._record_going(accepted, call))
         if hold is not None:
-            self.text_log.held(parcel.text, owed.key, call.host, hold.value)
-        return owed.submit_out
+            self.text_log.held(parcel.text, accepted.key, call.host, hold.value)
+        return accepted.submit_out
 
-    def _record_going(self, owed: Owed, call: Call) -> bool:
-        text = owed.text.id
+    def _record_going(self, accepted: AcceptedText, call: Call) -> bool:
+        text = accepted.text.id
         zone = self.hosts[call.host].zone if call.host in self.hosts else -1
-        owed.submit_out = self.ledger.going(text, call.sent, zone)
-        if owed.submit_out:
-            self.text_log.going(text, owed.key, call.host, self.ledger.entries[text].submits)
-        return owed.submit_out
+        accepted.submit_out = self.ledger.going(text, call.sent, zone)
+        if accepted.submit_out:
+            self.text_log.going(text, accepted.key, call.host, self.ledger.entries[text].submits)
+        return accepted.submit_out
 
-    def _rest_of(self, owed: Owed, now: int) -> int | None:
+    def _rest_of(self, accepted: AcceptedText, now: int) -> int | None:
         """Until when the text's key rests by a call of this text; None where it does not."""
-        rest = None if owed.key is None else self.policy.order.rests.get(owed.key)
-        return rest.until if rest is not None and rest.text == owed.text.id and rest.until > now else None
+        rest = None if accepted.key is None else self.policy.order.rests.get(accepted.key)
+        return rest.until if rest is not None and rest.text == accepted.text.id and rest.until > now else None
 
     def ended(self, call: Call, parcel: Parcel, outcome: Outcome) -> None:
         """A submit's outcome."""
-        owed, now = self.owed.get(parcel.text), self.clock.now()
-        if owed is None:
+        accepted, now = self.accepted.get(parcel.text), self.clock.now()
+        if accepted is None:
             return
         left, rate = li.limit_told(outcome.report)
         self.policy.submit_ended(
@@ -495,16 +497,16 @@
                 outcome.unsent,
             ),
         )
-        rest = self._rest_of(owed, now)
-        self.text_log.submit_ended(parcel.text, owed.key, call, outcome, rest)
+        rest = self._rest_of(accepted, now)
+        self.text_log.submit_ended(parcel.text, accepted.key, call, outcome, rest)
         if outcome.told_wait:
             self.ledger.told_wait(call.host, now + outcome.told_wait, now)
-        if owed.submit_out and (rest is not None or not outcome.over):
+        if accepted.submit_out and (rest is not None or not outcome.over):
             self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN, now, rest)
         if outcome.over:
             self.ledger.over(parcel.text)
-            self._release(owed)
-        owed.submit_out = False
+            self._release(accepted)
+        accepted.submit_out = False
         self.soon()
 
     def probed(self, call: Call, result: li.Result, report: dict[str, float]) -> None:
@@ -512,18 +514,18 @@
 
     def notice_heard(self, text: bytes) -> None:
         """The platform has answered the notice: only now is the text over."""
-        if owed := self.owed.get(text):
+        if accepted := self.accepted.get(text):
             now = self.clock.now()
-            if now > owed.text.valid_until:
-                self.held_down("ended-late", text=text, by_ms=(now - owed.text.valid_until) // li.MS)
+            if now > accepted.text.valid_until:
+                self.held_down("ended-late", text=text, by_ms=(now - accepted.text.valid_until) // li.MS)
             self.ledger.over(text)
             self.policy.text_over(now, text)
-            self._release(owed)
+            self._release(accepted)
             self.soon()
 
-    def _release(self, owed: Owed) -> None:
-        del self.owed[owed.text.id]
-        self.slots.release(owed.number)
+    def _release(self, accepted: AcceptedText) -> None:
+        del self.accepted[accepted.text.id]
+        self.slots.release(accepted.number)
 
     # The turn.
 
@@ -546,21 +548,21 @@
         for action in actions:
             if isinstance(action, (li.Nack, li.Undeliverable)) and action.text in arrived:
                 self._refuse(arrived.pop(action.text), action)
-        for text, owed in arrived.items():
-            self._take_on(text, owed)
+        for text, accepted in arrived.items():
+            self._take_on(text, accepted)
         calls: dict[li.HostId, list[Parcel]] = {}
         for action in actions:
             match action:
-                case li.Submit(text, host) if text not in self.owed:  # it could not be taken on
+                case li.Submit(text, host) if text not in self.accepted:  # it could not be taken on
                     self.policy.submit_ended(now, li.SubmitReport(text, host, li.Result.MOOT, 0, over=True))
                     self.soon()
                 case li.Submit(text, host, time_out):
                     self._pack(calls, host, text, now + time_out, action.keep)
-                case li.Nack(text, advice) if text in self.owed:
+                case li.Nack(text, advice) if text in self.accepted:
                     wait = {"wait_ms": advice // li.MS} if advice else {}
-                    self._end_later(self.owed[text], {"result": "bounced"} | wait)
-                case li.Undeliverable(text) if text in self.owed:
-                    self._end_later(self.owed[text], {"result": "dead"})
+                    self._end_later(self.accepted[text], {"result": "bounced"} | wait)
+                case li.Undeliverable(text) if text in self.accepted:
+                    self._end_later(self.accepted[text], {"result": "dead"})
                 case li.Probe(host):
                     self.pool.send(host, [])
                 case li.CloseIdle(host):
@@ -581,38 +583,40 @@
         if self._stop_at is not None:
             self._exit_if_idle()
 
-    def _refuse(self, owed: Owed, answer: li.Nack | li.Undeliverable) -> None:
+    def _refuse(self, accepted: AcceptedText, answer: li.Nack | li.Undeliverable) -> None:
         """The final answer in the turn of its arrival: the text was never taken on."""
-        self._release(owed)
+        self._release(accepted)
         if isinstance(answer, li.Nack):
-            say(log, "text-refused", text=owed.text.id, why="nack", wait_ms=answer.advice // li.MS or None)
-            owed.client.answer(f"-BUSY {answer.advice // li.MS}" if answer.advice else "-BUSY")
+            say(
+                log, "text-refused", text=accepted.text.id, why="nack", wait_ms=answer.advice // li.MS or None
+            )
+            accepted.client.answer(f"-BUSY {answer.advice // li.MS}" if answer.advice else "-BUSY")
         else:
-            say(log, "text-refused", text=owed.text.id, why="undeliverable")
-            owed.client.answer("-ERR undeliverable")
-        self.policy.text_over(self.clock.now(), owed.text.id)
+            say(log, "text-refused", text=accepted.text.id, why="undeliverable")
+            accepted.client.answer("-ERR undeliverable")
+        self.policy.text_over(self.clock.now(), accepted.text.id)
 
-    def _take_on(self, text: bytes, owed: Owed) -> None:
+    def _take_on(self, text: bytes, accepted: AcceptedText) -> None:
         """First the ledger, then the client's answer, and only then a call."""
-        row, client, names = owed.text, owed.client, self.plan.names.customers
-        owed.client = None
+        row, client, names = accepted.text, accepted.client, self.plan.names.customers
+        accepted.client = None
         if self.ledger.taken(
             text,
-            owed.body,
+            accepted.body,
             key=row.key.decode(),
-            mark=owed.mark.decode(),
+            mark=accepted.mark.decode(),
             dest=row.destination,
-            product=owed.product,
+            product=accepted.product,
             until=row.valid_until,
             customer=names[row.customer] if names else "",
             at=row.handed_in_at,
-            ordered=owed.row.in_order,
+            ordered=accepted.row.in_order,
         ):  # a number does not outlast them
-            self.text_log.taken(row, owed.key)
+            self.text_log.taken(row, accepted.key)
             client.answer("+OK")
         else:  # a disk that takes no more
             self.policy.text_over(self.clock.now(), text)
-            self._release(owed)
+            self._release(accepted)
             say(log, "text-refused", text=text, why="folder")
             client.answer("-BUSY")
 
@@ -621,16 +625,16 @@
 
         `due` counts from the decision: guards against a submit that waits past its text's validity period by
         the time that the ledger's writes have taken since."""
-        owed = self.owed[text]
+        accepted = self.accepted[text]
         most = self.plan.terms.kinds[self.hosts[host].kind].texts_per_call if host in self.hosts else 1
         if len(calls.get(host, [])) >= most:
             self.pool.send(host, calls.pop(host))
-        calls.setdefault(host, []).append(Parcel(text, owed.mark, owed.body, due, keep))
+        calls.setdefault(host, []).append(Parcel(text, accepted.mark, accepted.body, due, keep))
 
-    def _end_later(self, owed: Owed, notice: dict) -> None:
+    def _end_later(self, accepted: AcceptedText, notice: dict) -> None:
         """The final answer of a text that was taken on is a notice, owed until it is answered."""
-        self.text_log.ended(owed.text, notice["result"])
-        text = owed.text
+        self.text_log.ended(accepted.text, notice["result"])
+        text = accepted.text
         recorded = self.ledger.owed(text.id, notice)
         self.folder.end(text.id, notice, text.valid_until, recorded)
 
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -26,7 +26,7 @@
         if not driver.ready:
             return "-ERR starting"
         return (
-            f"+OK serving owed={len(driver.owed)} hosts={len(driver.catalog.directory)} "
+            f"+OK serving owed={len(driver.accepted)} hosts={len(driver.catalog.directory)} "
             f"out={len(self.out.counts)}"
             f" paused={'yes' if driver.listener.paused else 'no'}"
             f" folder={'ok' if driver.folder.gate.failing_since is None else 'failing'}"
@@ -35,7 +35,7 @@
     def pause(self) -> str:
         """Send clients away; what the relay holds goes on."""
         self._driver.listener.pause()
-        return f"+OK paused owed={len(self._driver.owed)}"
+        return f"+OK paused owed={len(self._driver.accepted)}"
 
     def resume(self) -> str:
         """Take clients again."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -271,7 +271,7 @@
     assert not clock.stopped and driver._ended
     assert client.transport.value() == b"+PONG\r\n-BUSY\r\n"
     clock.advance(0)  # the reactor has gone round, and written
-    assert clock.stopped and driver.pool.calls_out == len(driver.owed) == 0
+    assert clock.stopped and driver.pool.calls_out == len(driver.accepted) == 0
 
 
 def test_a_wait_told_to_the_other_process_while_a_connection_comes_up_holds_the_text_back(
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -139,7 +139,7 @@
     assert len(loop.lines) == 1 and driver.pool.calls_out == 0  # and none is sent a second time
     notices = {text: words["result"] for text, words in driver.notifier.owed.items()}
     if first == "answer in time":
-        assert not driver.owed and not notices
+        assert not driver.accepted and not notices
     else:
         assert notices == {text.encode(): word for text in texts}
 
@@ -170,7 +170,7 @@
         loop.pass_to(end + rest_at)
         line.dataReceived(raw[17:])
     settle(line, loop)
-    assert (not driver.owed) == delivered
+    assert (not driver.accepted) == delivered
     dead = {} if delivered else {text.encode(): {"result": "dead"} for text in texts}
     assert driver.notifier.owed == dead
 
@@ -193,11 +193,11 @@
     """The others go out again, which a host that did deliver them answers as delivered."""
     line, call = call_out(driver, loop, *texts, dest=dest, product=product, d=14_000)
     loop.pass_to(call.deadline.when)
-    assert call.deadline.when < min(driver.owed[text.encode()].text.valid_until for text in texts)
+    assert call.deadline.when < min(driver.accepted[text.encode()].text.valid_until for text in texts)
     line.dataReceived(answer(*texts))
     settle(line, loop)
     assert set(driver.notifier.owed) == (set() if again else {text.encode() for text in texts})
-    assert set(driver.owed) == {text.encode() for text in texts}
+    assert set(driver.accepted) == {text.encode() for text in texts}
     if again:
         assert {held.ran_at for held in driver.policy.texts.values()} == {call.sent}
 
@@ -236,7 +236,7 @@
 
     monkeypatch.setattr(driver.ledger, "taken", slowly)
     line, call = call_out(driver, loop, *texts, dest=dest)
-    ends = [driver.owed[text.encode()].text.valid_until for text in texts]
+    ends = [driver.accepted[text.encode()].text.valid_until for text in texts]
     assert call.deadline.when == min(ends) and [each.due for each in call.parcels] == ends
     assert line.ending is None
     loop.pass_to(min(ends))
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -149,7 +149,7 @@
     assert life.ended == {b"c": "dead"} | ({} if repeated else {b"n": "dead", b"y": "bounced"})
     assert all(life.effects[text] == 1 for text in (b"n", b"y", b"c"))
     life.answered(Result.DELIVERED)
-    assert set(life.driver.owed) == set(life.ended)  # nothing is lost, and nothing else owed
+    assert set(life.driver.accepted) == set(life.ended)  # nothing is lost, and nothing else owed
 
 
 @pytest.mark.parametrize("late", [S // 2, 7 * S // 10])
