--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -420,10 +420,10 @@
 
     def _tell_of_sibling(self) -> None:
         """What hosts have told the other process of this relay, and how it found them."""
-        for host, until in self.handover.waits.items():
+        for host, until in self.handover.host_waits.items():
             self.policy.wait_told_to_sibling(host, until)
         now = self.clock.now()
-        for host, found in self.handover.healths.items():
+        for host, found in self.handover.host_health.items():
             self.policy.health_told_to_sibling(now, host, found.health, found.at)
 
     def _leave(self, host: li.HostId) -> None:
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -13,7 +13,7 @@
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.ledger import Ledger
-from limelatch.relay.records import Book, Entry, HostHealth
+from limelatch.relay.records import LedgerState, Entry, HostHealth
 from limelatch.relay.sibling import Sibling
 
 NEWS_KEPT = 20 * SECOND  # what the other process knew of hosts, for destinations met after its end
@@ -41,22 +41,22 @@
         self._ledger, self._clock, self._deadlines, self._order = ledger, clock, deadlines, order
         self._is_ordered, self._adopt, self._soon = is_ordered, adopt, soon
         self._sibling, self._sibling_known, self._share = Sibling(ledger), ledger.beside, share
-        self.waits: dict[HostId, int] = {}  # told to the other process, until when
-        self.healths: dict[HostId, HostHealth] = {}  # found by the other process
+        self.host_waits: dict[HostId, int] = {}  # told to the other process, until when
+        self.host_health: dict[HostId, HostHealth] = {}  # found by the other process
         self.has_news = ledger.beside  # whether `look` may tell anything; a plain value, asked in each turn
 
     def start(self) -> None:
         """Follow the sibling from now on, where there is one or one may come."""
-        self.learn(self._ledger.book)
+        self.learn(self._ledger.state)
         if self._sibling_known:
             self._share(True)
         look = self._take_over if self._ledger.beside else self._take_seat
         self._deadlines.after(SIBLING_LOOK, look)
 
-    def learn(self, book: Book) -> None:
+    def learn(self, state: LedgerState) -> None:
         """Rests that a ledger tells bind this process too."""
         now = self._clock.now()
-        for key, rest in book.rests.items():
+        for key, rest in state.cooldowns.items():
             if rest.until > now:
                 self._order.rest(key, rest.text, rest.until)
 
@@ -64,23 +64,23 @@
         """Tell the order of keys, and the waits, what the sibling holds by now."""
         if not self._sibling_known:
             return
-        book = self._sibling.look()
+        state = self._sibling.look()
         self._ledger.sibling_needs = self._sibling.bytes_needed
-        if book is None:
+        if state is None:
             self._order.sibling_holds(())
             self._forget_sibling()
             return
-        self.learn(book)
-        self._order.sibling_holds(self._places(book))
-        self._hear(book)
+        self.learn(state)
+        self._order.sibling_holds(self._places(state))
+        self._hear(state)
 
-    def _hear(self, book: Book) -> None:
+    def _hear(self, state: LedgerState) -> None:
         now = self._clock.now()
-        self.waits = {host: until for host, until in book.waits.items() if until > now}
-        self.healths = book.healths
+        self.host_waits = {host: until for host, until in state.host_waits.items() if until > now}
+        self.host_health = state.host_health
 
-    def _places(self, book: Book) -> Iterator[tuple[Key, Place]]:
-        for entry in book.entries.values():
+    def _places(self, state: LedgerState) -> Iterator[tuple[Key, Place]]:
+        for entry in state.entries.values():
             ordered = entry.in_order
             if ordered is None:
                 ordered = self._is_ordered(entry.pairs["product"])
@@ -90,8 +90,8 @@
     def holds(self, text: bytes) -> bool:
         """Whether the other process has taken this text on: its client hands it in again, under the same id,
         where the process that it was handed to has closed the connection or died."""
-        book = self._sibling.look() if self._sibling_known else None
-        return book is not None and text in book.entries
+        state = self._sibling.look() if self._sibling_known else None
+        return state is not None and text in state.entries
 
     def claim(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
         """Have the submit of a text in order recorded by `going`, if it still has its key's turn.
@@ -120,9 +120,9 @@
             self._soon()  # a key that the process before has freed meanwhile is taken up
             self._deadlines.after(SIBLING_LOOK, self._take_over)
             return
-        self._hear(self._ledger.book)
+        self._hear(self._ledger.state)
         self._order.sibling_holds(())
-        self.learn(self._ledger.book)
+        self.learn(self._ledger.state)
         self._forget_sibling()
         self._adopt(adopted)
         self._deadlines.after(SEAT_LOOK, self._take_seat)
@@ -136,7 +136,7 @@
     def _forget_news(self) -> None:
         """What the other process knew of hosts is old."""
         if not self._sibling_known:
-            self.waits, self.healths, self.has_news = {}, {}, False
+            self.host_waits, self.host_health, self.has_news = {}, {}, False
 
     def _forget_sibling(self) -> None:
         """There is one process again."""
@@ -150,8 +150,8 @@
         """In the folder: what a successor that has ended left in its seat is this process's."""
         if self._ledger.seat_left and (adopted := self._ledger.take_seat()):
             self._order.sibling_holds(())
-            self.learn(self._ledger.book)
-            self._hear(self._ledger.book)
+            self.learn(self._ledger.state)
+            self._hear(self._ledger.state)
             self._adopt(adopted)
         if self._ledger.seat_left:
             self._meet_sibling()
--- a/limelatch/relay/inspection.py
+++ b/limelatch/relay/inspection.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from limelatch.relay.ledger import FILE
-from limelatch.relay.records import BadRecord, Book, Entry, Kind, read, split
+from limelatch.relay.records import BadRecord, LedgerState, Entry, Kind, read, split
 
 LOOKS, PAUSE = 4, 0.05  # a tail that is being written just now is whole at the next look
 
@@ -65,19 +65,19 @@
 
 def view_of(path: str, raw: bytes) -> View:
     """What these bytes of a ledger say."""
-    book, kinds, wrongs, at, count = Book(), Counter(), [], 0, 0
+    state, kinds, wrongs, at, count = LedgerState(), Counter(), [], 0, 0
     for one in split(raw):
         text = b""
         try:
             kind, text, _ = read(one)
             kinds[Kind(kind).name.lower() if kind in list(Kind) else f"kind {kind}"] += 1
-            wrong = book.apply(one)
+            wrong = state.apply(one)
         except BadRecord as error:
             wrong = f"not of this version: {error}"
         if wrong:
             wrongs.append((at, text, wrong))
         at, count = at + len(one), count + 1
-    return View(path, len(raw), book.entries, count, kinds, at, wrongs)
+    return View(path, len(raw), state.entries, count, kinds, at, wrongs)
 
 
 def state_of(entry: Entry) -> str:
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -17,7 +17,17 @@
 from contextlib import contextmanager, suppress
 
 from limelatch.interface import Health
-from limelatch.relay.records import LATER, BadRecord, Book, Entry, Kind, kept, kept_beside, record, split
+from limelatch.relay.records import (
+    LATER,
+    BadRecord,
+    LedgerState,
+    Entry,
+    Kind,
+    compacted_records,
+    records_besides_texts,
+    record,
+    split,
+)
 
 FILE, NEW_FILE, SEAT = "ledger", "ledger.new", "next"
 BLOCK = 512  # files count in whole blocks
@@ -115,7 +125,7 @@
         self.folder, self.seat, self._told = folder, folder, told
         self._whole, self._memory = disk_bytes // BLOCK * BLOCK - OTHER_FILES * BLOCK, memory_bytes
         self.leave_room(0, at_once=True)
-        self.book, self.size, self.cut, self.behind = Book(), 0, 0, b""
+        self.state, self.size, self.cut, self.behind = LedgerState(), 0, 0, b""
         self._torn = False  # a record written in part stands at the file's end
         self._failing = False  # since a call that failed, until a write works
         self.sibling_needs = 0  # bytes of the disk that the other process of an upgrade holds or will write
@@ -234,7 +244,7 @@
 
     def _absorb(self, path: str, first: bool = True) -> list[Entry]:
         """Take in the texts of another file, `first` before those held; a torn tail is left out."""
-        raw, theirs = read_whole(path), Book()
+        raw, theirs = read_whole(path), LedgerState()
         for one in split(raw):
             try:
                 theirs.apply(one)
@@ -242,25 +252,25 @@
                 continue
         adopted = [entry for text, entry in theirs.entries.items() if text not in self.entries]
         fresh = {entry.id: entry for entry in adopted}
-        self.book.entries = fresh | self.book.entries if first else self.book.entries | fresh
-        self.book.live += sum(len(entry.taken) + LATER for entry in adopted)
-        for key, rest in theirs.rests.items():
-            self.book.add_rest(key, rest, 0)
-        for host, until in theirs.waits.items():
-            self.book.add_wait(host, until, 0)
-        for host, health in theirs.healths.items():
-            self.book.add_health(host, health)
+        self.state.entries = fresh | self.state.entries if first else self.state.entries | fresh
+        self.state.live_bytes += sum(len(entry.taken) + LATER for entry in adopted)
+        for key, rest in theirs.cooldowns.items():
+            self.state.add_cooldown(key, rest, 0)
+        for host, until in theirs.host_waits.items():
+            self.state.add_wait(host, until, 0)
+        for host, health in theirs.host_health.items():
+            self.state.add_health(host, health)
         return adopted
 
     def _leave(self, adopted: list[Entry]) -> None:
         """What was taken in stays with the other file, since it can't be written to this one."""
         for entry in adopted:
-            self.book.live -= len(entry.taken) + LATER
+            self.state.live_bytes -= len(entry.taken) + LATER
             del self.entries[entry.id]
 
     @property
     def entries(self) -> dict[bytes, Entry]:
-        return self.book.entries
+        return self.state.entries
 
     def close(self) -> None:
         """Give the folder back."""
@@ -271,7 +281,7 @@
         raw, at = read_whole(self.path), 0
         for one in split(raw):
             try:
-                self.book.apply(one)
+                self.state.apply(one)
             except BadRecord as error:  # whole, and yet not of this version: to cut it would lose texts
                 raise ForeignLedger(
                     errno.EINVAL, f"a record at byte {at} is not of this version: {error}", self.path
@@ -285,7 +295,9 @@
     def leave_room(self, size: int, at_once: bool = False) -> bool:
         """Leave so many bytes of the disk to another file of the folder; not where the ledger needs them."""
         disk = self._whole - (-size // BLOCK * -BLOCK)
-        if not at_once and (size > self._whole * BESIDE_SHARE or self.size + self.book.live > disk - BLOCK):
+        if not at_once and (
+            size > self._whole * BESIDE_SHARE or self.size + self.state.live_bytes > disk - BLOCK
+        ):
             return False
         self.disk, self.live_most = disk, min(disk * LIVE_SHARE, self._memory * MEMORY_SHARE)
         return True
@@ -293,7 +305,7 @@
     def has_room(self, body: int) -> bool:
         """Whether one more text fits, with all that will be written of it and of the others."""
         own_disk = max(0, self.disk - self.sibling_needs)
-        return self.book.live + body + 2 * LATER <= min(self.live_most, own_disk * LIVE_SHARE)
+        return self.state.live_bytes + body + 2 * LATER <= min(self.live_most, own_disk * LIVE_SHARE)
 
     def taken(self, text: bytes, body: bytes, **pairs: object) -> bool:
         """Whether the text is in the ledger; else it is not taken on."""
@@ -315,7 +327,7 @@
 
     def told_wait(self, host: bytes, until: int, now: int) -> None:
         """A host has told to wait; one record for the texts of a batch."""
-        if until > self.book.waits.get(host, 0):
+        if until > self.state.host_waits.get(host, 0):
             self._write(Kind.WAIT, host, {"at": now, "until": until})
 
     def owed(self, text: bytes, notice: dict) -> bool:
@@ -336,7 +348,7 @@
         if not written and must:
             self.behind = b""  # nothing else was behind
             return False
-        self.book.apply(one)
+        self.state.apply(one)
         return written
 
     def _needs_compaction(self, more: int) -> bool:
@@ -345,9 +357,9 @@
         At half of it already, unless most of the file is still needed: so there is room for the ledger of
         a successor."""
         size, room = self.size + more, self.disk - self.sibling_needs - BLOCK
-        if size + self.book.live > room:
+        if size + self.state.live_bytes > room:
             return True
-        return size + self.book.live > room // 2 and size > DEAD_TIMES * self.book.live
+        return size + self.state.live_bytes > room // 2 and size > DEAD_TIMES * self.state.live_bytes
 
     def _flush(self) -> bool:
         """Write what is behind; of a record written in part nothing stays before the next one."""
@@ -397,8 +409,8 @@
         """Write what still matters to a new file, in the order of the texts; put it in place.
 
         Where it can't be written the old file stays."""
-        parts = [kept(entry) for entry in self.entries.values()]
-        records, new = b"".join([*parts, *kept_beside(self.book)]), None
+        parts = [compacted_records(entry) for entry in self.entries.values()]
+        records, new = b"".join([*parts, *records_besides_texts(self.state)]), None
         try:
             with named("open", self._new):
                 new = os.open(self._new, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -19,7 +19,7 @@
 
 HEAD = struct.Struct(">II")  # length and checksum of what follows
 NAMES = struct.Struct(">BH")  # kind of record and length of its pairs; a body follows these
-HEALTHS_MOST = 256  # hosts of which a ledger's reader knows how they were
+MAX_HOST_HEALTH = 256  # hosts of which a ledger's reader knows how they were
 LATER = 384  # kept free for a text's state and its notice, which are all that a new file holds beside it
 
 
@@ -117,7 +117,7 @@
     at: int
 
 
-class Book:
+class LedgerState:
     """The texts that are not over, in the order they were taken, and the bytes that their records need.
 
     `rests`, `waits` and `healths` outlast their texts: keys that rest, until when hosts have asked to wait,
@@ -125,44 +125,44 @@
 
     def __init__(self) -> None:
         self.entries: dict[bytes, Entry] = {}
-        self.rests: dict[bytes, Rest] = {}
-        self.waits: dict[bytes, int] = {}
-        self.healths: dict[bytes, HostHealth] = {}
-        self.live = 0
+        self.cooldowns: dict[bytes, Rest] = {}
+        self.host_waits: dict[bytes, int] = {}
+        self.host_health: dict[bytes, HostHealth] = {}
+        self.live_bytes = 0
 
-    def add_rest(self, key: bytes, rest: Rest, now: int) -> None:
+    def add_cooldown(self, key: bytes, rest: Rest, now: int) -> None:
         """The longest rest of the key holds."""
-        for each in [known for known, old in self.rests.items() if old.until <= now]:
-            self._drop_rest(each)
-        if key in self.rests and self.rests[key].until >= rest.until:
+        for each in [known for known, old in self.cooldowns.items() if old.until <= now]:
+            self._drop_cooldown(each)
+        if key in self.cooldowns and self.cooldowns[key].until >= rest.until:
             return
-        self._drop_rest(key)
-        self.rests[key] = rest
-        self.live += len(kept_rest(key, rest))
+        self._drop_cooldown(key)
+        self.cooldowns[key] = rest
+        self.live_bytes += len(cooldown_record(key, rest))
 
-    def _drop_rest(self, key: bytes) -> None:
-        if (rest := self.rests.pop(key, None)) is not None:
-            self.live -= len(kept_rest(key, rest))
+    def _drop_cooldown(self, key: bytes) -> None:
+        if (rest := self.cooldowns.pop(key, None)) is not None:
+            self.live_bytes -= len(cooldown_record(key, rest))
 
     def add_health(self, host: bytes, health: HostHealth) -> None:
         """The last news of a host holds; of too many hosts the oldest goes."""
         self._drop_health(host)
-        self.healths[host] = health
-        self.live += len(kept_health(host, health))
-        if len(self.healths) > HEALTHS_MOST:
-            self._drop_health(next(iter(self.healths)))
+        self.host_health[host] = health
+        self.live_bytes += len(health_record(host, health))
+        if len(self.host_health) > MAX_HOST_HEALTH:
+            self._drop_health(next(iter(self.host_health)))
 
     def _drop_health(self, host: bytes) -> None:
-        if (health := self.healths.pop(host, None)) is not None:
-            self.live -= len(kept_health(host, health))
+        if (health := self.host_health.pop(host, None)) is not None:
+            self.live_bytes -= len(health_record(host, health))
 
     def add_wait(self, host: bytes, until: int, now: int) -> None:
         """The longest wait of the host holds."""
-        longest = max(until, self.waits.get(host, 0))
-        for each in [known for known, end in self.waits.items() if end <= now or known == host]:
-            self.live -= len(kept_wait(each, self.waits.pop(each)))
-        self.waits[host] = longest
-        self.live += len(kept_wait(host, longest))
+        longest = max(until, self.host_waits.get(host, 0))
+        for each in [known for known, end in self.host_waits.items() if end <= now or known == host]:
+            self.live_bytes -= len(wait_record(each, self.host_waits.pop(each)))
+        self.host_waits[host] = longest
+        self.live_bytes += len(wait_record(host, longest))
 
     def apply(self, raw: bytes) -> str | None:
         """Take in the next record; in words, what is wrong with it in this place, else None.
@@ -181,7 +181,7 @@
         if kind == Kind.BLANK:
             return None
         if kind == Kind.REST:
-            self.add_rest(pairs["key"].encode(), Rest(pairs["until"], text), 0)
+            self.add_cooldown(pairs["key"].encode(), Rest(pairs["until"], text), 0)
             return None
         if kind == Kind.HEALTH:
             self.add_health(text, HostHealth(Health(pairs["health"]), pairs["at"]))
@@ -191,7 +191,7 @@
             return None
         if kind == Kind.TAKEN:
             self.entries[text] = Entry(text, pairs, taken=raw)
-            self.live += len(raw) + LATER
+            self.live_bytes += len(raw) + LATER
             return None if entry is None else "taken a second time"
         if entry is None:
             return "nothing was taken on under this id"
@@ -209,7 +209,7 @@
                 if not entry.ran:
                     entry.ran_at = entry.ran_zone = None
                 if "rest" in pairs:
-                    self.add_rest(entry.key, Rest(pairs["rest"], text), pairs["at"])
+                    self.add_cooldown(entry.key, Rest(pairs["rest"], text), pairs["at"])
                 return wrong
             case Kind.STATE:
                 entry.submits, entry.out, entry.ran = pairs["submits"], pairs["out"], pairs["ran"]
@@ -217,38 +217,38 @@
             case Kind.OWED:
                 entry.out, entry.notice = False, pairs["notice"]
             case Kind.OVER:
-                self.live -= len(entry.taken) + LATER
+                self.live_bytes -= len(entry.taken) + LATER
                 del self.entries[text]
             case _:
                 return f"a record of kind {kind}, which this version does not know"
         return None
 
 
-def kept_rest(key: bytes, rest: Rest) -> bytes:
+def cooldown_record(key: bytes, rest: Rest) -> bytes:
     """A rest's own record."""
     return record(Kind.REST, rest.text, {"key": key.decode(), "until": rest.until})
 
 
-def kept_wait(host: bytes, until: int) -> bytes:
+def wait_record(host: bytes, until: int) -> bytes:
     """A wait's record, of no time of its own."""
     return record(Kind.WAIT, host, {"at": 0, "until": until})
 
 
-def kept_health(host: bytes, health: HostHealth) -> bytes:
+def health_record(host: bytes, health: HostHealth) -> bytes:
     """The record of how a host was."""
     return record(Kind.HEALTH, host, {"health": health.health.value, "at": health.at})
 
 
-def kept_beside(book: Book) -> Iterator[bytes]:
+def records_besides_texts(state: LedgerState) -> Iterator[bytes]:
     """What a new file holds beside the texts: rests, waits, and how hosts were.
 
     Guards against a follower that finds a new file in the place of the one it has not read to its end."""
-    yield from (kept_rest(key, rest) for key, rest in book.rests.items())
-    yield from (kept_wait(host, until) for host, until in book.waits.items())
-    yield from (kept_health(host, health) for host, health in book.healths.items())
+    yield from (cooldown_record(key, rest) for key, rest in state.cooldowns.items())
+    yield from (wait_record(host, until) for host, until in state.host_waits.items())
+    yield from (health_record(host, health) for host, health in state.host_health.items())
 
 
-def kept(entry: Entry) -> bytes:
+def compacted_records(entry: Entry) -> bytes:
     """What still matters of a text: as it was taken, its state in one record, the notice it is owed."""
     state = {
         "submits": entry.submits,
--- a/limelatch/relay/sibling.py
+++ b/limelatch/relay/sibling.py
@@ -14,7 +14,7 @@
 from contextlib import contextmanager, suppress
 
 from limelatch.relay.ledger import NO_LOCKS, Ledger, close_quietly
-from limelatch.relay.records import BadRecord, Book, split
+from limelatch.relay.records import BadRecord, LedgerState, split
 
 CLAIMS = "claims"  # the file that is locked; it stays empty
 CLAIM_TRIES, CLAIM_PAUSE = 5, 0.0005  # seconds; the sibling holds the lock for one look and one write
@@ -24,26 +24,26 @@
     """Reads what another process adds to its ledger, at any path that it has at the time."""
 
     def __init__(self) -> None:
-        self._path, self._file, self._read, self._book = "", -1, 0, Book()
+        self._path, self._file, self._read, self._state = "", -1, 0, LedgerState()
 
-    def look(self, path: str) -> Book | None:
+    def look(self, path: str) -> LedgerState | None:
         """What the ledger says by now, what it said last where it can't be read; None where there is none."""
         try:
             self._open(path)
             size = os.fstat(self._file).st_size
             if size < self._read:  # emptied in place
-                self._read, self._book = 0, Book()
+                self._read, self._state = 0, LedgerState()
             raw = os.pread(self._file, size - self._read, self._read)
         except FileNotFoundError:
             self.close()
             return None
         except OSError:
-            return self._book if self._file >= 0 else None
+            return self._state if self._file >= 0 else None
         for one in split(raw):
             self._read += len(one)
             with suppress(BadRecord):  # of another version: it says nothing of keys
-                self._book.apply(one)
-        return self._book
+                self._state.apply(one)
+        return self._state
 
     def _open(self, path: str) -> None:
         """Open the file that stands at the path now.
@@ -60,13 +60,13 @@
     @property
     def bytes_needed(self) -> int:
         """Of the disk, by the ledger that is followed: its file, and a new one with what is still open."""
-        return self._read + self._book.live
+        return self._read + self._state.live_bytes
 
     def close(self) -> None:
         """Forget the ledger that was followed."""
         if self._file >= 0:
             close_quietly(self._file)
-        self._path, self._file, self._read, self._book = "", -1, 0, Book()
+        self._path, self._file, self._read, self._state = "", -1, 0, LedgerState()
 
 
 class Sibling:
@@ -81,7 +81,7 @@
         """Whether another process serves beside this one, or has left texts behind."""
         return os.path.exists(self._ledger.sibling_path)
 
-    def look(self) -> Book | None:
+    def look(self) -> LedgerState | None:
         """What it holds by now; None where there is no other process."""
         return self._follower.look(self._ledger.sibling_path)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -296,7 +296,7 @@
     driver.policy.log.append(LogLine("sick", TWIN, Health.SICK))
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it, and has turned
-    assert driver.ledger.book.healths[TWIN].health is Health.SICK
+    assert driver.ledger.state.host_health[TWIN].health is Health.SICK
     beside.found_health(HOST, Health.SICK, clock.now())
     clock.advance(0.2)
     assert driver.policy.hosts[HOST].sick and driver.policy.processes == 2
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -245,7 +245,7 @@
     left.clock.advance(5)
     assert left.claim(b"c") is None
     again = ledger_in_place_of(left)
-    assert again.book.rests[KEY].until == 50_000 and list(again.entries) != []
+    assert again.state.cooldowns[KEY].until == 50_000 and list(again.entries) != []
     again.close()
 
 
@@ -271,10 +271,10 @@
     old, new = pair
     old.ledger.told_wait(b"h", 70, 0)
     new.handover.look()
-    assert new.handover.waits == {b"h": 70}
+    assert new.handover.host_waits == {b"h": 70}
     new.clock.advance(0.01)
     new.handover.look()
-    assert new.handover.waits == {}
+    assert new.handover.host_waits == {}
     assert SIBLING_LOOK < S
 
 
@@ -295,17 +295,17 @@
     old.ledger.ended(b"a", True, 0, 900)
     old.ledger.told_wait(b"h", 700, 0)
     old.ledger.found_health(b"h", Health.SICK, 3)
-    live = old.ledger.book.live
+    live = old.ledger.state.live_bytes
     old.ledger.compact()
     new.handover.look()
-    assert new.handover.waits == {b"h": 700} and new.order.rests[KEY].until == 900
-    assert new.handover.healths == {b"h": HostHealth(Health.SICK, 3)}
+    assert new.handover.host_waits == {b"h": 700} and new.order.rests[KEY].until == 900
+    assert new.handover.host_health == {b"h": HostHealth(Health.SICK, 3)}
     again = ledger_in_place_of(old)
-    assert again.book.live == live
+    assert again.state.live_bytes == live
     again.over(b"a")
     again.told_wait(b"h", 800, 750)
     again.told_wait(b"i", 990, 850)
-    assert again.book.waits == {b"i": 990}
+    assert again.state.host_waits == {b"i": 990}
     again.close()
 
 
@@ -314,9 +314,9 @@
     old.ledger.found_health(b"h", Health.SICK, 7)
     old.ledger.found_health(b"h", Health.WARMING, 9)
     new.handover.look()
-    assert new.handover.healths == {b"h": HostHealth(Health.WARMING, 9)}
+    assert new.handover.host_health == {b"h": HostHealth(Health.WARMING, 9)}
     old.ledger.close()
     new.clock.advance(0.2)
-    assert not new.ledger.beside and new.handover.healths == {b"h": HostHealth(Health.WARMING, 9)}
+    assert not new.ledger.beside and new.handover.host_health == {b"h": HostHealth(Health.WARMING, 9)}
     new.clock.advance(30)
-    assert new.handover.healths == {} and not new.handover.has_news
+    assert new.handover.host_health == {} and not new.handover.has_news
