--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -144,13 +144,13 @@
     Mutant(
         "the texts of the old process",
         "relay/handover.py",
-        "self._adopt(adopted)\n        self._deadlines.after(SEAT_LOOK, self._take_seat)",
-        "self._deadlines.after(SEAT_LOOK, self._take_seat)",
+        "self._adopt(adopted)\n        self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)",
+        "self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)",
     ),
     Mutant(
         "the texts of a successor that died",
         "relay/handover.py",
-        "if self._ledger.seat_left and (adopted := self._ledger.take_seat()):",
+        "if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):",
         "if False:",
     ),
     Mutant(
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -21,7 +21,7 @@
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.door import Door, HostsOut
 from limelatch.relay.storage_monitor import FolderWatch
-from limelatch.relay.handover import NOTICED_AFTER, Handover
+from limelatch.relay.handover import SUCCESSOR_NOTICED_AFTER, Handover
 from limelatch.relay.hosts import Call, Outcome, Parcel, HostPool
 from limelatch.relay.ledger import Ledger
 from limelatch.relay.list_copy import ListCopy
@@ -80,7 +80,7 @@
         self.ledger = Ledger(plan.state, plan.disk_bytes, plan.memory_bytes, self.folder.told)
         self.folder.ledger = self.ledger
         self.wall_watch = WallWatch(
-            clock, self.deadlines, AnchorFile(plan.state), lambda: not self.ledger.beside
+            clock, self.deadlines, AnchorFile(plan.state), lambda: not self.ledger.is_standby
         )
         self.handover = Handover(
             self.ledger,
@@ -93,7 +93,7 @@
             self._share_limits,
         )
         self._handed_in_last = 0
-        self._serves_from = clock.now() + (NOTICED_AFTER if self.ledger.beside else 0)
+        self._serves_from = clock.now() + (SUCCESSOR_NOTICED_AFTER if self.ledger.is_standby else 0)
         self.slots: Slots[AcceptedText] = Slots(max(plan.terms.max_texts, len(self.ledger.entries)))
         self.accepted: dict[bytes, AcceptedText] = {}
         self.arrived: dict[bytes, AcceptedText] = {}  # this turn, not taken on yet
@@ -218,7 +218,7 @@
         if not self.ready and self._stop_at is None and not self.failed:
             listen = self.plan.listen
             try:
-                self.listener.listen(self.reactor, listen.host, listen.port, self.ledger.beside)
+                self.listener.listen(self.reactor, listen.host, listen.port, self.ledger.is_standby)
             except CannotListenError as error:
                 self._port_taken(error)
                 return
@@ -281,7 +281,7 @@
             return
         now = self.clock.now()
         self._stop_at, self._stop_least_at = now + self.plan.stop_wait, now + self.plan.stop_least
-        handed_over = self.ready and self.ledger.successor()
+        handed_over = self.ready and self.ledger.has_successor()
         self.policy.stopping(self._stop_at)
         self.listener.stop(handed_over)
         say(log, "stopping", owed=len(self.accepted), calls=self.pool.calls_out, handed_over=handed_over)
@@ -415,7 +415,7 @@
 
     def _hear_sibling(self) -> None:
         """Take in what the other process of this relay holds and knows by now."""
-        self.handover.look()
+        self.handover.poll()
         self._tell_of_sibling()
 
     def _tell_of_sibling(self) -> None:
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -17,9 +17,11 @@
 from limelatch.relay.sibling import Sibling
 
 NEWS_KEPT = 20 * SECOND  # what the other process knew of hosts, for destinations met after its end
-SIBLING_LOOK = SECOND // 10  # between two looks at a sibling that is there
-SEAT_LOOK = SECOND // 4  # between two looks whether one has come: a notice is overdue after 0.3 s
-NOTICED_AFTER = SEAT_LOOK + SIBLING_LOOK // 2  # by then the old process has seen that it has a successor
+SIBLING_POLL_INTERVAL = SECOND // 10  # between two looks at a sibling that is there
+STANDBY_POLL_INTERVAL = SECOND // 4  # between two looks whether one has come: a notice is overdue after 0.3 s
+SUCCESSOR_NOTICED_AFTER = (
+    STANDBY_POLL_INTERVAL + SIBLING_POLL_INTERVAL // 2
+)  # by then the old process has seen that it has a successor
 
 
 class Handover:
@@ -40,18 +42,20 @@
         another process; `soon` has the module decide; `share` is told whether there are two processes now."""
         self._ledger, self._clock, self._deadlines, self._order = ledger, clock, deadlines, order
         self._is_ordered, self._adopt, self._soon = is_ordered, adopt, soon
-        self._sibling, self._sibling_known, self._share = Sibling(ledger), ledger.beside, share
+        self._sibling, self._sibling_known, self._share = Sibling(ledger), ledger.is_standby, share
         self.host_waits: dict[HostId, int] = {}  # told to the other process, until when
         self.host_health: dict[HostId, HostHealth] = {}  # found by the other process
-        self.has_news = ledger.beside  # whether `look` may tell anything; a plain value, asked in each turn
+        self.has_news = (
+            ledger.is_standby
+        )  # whether `look` may tell anything; a plain value, asked in each turn
 
     def start(self) -> None:
         """Follow the sibling from now on, where there is one or one may come."""
         self.learn(self._ledger.state)
         if self._sibling_known:
             self._share(True)
-        look = self._take_over if self._ledger.beside else self._take_seat
-        self._deadlines.after(SIBLING_LOOK, look)
+        look = self._take_over if self._ledger.is_standby else self._adopt_standby
+        self._deadlines.after(SIBLING_POLL_INTERVAL, look)
 
     def learn(self, state: LedgerState) -> None:
         """Rests that a ledger tells bind this process too."""
@@ -60,12 +64,12 @@
             if rest.until > now:
                 self._order.rest(key, rest.text, rest.until)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Tell the order of keys, and the waits, what the sibling holds by now."""
         if not self._sibling_known:
             return
-        state = self._sibling.look()
-        self._ledger.sibling_needs = self._sibling.bytes_needed
+        state = self._sibling.poll()
+        self._ledger.sibling_bytes = self._sibling.bytes_needed
         if state is None:
             self._order.sibling_holds(())
             self._forget_sibling()
@@ -90,7 +94,7 @@
     def holds(self, text: bytes) -> bool:
         """Whether the other process has taken this text on: its client hands it in again, under the same id,
         where the process that it was handed to has closed the connection or died."""
-        state = self._sibling.look() if self._sibling_known else None
+        state = self._sibling.poll() if self._sibling_known else None
         return state is not None and text in state.entries
 
     def claim(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
@@ -104,7 +108,7 @@
         with self._sibling.claiming() as held:
             if not held:
                 return Hold.SIBLING
-            self.look()
+            self.poll()
             return self._go(key, text, going)
 
     def _go(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
@@ -118,14 +122,14 @@
         adopted = self._ledger.take_over()
         if adopted is None:
             self._soon()  # a key that the process before has freed meanwhile is taken up
-            self._deadlines.after(SIBLING_LOOK, self._take_over)
+            self._deadlines.after(SIBLING_POLL_INTERVAL, self._take_over)
             return
         self._hear(self._ledger.state)
         self._order.sibling_holds(())
         self.learn(self._ledger.state)
         self._forget_sibling()
         self._adopt(adopted)
-        self._deadlines.after(SEAT_LOOK, self._take_seat)
+        self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)
 
     def _meet_sibling(self) -> None:
         """There are two processes from now on."""
@@ -144,18 +148,20 @@
         self._sibling_known = False
         self._share(False)
         self._sibling.close()
-        self._ledger.sibling_needs = 0
+        self._ledger.sibling_bytes = 0
 
-    def _take_seat(self) -> None:
+    def _adopt_standby(self) -> None:
         """In the folder: what a successor that has ended left in its seat is this process's."""
-        if self._ledger.seat_left and (adopted := self._ledger.take_seat()):
+        if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):
             self._order.sibling_holds(())
             self.learn(self._ledger.state)
             self._hear(self._ledger.state)
             self._adopt(adopted)
-        if self._ledger.seat_left:
+        if self._ledger.has_abandoned_standby:
             self._meet_sibling()
             self._soon()
         elif self._sibling_known:
             self._forget_sibling()
-        self._deadlines.after(SIBLING_LOOK if self._sibling_known else SEAT_LOOK, self._take_seat)
+        self._deadlines.after(
+            SIBLING_POLL_INTERVAL if self._sibling_known else STANDBY_POLL_INTERVAL, self._adopt_standby
+        )
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -29,13 +29,16 @@
     split,
 )
 
-FILE, NEW_FILE, SEAT = "ledger", "ledger.new", "next"
+FILE, NEW_FILE, STANDBY_DIR = "ledger", "ledger.new", "next"
 BLOCK = 512  # files count in whole blocks
 DEAD_TIMES = 2  # the file's size in what is still needed of it, from which a new one is worth its writing
 LIVE_SHARE = 0.4  # of the disk, for records of texts that are not over; the rest: growth, the new file
 BESIDE_SHARE = 0.125  # of the disk at the most, for the copy of the list and the new one beside it
 MEMORY_SHARE = 0.1  # of the memory, for the same records, which are kept there too
-SEAT_LOOKS, SEAT_PAUSE = 20, 0.01  # seconds: the old process takes the seat's lock for a look at times
+STANDBY_LOCK_TRIES, STANDBY_LOCK_PAUSE = (
+    20,
+    0.01,
+)  # seconds: the old process takes the seat's lock for a look at times
 OTHER_FILES = 4  # in blocks: the hosts out, the clock, and a new one of either
 NO_LOCKS = (errno.ENOLCK, errno.EOPNOTSUPP, errno.ENOSYS)  # a file system without locks
 
@@ -96,16 +99,16 @@
         raw = raw[os.write(file, raw) :]
 
 
-def lock_seat(seat: str) -> int:
+def lock_standby(standby: str) -> int:
     """Hold the seat; FolderInUse where a third process does.
 
     Guards against a new process that is refused because the old one looks just then whether it waits."""
-    for _ in range(SEAT_LOOKS):
+    for _ in range(STANDBY_LOCK_TRIES):
         try:
-            return lock(seat)
+            return lock(standby)
         except FolderInUse:
-            time.sleep(SEAT_PAUSE)
-    return lock(seat)
+            time.sleep(STANDBY_LOCK_PAUSE)
+    return lock(standby)
 
 
 class Ledger:
@@ -122,34 +125,36 @@
         memory_bytes: int,
         told: Callable[[OSError | None], None] = lambda error: None,
     ) -> None:
-        self.folder, self.seat, self._told = folder, folder, told
+        self.folder, self.directory, self._told = folder, folder, told
         self._whole, self._memory = disk_bytes // BLOCK * BLOCK - OTHER_FILES * BLOCK, memory_bytes
         self.leave_room(0, at_once=True)
         self.state, self.size, self.cut, self.behind = LedgerState(), 0, 0, b""
         self._torn = False  # a record written in part stands at the file's end
         self._failing = False  # since a call that failed, until a write works
-        self.sibling_needs = 0  # bytes of the disk that the other process of an upgrade holds or will write
+        self.sibling_bytes = 0  # bytes of the disk that the other process of an upgrade holds or will write
         self._emptied_later: list[str] = []  # files taken in that could not be removed
         try:
             self._lock = lock(folder)
         except FolderInUse:  # an upgrade: the process before still holds it; a third one is refused
-            self.seat = os.path.join(folder, SEAT)
-            with named("mkdir", self.seat):
-                os.makedirs(self.seat, exist_ok=True)
-            self._lock = lock_seat(self.seat)
+            self.directory = os.path.join(folder, STANDBY_DIR)
+            with named("mkdir", self.directory):
+                os.makedirs(self.directory, exist_ok=True)
+            self._lock = lock_standby(self.directory)
         # The other process's ledger in an upgrade: the folder's, seen from the seat, and the other way.
-        self.sibling_path = os.path.join(folder, FILE) if self.beside else os.path.join(folder, SEAT, FILE)
+        self.sibling_path = (
+            os.path.join(folder, FILE) if self.is_standby else os.path.join(folder, STANDBY_DIR, FILE)
+        )
         try:
             self._open()
             self._replay()
         except OSError:
             close_quietly(self._lock)  # else a further try would find the folder in use
             raise
-        if self.seat_left:
-            self.take_seat()
+        if self.has_abandoned_standby:
+            self.adopt_standby()
 
     def _open(self) -> None:
-        self.path, self._new = os.path.join(self.seat, FILE), os.path.join(self.seat, NEW_FILE)
+        self.path, self._new = os.path.join(self.directory, FILE), os.path.join(self.directory, NEW_FILE)
         with suppress(OSError):  # a compaction that the end of the process cut short; the next one empties it
             os.remove(self._new)
         with named("open", self.path):
@@ -158,12 +163,12 @@
     @property
     def beside(self) -> bool:
         """Whether this process waits in the seat for the one before it to end."""
-        return self.seat != self.folder
+        return self.directory != self.folder
 
-    def successor(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a new process waits in the seat: the old one then hands clients over to it."""
         try:
-            os.close(lock(os.path.join(self.folder, SEAT)))
+            os.close(lock(os.path.join(self.folder, STANDBY_DIR)))
         except FolderInUse:
             return True
         except OSError:  # no seat: nobody waits
@@ -182,29 +187,29 @@
         except OSError as error:
             self._failed(error)
             return None
-        seat_file, seat_lock, paths = self.path, self._lock, (self.path, self._new)
+        standby_file, standby_lock, paths = self.path, self._lock, (self.path, self._new)
         self.path, self._new = os.path.join(self.folder, FILE), os.path.join(self.folder, NEW_FILE)
         adopted = self._adopt(self.path)
         if adopted is None:
             self.path, self._new = paths
             close_quietly(held)
             return None
-        self._lock, self.seat, self.sibling_path = held, self.folder, seat_file
-        self._empty(seat_file)
-        close_quietly(seat_lock)
+        self._lock, self.directory, self.sibling_path = held, self.folder, standby_file
+        self._empty(standby_file)
+        close_quietly(standby_lock)
         return adopted
 
     @property
-    def seat_left(self) -> bool:
+    def has_abandoned_standby(self) -> bool:
         """Whether a successor that ended before it took over has left texts in its seat."""
-        return not self.beside and os.path.exists(self.sibling_path)
+        return not self.is_standby and os.path.exists(self.sibling_path)
 
-    def take_seat(self) -> list[Entry] | None:
+    def adopt_standby(self) -> list[Entry] | None:
         """The texts that a successor left in its seat are this process's now; None where that has to be tried
         again, and none where the successor lives: it takes this folder over itself."""
         path = self.sibling_path
         try:
-            held = lock(os.path.join(self.folder, SEAT))
+            held = lock(os.path.join(self.folder, STANDBY_DIR))
         except FolderInUse:
             return []
         except OSError as error:
@@ -304,7 +309,7 @@
 
     def has_room(self, body: int) -> bool:
         """Whether one more text fits, with all that will be written of it and of the others."""
-        own_disk = max(0, self.disk - self.sibling_needs)
+        own_disk = max(0, self.disk - self.sibling_bytes)
         return self.state.live_bytes + body + 2 * LATER <= min(self.live_most, own_disk * LIVE_SHARE)
 
     def taken(self, text: bytes, body: bytes, **pairs: object) -> bool:
@@ -356,7 +361,7 @@
 
         At half of it already, unless most of the file is still needed: so there is room for the ledger of
         a successor."""
-        size, room = self.size + more, self.disk - self.sibling_needs - BLOCK
+        size, room = self.size + more, self.disk - self.sibling_bytes - BLOCK
         if size + self.state.live_bytes > room:
             return True
         return size + self.state.live_bytes > room // 2 and size > DEAD_TIMES * self.state.live_bytes
--- a/limelatch/relay/sibling.py
+++ b/limelatch/relay/sibling.py
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self._path, self._file, self._read, self._state = "", -1, 0, LedgerState()
 
-    def look(self, path: str) -> LedgerState | None:
+    def poll(self, path: str) -> LedgerState | None:
         """What the ledger says by now, what it said last where it can't be read; None where there is none."""
         try:
             self._open(path)
@@ -81,9 +81,9 @@
         """Whether another process serves beside this one, or has left texts behind."""
         return os.path.exists(self._ledger.sibling_path)
 
-    def look(self) -> LedgerState | None:
+    def poll(self) -> LedgerState | None:
         """What it holds by now; None where there is no other process."""
-        return self._follower.look(self._ledger.sibling_path)
+        return self._follower.poll(self._ledger.sibling_path)
 
     @property
     def bytes_needed(self) -> int:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -38,7 +38,7 @@
 from limelatch.relay.driver import Driver
 from limelatch.relay.ending import Ending
 from limelatch.relay.inspection import look
-from limelatch.relay.ledger import SEAT, Ledger, lock
+from limelatch.relay.ledger import STANDBY_DIR, Ledger, lock
 from limelatch.relay.platform import Notifier
 
 
@@ -391,7 +391,7 @@
     take(new, b"b")
     old.close()
     monkeypatch.setattr(os, "write", disk := Disk(20))
-    assert new.take_over() is None and list(new.entries) == [b"b"] and new.beside
+    assert new.take_over() is None and list(new.entries) == [b"b"] and new.is_standby
     disk.room = 10_000
     assert new.going(b"b", 5, 1) and [each.id for each in new.take_over()] == [b"a"]
     new.close()
@@ -417,9 +417,9 @@
 def test_a_successor_is_not_refused_while_the_old_process_looks_for_it(tmp_path):
     old = ledger_in(tmp_path)
     ledger_in(tmp_path).close()  # makes the seat
-    look_at_seat = lock(str(tmp_path / SEAT))  # as Ledger.successor does
+    look_at_seat = lock(str(tmp_path / STANDBY_DIR))  # as Ledger.successor does
     threading.Timer(0.05, os.close, [look_at_seat]).start()
-    assert ledger_in(tmp_path).beside and not old.beside
+    assert ledger_in(tmp_path).is_standby and not old.is_standby
 
 
 # What a restart finds untried.
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -12,7 +12,7 @@
 from limelatch.interface import SECOND
 from limelatch.relay import door
 from limelatch.relay.door import HostsOut
-from limelatch.relay.ledger import FILE, SEAT, Ledger
+from limelatch.relay.ledger import FILE, STANDBY_DIR, Ledger
 
 SPANS = [0.4, 3.0]  # seconds
 OTHER_CELLS = [("open", "ENOSPC"), ("write", "EIO"), ("rename", "EROFS"), ("unlink", "EIO")]
@@ -167,7 +167,7 @@
         flow.hand_in(within=BACK)
     flow.settle()
     assert before.delivered and held.ended and flow.check() == []
-    seat = flow.program.state / SEAT / FILE
+    seat = flow.program.state / STANDBY_DIR / FILE
     assert not seat.exists() or seat.stat().st_size == 0
 
 
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -14,7 +14,7 @@
 from limelatch.interface import Health
 from limelatch.key_order import Hold, KeyOrder, Place, Rest
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.handover import SIBLING_LOOK, Handover
+from limelatch.relay.handover import SIBLING_POLL_INTERVAL, Handover
 from limelatch.relay.ledger import Ledger
 from limelatch.relay.records import HostHealth
 from limelatch.relay.sibling import LedgerFollower, Sibling
@@ -119,16 +119,16 @@
     """An inode's number that is used again must not pass for the file read before."""
     ledger, follower = ledger_in(tmp_path), LedgerFollower()
     take(ledger, b"a")
-    assert list(follower.look(ledger.path).entries) == [b"a"]
+    assert list(follower.poll(ledger.path).entries) == [b"a"]
     for number in range(6):
         take(ledger, b"b%d" % number)
         ledger.over(b"b%d" % number)
         ledger.compact()
         take(ledger, b"c%d" % number)
     texts = [b"a", *(b"c%d" % number for number in range(6))]
-    assert list(follower.look(ledger.path).entries) == texts
+    assert list(follower.poll(ledger.path).entries) == texts
     ledger.over(b"a")
-    assert list(follower.look(ledger.path).entries) == texts[1:]
+    assert list(follower.poll(ledger.path).entries) == texts[1:]
     follower.close()
 
 
@@ -141,12 +141,12 @@
     for end in range(len(raw) + 1):
         with open(path, "ab") as file:
             file.write(raw[end - 1 : end] if end else b"")
-        follower.look(path)
-    assert list(follower.look(path).entries) == [b"a", b"b"]
+        follower.poll(path)
+    assert list(follower.poll(path).entries) == [b"a", b"b"]
     os.truncate(path, 0)
-    assert follower.look(path).entries == {}
+    assert follower.poll(path).entries == {}
     os.remove(path)
-    assert follower.look(path) is None
+    assert follower.poll(path) is None
 
 
 class Process:
@@ -184,7 +184,7 @@
 def pair(tmp_path):
     clock = Running()
     pair = Process(tmp_path, clock), Process(tmp_path, clock)
-    assert pair[1].ledger.beside
+    assert pair[1].ledger.is_standby
     yield pair
     for each in pair:
         each.ledger.close()
@@ -194,8 +194,8 @@
 def test_a_claim_looks_at_the_sibling_once_more(pair, first):
     """What the sibling took after this process's last look counts, as does what it has just sent."""
     one, other = pair[first], pair[1 - first]
-    one.handover.look()
-    other.handover.look()
+    one.handover.poll()
+    other.handover.poll()
     other.take(b"b", 9)
     one.take(b"a", 5)
     assert other.claim(b"b") is Hold.SIBLING and one.claim(b"a") is None
@@ -239,7 +239,7 @@
     left.clock.advance(0.3)  # it has seen that there are two
     dead.ledger.close()
     left.clock.advance(1.1)
-    assert left.adopted == [b"b"] and not left.ledger.beside
+    assert left.adopted == [b"b"] and not left.ledger.is_standby
     assert left.shares == [True, False]  # half of the descriptors, then all
     assert left.claim(b"c") is Hold.REST and left.claim(b"b") is Hold.LINE
     left.clock.advance(5)
@@ -261,7 +261,7 @@
     process = Process(tmp_path, Running())
     before = len(os.listdir("/proc/self/fd"))
     process.take(b"a", 5)
-    process.handover.look()
+    process.handover.poll()
     assert process.claim(b"a") is None and not (tmp_path / "claims").exists()
     assert len(os.listdir("/proc/self/fd")) == before
     process.ledger.close()
@@ -270,12 +270,12 @@
 def test_the_other_process_s_waits_are_heard(pair):
     old, new = pair
     old.ledger.told_wait(b"h", 70, 0)
-    new.handover.look()
+    new.handover.poll()
     assert new.handover.host_waits == {b"h": 70}
     new.clock.advance(0.01)
-    new.handover.look()
+    new.handover.poll()
     assert new.handover.host_waits == {}
-    assert SIBLING_LOOK < S
+    assert SIBLING_POLL_INTERVAL < S
 
 
 def test_an_id_that_the_other_process_holds_is_known(pair):
@@ -290,14 +290,14 @@
 def test_waits_rests_and_how_hosts_were_outlast_a_compaction(pair):
     """The other process may find the new file in the place of the one that it has not read to its end."""
     old, new = pair
-    new.handover.look()
+    new.handover.poll()
     old.take(b"a", 5)
     old.ledger.ended(b"a", True, 0, 900)
     old.ledger.told_wait(b"h", 700, 0)
     old.ledger.found_health(b"h", Health.SICK, 3)
     live = old.ledger.state.live_bytes
     old.ledger.compact()
-    new.handover.look()
+    new.handover.poll()
     assert new.handover.host_waits == {b"h": 700} and new.order.rests[KEY].until == 900
     assert new.handover.host_health == {b"h": HostHealth(Health.SICK, 3)}
     again = ledger_in_place_of(old)
@@ -313,10 +313,10 @@
     old, new = pair
     old.ledger.found_health(b"h", Health.SICK, 7)
     old.ledger.found_health(b"h", Health.WARMING, 9)
-    new.handover.look()
+    new.handover.poll()
     assert new.handover.host_health == {b"h": HostHealth(Health.WARMING, 9)}
     old.ledger.close()
     new.clock.advance(0.2)
-    assert not new.ledger.beside and new.handover.host_health == {b"h": HostHealth(Health.WARMING, 9)}
+    assert not new.ledger.is_standby and new.handover.host_health == {b"h": HostHealth(Health.WARMING, 9)}
     new.clock.advance(30)
     assert new.handover.host_health == {} and not new.handover.has_news
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -207,12 +207,12 @@
 def test_a_folder_is_one_relays_and_its_successors_until_they_end(ledger):
     folder = ledger.path.removesuffix("/ledger")
     beside = Ledger(folder, 100_000, 10_000_000)  # an upgrade's new process, in the seat
-    assert beside.beside and ledger.successor()
+    assert beside.is_standby and ledger.has_successor()
     with pytest.raises(FolderInUse):
         Ledger(folder, 100_000, 10_000_000)
     assert beside.take_over() is None  # the first still holds the folder
     ledger.close()
-    assert beside.take_over() == [] and not beside.beside
+    assert beside.take_over() == [] and not beside.is_standby
     beside.close()
     Ledger(folder, 100_000, 10_000_000).close()
 
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -15,7 +15,7 @@
 from limelatch.relay.directory import Directory
 from limelatch.relay.list_copy import FILE as LIST
 from limelatch.relay.list_copy import FORM, ListCopy
-from limelatch.relay.ledger import BLOCK, FILE, NEW_FILE, SEAT, Ledger
+from limelatch.relay.ledger import BLOCK, FILE, NEW_FILE, STANDBY_DIR, Ledger
 
 DISK = 300_000
 BODY = b"b" * 1000
@@ -23,7 +23,10 @@
 
 def folder_bytes(folder):
     """As the platform counts: every file in whole blocks."""
-    files = [os.path.join(folder, *name) for name in ((FILE,), (NEW_FILE,), (SEAT, FILE), (SEAT, NEW_FILE))]
+    files = [
+        os.path.join(folder, *name)
+        for name in ((FILE,), (NEW_FILE,), (STANDBY_DIR, FILE), (STANDBY_DIR, NEW_FILE))
+    ]
     sizes = [os.path.getsize(path) for path in files if os.path.exists(path)]
     return sum(-(-size // BLOCK) * BLOCK for size in sizes)
 
@@ -38,7 +41,7 @@
         text = b"%s%d" % (names, number)
         if not one.ledger.has_room(len(BODY)):
             return
-        one.handover.look()
+        one.handover.poll()
         one.ledger.taken(
             text, BODY, key="", mark="m", dest=1, product="notice", customer="", until=9, at=number
         )
@@ -60,7 +63,7 @@
     held = len(old.ledger.entries) + len(new.ledger.entries)
     old.ledger.close()
     clock.advance(0.2)
-    assert len(new.ledger.entries) == held and not new.ledger.beside
+    assert len(new.ledger.entries) == held and not new.ledger.is_standby
     assert folder_bytes(tmp_path) <= DISK
     new.ledger.close()
 
@@ -86,13 +89,13 @@
     old = process(tmp_path, clock)
     fill(old, b"old", 50)
     new = process(tmp_path, clock)
-    new.handover.look()
-    beside = new.ledger.sibling_needs
+    new.handover.poll()
+    beside = new.ledger.sibling_bytes
     for text in list(old.ledger.entries):
         old.ledger.over(text)
     old.ledger.close()
     clock.advance(0.2)
-    assert beside > 0 == new.ledger.sibling_needs
+    assert beside > 0 == new.ledger.sibling_bytes
     new.ledger.close()
 
 
