--- a/limelatch/lab/scale/ready.py
+++ b/limelatch/lab/scale/ready.py
@@ -72,7 +72,7 @@
     now, count, held = int(time.time() * SECOND), 0, len(ledger.entries)
     while ledger.has_room(len(BODY)):
         text, once = b"%016x" % (now + count), count % 4 == 2
-        if not ledger.taken(
+        if not ledger.record_accepted(
             text,
             BODY,
             key=f"k{count % 97}" if once else "",
@@ -84,9 +84,9 @@
         ):
             break
         if count % 4:
-            ledger.going(text, now, 0)
+            ledger.record_submit(text, now, 0)
         if count % 4 in (1, 3):
-            ledger.ended(text, ran=count % 4 == 3)
+            ledger.record_submit_end(text, ran=count % 4 == 3)
         count += 1
     ledger.close()
     return held + count
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -42,8 +42,8 @@
     Mutant(
         "the rest in the ledger",
         "relay/driver.py",
-        "self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN, now, rest)",
-        "self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN)",
+        "self.ledger.record_submit_end(parcel.text, outcome.result not in NEVER_RAN, now, rest)",
+        "self.ledger.record_submit_end(parcel.text, outcome.result not in NEVER_RAN)",
     ),
     Mutant(
         "the rest of a call that was out at its process's end",
@@ -60,7 +60,7 @@
     Mutant(
         "the record of a submit before it goes",
         "relay/driver.py",
-        "accepted.submit_out = self.ledger.going(text, call.sent, zone)",
+        "accepted.submit_out = self.ledger.record_submit(text, call.sent, zone)",
         "accepted.submit_out = True",
     ),
     Mutant(
@@ -90,13 +90,13 @@
     Mutant(
         "the notice before the text is over",
         "relay/driver.py",
-        "recorded = self.ledger.owed(text.id, notice)",
-        "recorded = self.ledger.owed(text.id, notice)\n        self.ledger.over(text.id)",
+        "recorded = self.ledger.record_notice(text.id, notice)",
+        "recorded = self.ledger.record_notice(text.id, notice)\n        self.ledger.record_finished(text.id)",
     ),
     Mutant(
         "the torn tail that is cut",
         "relay/ledger.py",
-        "self._torn = self.cut > 0",
+        "self._torn = self.cut_bytes > 0",
         "self._torn = False",
     ),
     Mutant(
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -137,8 +137,8 @@
         self.plan = replace(self.plan, known={})  # the directory has it
         self.catalog.recall()
         now = self.clock.now()
-        if self.ledger.cut:
-            say(log, "ledger-cut", bytes=self.ledger.cut)
+        if self.ledger.cut_bytes:
+            say(log, "ledger-cut", bytes=self.ledger.cut_bytes)
         for entry in list(self.ledger.entries.values()):
             self._resume(now, entry)
         self.handover.start()
@@ -203,7 +203,7 @@
         self._meet(now, text.destination)
         self.policy.text_taken(now, text, past)
         if entry.out and accepted.key is not None:  # its rest has to outlast this process too
-            self.ledger.ended(entry.id, True, now, self._rest_of(accepted, now))
+            self.ledger.record_submit_end(entry.id, True, now, self._rest_of(accepted, now))
         if entry.notice is not None:
             self.notifier.notice(entry.id, entry.notice)
         elif not known:
@@ -466,7 +466,7 @@
     def _record_going(self, accepted: AcceptedText, call: Call) -> bool:
         text = accepted.text.id
         zone = self.hosts[call.host].zone if call.host in self.hosts else -1
-        accepted.submit_out = self.ledger.going(text, call.sent, zone)
+        accepted.submit_out = self.ledger.record_submit(text, call.sent, zone)
         if accepted.submit_out:
             self.text_log.going(text, accepted.key, call.host, self.ledger.entries[text].submits)
         return accepted.submit_out
@@ -500,11 +500,11 @@
         rest = self._rest_of(accepted, now)
         self.text_log.submit_ended(parcel.text, accepted.key, call, outcome, rest)
         if outcome.told_wait:
-            self.ledger.told_wait(call.host, now + outcome.told_wait, now)
+            self.ledger.record_retry_after(call.host, now + outcome.told_wait, now)
         if accepted.submit_out and (rest is not None or not outcome.over):
-            self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN, now, rest)
+            self.ledger.record_submit_end(parcel.text, outcome.result not in NEVER_RAN, now, rest)
         if outcome.over:
-            self.ledger.over(parcel.text)
+            self.ledger.record_finished(parcel.text)
             self._release(accepted)
         accepted.submit_out = False
         self.soon()
@@ -518,7 +518,7 @@
             now = self.clock.now()
             if now > accepted.text.valid_until:
                 self.held_down("ended-late", text=text, by_ms=(now - accepted.text.valid_until) // li.MS)
-            self.ledger.over(text)
+            self.ledger.record_finished(text)
             self.policy.text_over(now, text)
             self._release(accepted)
             self.soon()
@@ -577,7 +577,7 @@
                 case li.LogLine(line, host):
                     say(policy_log, "mode", host=host, change=line)
                     if action.health is not None:
-                        self.ledger.found_health(host, action.health, now)
+                        self.ledger.record_health(host, action.health, now)
         for host, parcels in calls.items():
             self.pool.send(host, parcels)
         if self._stop_at is not None:
@@ -600,7 +600,7 @@
         """First the ledger, then the client's answer, and only then a call."""
         row, client, names = accepted.text, accepted.client, self.plan.names.customers
         accepted.client = None
-        if self.ledger.taken(
+        if self.ledger.record_accepted(
             text,
             accepted.body,
             key=row.key.decode(),
@@ -635,7 +635,7 @@
         """The final answer of a text that was taken on is a notice, owed until it is answered."""
         self.text_log.ended(accepted.text, notice["result"])
         text = accepted.text
-        recorded = self.ledger.owed(text.id, notice)
+        recorded = self.ledger.record_notice(text.id, notice)
         self.folder.end(text.id, notice, text.valid_until, recorded)
 
     def _notify(self, text: bytes, notice: dict) -> None:
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -127,8 +127,8 @@
     ) -> None:
         self.folder, self.directory, self._told = folder, folder, told
         self._whole, self._memory = disk_bytes // BLOCK * BLOCK - OTHER_FILES * BLOCK, memory_bytes
-        self.leave_room(0, at_once=True)
-        self.state, self.size, self.cut, self.behind = LedgerState(), 0, 0, b""
+        self.reserve_disk(0, at_once=True)
+        self.state, self.size, self.cut_bytes, self.unwritten = LedgerState(), 0, 0, b""
         self._torn = False  # a record written in part stands at the file's end
         self._failing = False  # since a call that failed, until a write works
         self.sibling_bytes = 0  # bytes of the disk that the other process of an upgrade holds or will write
@@ -161,7 +161,7 @@
             self._file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
     @property
-    def beside(self) -> bool:
+    def is_standby(self) -> bool:
         """Whether this process waits in the seat for the one before it to end."""
         return self.directory != self.folder
 
@@ -292,54 +292,54 @@
                     errno.EINVAL, f"a record at byte {at} is not of this version: {error}", self.path
                 ) from None
             at += len(one)
-        self.cut, self.size = len(raw) - at, at
-        self._torn = self.cut > 0  # by the end of the process: cut off, with whatever follows it
+        self.cut_bytes, self.size = len(raw) - at, at
+        self._torn = self.cut_bytes > 0  # by the end of the process: cut off, with whatever follows it
         with suppress(OSError):  # else before the first write
             self._cut_tail()
 
-    def leave_room(self, size: int, at_once: bool = False) -> bool:
+    def reserve_disk(self, size: int, at_once: bool = False) -> bool:
         """Leave so many bytes of the disk to another file of the folder; not where the ledger needs them."""
         disk = self._whole - (-size // BLOCK * -BLOCK)
         if not at_once and (
             size > self._whole * BESIDE_SHARE or self.size + self.state.live_bytes > disk - BLOCK
         ):
             return False
-        self.disk, self.live_most = disk, min(disk * LIVE_SHARE, self._memory * MEMORY_SHARE)
+        self.disk_limit, self.max_live_bytes = disk, min(disk * LIVE_SHARE, self._memory * MEMORY_SHARE)
         return True
 
     def has_room(self, body: int) -> bool:
         """Whether one more text fits, with all that will be written of it and of the others."""
-        own_disk = max(0, self.disk - self.sibling_bytes)
-        return self.state.live_bytes + body + 2 * LATER <= min(self.live_most, own_disk * LIVE_SHARE)
+        own_disk = max(0, self.disk_limit - self.sibling_bytes)
+        return self.state.live_bytes + body + 2 * LATER <= min(self.max_live_bytes, own_disk * LIVE_SHARE)
 
-    def taken(self, text: bytes, body: bytes, **pairs: object) -> bool:
+    def record_accepted(self, text: bytes, body: bytes, **pairs: object) -> bool:
         """Whether the text is in the ledger; else it is not taken on."""
         return self._flush() and self._write(Kind.TAKEN, text, pairs, body, must=True)
 
-    def going(self, text: bytes, at: int, zone: int) -> bool:
+    def record_submit(self, text: bytes, at: int, zone: int) -> bool:
         """A submit is about to go: written before the call's last byte; where it can't be, none may go."""
         return self._flush() and self._write(Kind.GOING, text, {"at": at, "zone": zone}, must=True)
 
-    def ended(self, text: bytes, ran: bool, now: int = 0, rest: int | None = None) -> None:
+    def record_submit_end(self, text: bytes, ran: bool, now: int = 0, rest: int | None = None) -> None:
         """The submit has ended; `ran` unless it is proved never to have run. `rest`: until when its key
         rests, where the call may still run."""
         resting = {} if rest is None else {"at": now, "rest": rest}
         self._write(Kind.ENDED, text, {"ran": ran} | resting)
 
-    def found_health(self, host: bytes, health: Health, now: int) -> None:
+    def record_health(self, host: bytes, health: Health, now: int) -> None:
         """The module has found a host sick or warming, for the other process of an upgrade."""
         self._write(Kind.HEALTH, host, {"health": health.value, "at": now})
 
-    def told_wait(self, host: bytes, until: int, now: int) -> None:
+    def record_retry_after(self, host: bytes, until: int, now: int) -> None:
         """A host has told to wait; one record for the texts of a batch."""
         if until > self.state.host_waits.get(host, 0):
             self._write(Kind.WAIT, host, {"at": now, "until": until})
 
-    def owed(self, text: bytes, notice: dict) -> bool:
+    def record_notice(self, text: bytes, notice: dict) -> bool:
         """The final answer is given; whether its record is in the folder."""
         return self._write(Kind.OWED, text, {"notice": notice})
 
-    def over(self, text: bytes) -> None:
+    def record_finished(self, text: bytes) -> None:
         if text in self.entries:
             self._write(Kind.OVER, text, {})
 
@@ -348,10 +348,10 @@
         one = record(kind, text, pairs, body)
         if self._needs_compaction(len(one)):
             self.compact()
-        self.behind += one
+        self.unwritten += one
         written = self._flush()
         if not written and must:
-            self.behind = b""  # nothing else was behind
+            self.unwritten = b""  # nothing else was behind
             return False
         self.state.apply(one)
         return written
@@ -361,33 +361,33 @@
 
         At half of it already, unless most of the file is still needed: so there is room for the ledger of
         a successor."""
-        size, room = self.size + more, self.disk - self.sibling_bytes - BLOCK
+        size, room = self.size + more, self.disk_limit - self.sibling_bytes - BLOCK
         if size + self.state.live_bytes > room:
             return True
         return size + self.state.live_bytes > room // 2 and size > DEAD_TIMES * self.state.live_bytes
 
     def _flush(self) -> bool:
         """Write what is behind; of a record written in part nothing stays before the next one."""
-        if not self.behind:
+        if not self.unwritten:
             return True
         try:
             self._cut_tail()
             with named("write", self.path):
-                append(self._file, self.behind)
+                append(self._file, self.unwritten)
         except OSError as error:
             self._torn = True
             with suppress(OSError):  # else before the next write
                 self._cut_tail()
             self._failed(error)
             return False
-        self.size, self.behind = self.size + len(self.behind), b""
+        self.size, self.unwritten = self.size + len(self.unwritten), b""
         self._worked()
         return True
 
-    def try_again(self) -> bool:
+    def retry_write(self) -> bool:
         """Write what has waited since a failure, or a record that tells nothing; whether that has worked."""
-        if not self.behind:
-            self.behind = record(Kind.BLANK, b"", {})
+        if not self.unwritten:
+            self.unwritten = record(Kind.BLANK, b"", {})
         return self._flush()
 
     def _failed(self, error: OSError) -> None:
@@ -430,7 +430,7 @@
             self._failed(error)
             return False
         close_quietly(self._file)
-        self._file, self.size, self.behind, self._torn = new, len(records), b"", False  # the rest is in it
+        self._file, self.size, self.unwritten, self._torn = new, len(records), b"", False  # the rest is in it
         self._worked()
         return True
 
--- a/limelatch/relay/list_copy.py
+++ b/limelatch/relay/list_copy.py
@@ -71,8 +71,8 @@
             found = read_copy(self.path)
             needed = 2 * os.path.getsize(self.path)
             if self._ledger.is_standby:  # the other process's copy, and the new one that it writes beside it
-                self._ledger.leave_room(needed, at_once=True)
-            elif not self._ledger.leave_room(needed):
+                self._ledger.reserve_disk(needed, at_once=True)
+            elif not self._ledger.reserve_disk(needed):
                 os.remove(self.path)  # guards against a disk over its limit once the ledger is full
         except FileNotFoundError:
             return None
@@ -98,7 +98,7 @@
         self._due, self._again, directory = None, None, source.directory
         if source.index is None or directory.reading or self._ledger.is_standby:
             return  # a whole list is on its way and will call again, or the folder is another process's
-        if not self._ledger.leave_room(2 * (directory.size + HEAD_MOST)):
+        if not self._ledger.reserve_disk(2 * (directory.size + HEAD_MOST)):
             say(log, "copy-not-written", why=f"{directory.size} bytes, and no room beside the ledger")
             return
         head = {"form": FORM, "catalog": str(source.address), "index": source.index}
--- a/limelatch/relay/storage_monitor.py
+++ b/limelatch/relay/storage_monitor.py
@@ -40,7 +40,7 @@
         now = self._clock.now()
         if error is not None:
             self.gate.failed(now)
-            waiting = len(self.ledger.behind) if self.ledger is not None else 0
+            waiting = len(self.ledger.unwritten) if self.ledger is not None else 0
             self.held_down("folder-failing", why=error, bytes=waiting)
             if self._next_try is None:
                 self._next_try = self._deadlines.after(RETRY_AFTER, self._try_again)
@@ -62,12 +62,12 @@
     def last_try(self) -> None:
         """The process ends: what waits in memory is written if it can be."""
         if not self.gate.may_submit:
-            self.ledger.try_again()
+            self.ledger.retry_write()
 
     def _try_again(self) -> None:
         """What waits in memory is written before anything new."""
         self._next_try = None
-        if not self.gate.may_submit and self.ledger.try_again():
+        if not self.gate.may_submit and self.ledger.retry_write():
             self._mended()
 
     def _send(self, text: bytes) -> None:
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -47,7 +47,7 @@
     ledger = Ledger(str(tmp_path), 100_000, 10_000_000)
     until = int(time.time() + 60) * 10_000
     for text, product in ((b"t1", "report"), (b"t2", "charge"), (b"t3", "notice")):
-        ledger.taken(
+        ledger.record_accepted(
             text,
             b"body of " + text,
             key="",
@@ -57,8 +57,8 @@
             customer=0,
             until=until,
         )
-    ledger.going(b"t2", until - 500_000, 1)
-    ledger.owed(b"t3", {"result": "bounced", "wait_ms": 500})
+    ledger.record_submit(b"t2", until - 500_000, 1)
+    ledger.record_notice(b"t3", {"result": "bounced", "wait_ms": 500})
     yield ledger
     ledger.close()
 
@@ -184,8 +184,10 @@
         number = 0
         while not over.is_set():
             text = b"c%d" % (number := number + 1)
-            folder.taken(text, b"x" * 3000, key="", mark="m", dest=1, product="report", customer=0, until=9)
-            folder.over(text)
+            folder.record_accepted(
+                text, b"x" * 3000, key="", mark="m", dest=1, product="report", customer=0, until=9
+            )
+            folder.record_finished(text)
 
     writer = threading.Thread(target=churn)
     writer.start()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -54,7 +54,7 @@
 
 
 def take(ledger, text, **more):
-    ledger.taken(
+    ledger.record_accepted(
         text,
         b"body",
         **{"key": "", "mark": "m", "dest": 1, "product": "notice", "customer": 0, "until": 9 * S} | more,
@@ -65,11 +65,11 @@
     """The refusal once passed for the proof of both: after a second kill the text went to another floor."""
     before = ledger_in(tmp_path)
     take(before, b"a")
-    before.going(b"a", 5, 1)
+    before.record_submit(b"a", 5, 1)
     before.close()  # killed, the submit out
     between = ledger_in(tmp_path)
-    between.going(b"a", 9, 1)
-    between.ended(b"a", ran=False)
+    between.record_submit(b"a", 9, 1)
+    between.record_submit_end(b"a", ran=False)
     between.compact()
     between.close()  # killed again
     entry = ledger_in(tmp_path).entries[b"a"]
@@ -284,7 +284,7 @@
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it
     assert driver.may_go(clock.now(), submit.text, submit.host)
-    beside.told_wait(HOST, clock.now() + 5 * S, clock.now())
+    beside.record_retry_after(HOST, clock.now() + 5 * S, clock.now())
     assert not driver.may_go(clock.now(), submit.text, submit.host)
     beside.close()
 
@@ -297,7 +297,7 @@
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it, and has turned
     assert driver.ledger.state.host_health[TWIN].health is Health.SICK
-    beside.found_health(HOST, Health.SICK, clock.now())
+    beside.record_health(HOST, Health.SICK, clock.now())
     clock.advance(0.2)
     assert driver.policy.hosts[HOST].sick and driver.policy.processes == 2
     beside.close()
@@ -360,17 +360,19 @@
     ledger = ledger_in(tmp_path)
     take(ledger, b"a")
     take(ledger, b"b")
-    assert ledger.going(b"a", 5, 1)
+    assert ledger.record_submit(b"a", 5, 1)
     monkeypatch.setattr(os, "write", disk := Disk(room))
-    ledger.ended(b"a", ran=True)
-    ledger.over(b"a")
-    taken = ledger.taken(b"c", b"x" * 200, key="", mark="", dest=1, product="notice", customer=0, until=9)
-    assert not taken and not ledger.going(b"b", 6, 1) and list(ledger.entries) == [b"b"]
+    ledger.record_submit_end(b"a", ran=True)
+    ledger.record_finished(b"a")
+    taken = ledger.record_accepted(
+        b"c", b"x" * 200, key="", mark="", dest=1, product="notice", customer=0, until=9
+    )
+    assert not taken and not ledger.record_submit(b"b", 6, 1) and list(ledger.entries) == [b"b"]
     disk.room = 10_000
-    assert ledger.going(b"b", 7, 1)
+    assert ledger.record_submit(b"b", 7, 1)
     ledger.close()
     after = ledger_in(tmp_path)
-    assert list(after.entries) == [b"b"] and after.entries[b"b"].ran_at == 7 and not after.cut
+    assert list(after.entries) == [b"b"] and after.entries[b"b"].ran_at == 7 and not after.cut_bytes
 
 
 def test_a_new_file_that_the_disk_does_not_take_leaves_the_old_one(tmp_path, monkeypatch):
@@ -379,7 +381,7 @@
     monkeypatch.setattr(os, "write", disk := Disk(20))
     assert not ledger.compact() and os.listdir(tmp_path) == ["ledger"]
     disk.room = 10_000
-    assert ledger.going(b"a", 5, 1)
+    assert ledger.record_submit(b"a", 5, 1)
     ledger.close()
     assert ledger_in(tmp_path).entries[b"a"].out
 
@@ -393,7 +395,7 @@
     monkeypatch.setattr(os, "write", disk := Disk(20))
     assert new.take_over() is None and list(new.entries) == [b"b"] and new.is_standby
     disk.room = 10_000
-    assert new.going(b"b", 5, 1) and [each.id for each in new.take_over()] == [b"a"]
+    assert new.record_submit(b"b", 5, 1) and [each.id for each in new.take_over()] == [b"a"]
     new.close()
     after = ledger_in(tmp_path)
     assert list(after.entries) == [b"a", b"b"] and after.entries[b"b"].out
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -445,16 +445,16 @@
 
 def test_the_ledger_goes_before_the_copy(tmp_path, clock, make, caplog):
     ledger = Ledger(str(tmp_path), 100_000, 64_000_000)
-    most = ledger.live_most
+    most = ledger.max_live_bytes
     catalog = make(ListCopy(str(tmp_path), Deadlines(clock, clock), ledger), "a:1")
     say(watch_of(catalog), page(4, [told(f"s-{number}", number) for number in range(400)], True))
     write(catalog, clock)
-    assert os.listdir(tmp_path) == ["ledger"] and ledger.live_most == most
+    assert os.listdir(tmp_path) == ["ledger"] and ledger.max_live_bytes == most
     assert "copy-not-written" in caplog.text
     catalog.directory = Directory()  # fewer rows
     say(watch_of(catalog), page(5, [told()], True))
     write(catalog, clock)
-    assert "list" in os.listdir(tmp_path) and ledger.live_most < most  # its room is the ledger's no more
+    assert "list" in os.listdir(tmp_path) and ledger.max_live_bytes < most  # its room is the ledger's no more
 
 
 @pytest.mark.parametrize("beside", [False, True])
@@ -462,7 +462,7 @@
     catalog = make(copy, "a:1")
     say(watch_of(catalog), page(4, ROWS, True))
     write(catalog, clock)
-    full = SimpleNamespace(is_standby=beside, leave_room=lambda size, at_once=False: False)
+    full = SimpleNamespace(is_standby=beside, reserve_disk=lambda size, at_once=False: False)
     after = make(ListCopy(os.path.dirname(copy.path), Deadlines(clock, clock), full), "a:1")
     after.recall()
     assert len(after.directory) == 6
@@ -496,7 +496,9 @@
 def test_a_copy_under_way_is_given_up_when_a_whole_list_or_another_catalog_comes(make, tmp_path):
     for comes in ("list", "catalog"):
         turns = Turns()
-        copy = ListCopy(str(tmp_path), turns, SimpleNamespace(is_standby=False, leave_room=lambda size: True))
+        copy = ListCopy(
+            str(tmp_path), turns, SimpleNamespace(is_standby=False, reserve_disk=lambda size: True)
+        )
         catalog = make(copy, "a:1", wanted=lambda destination: False)
         say(watch := watch_of(catalog), page(4, ROWS, True))
         turns.calls.pop()()
@@ -523,7 +525,7 @@
 
 def test_in_the_seat_of_an_upgrade_no_copy_is_written(make, tmp_path):
     turns = Turns()
-    copy = ListCopy(str(tmp_path), turns, SimpleNamespace(is_standby=True, leave_room=lambda size: True))
+    copy = ListCopy(str(tmp_path), turns, SimpleNamespace(is_standby=True, reserve_disk=lambda size: True))
     say(watch_of(make(copy, "a:1")), page(4, ROWS, True))
     while turns.calls:
         turns.calls.pop()()
@@ -676,7 +678,7 @@
 def test_a_restart_serves_from_the_folder_s_copy_while_the_catalog_is_silent(plan, agent, party, clock):
     host = party()
     program = plan(list_ms=50)
-    ledger = SimpleNamespace(is_standby=False, leave_room=lambda size: True)
+    ledger = SimpleNamespace(is_standby=False, reserve_disk=lambda size: True)
     source = Catalog(
         clock,
         Deadlines(clock, clock),
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -274,7 +274,7 @@
     """Else later records would go to a file that no folder has."""
     ledger = Ledger(str(tmp_path), 100_000, 10_000_000)
     taken = {"key": "", "mark": "", "dest": 1, "product": "notice", "customer": "", "until": 9}
-    assert ledger.taken(b"a", b"x", **taken)
+    assert ledger.record_accepted(b"a", b"x", **taken)
     from limelatch.relay import ledger as module
 
     def done_and_failed(source, target, real=module.os.replace):
@@ -284,7 +284,7 @@
     monkeypatch.setattr(module.os, "replace", done_and_failed)
     assert ledger.compact()
     monkeypatch.undo()
-    assert ledger.taken(b"b", b"y", **taken)
+    assert ledger.record_accepted(b"b", b"y", **taken)
     ledger.close()
     again = Ledger(str(tmp_path), 100_000, 10_000_000)
     assert list(again.entries) == [b"a", b"b"]
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -122,12 +122,12 @@
     assert list(follower.poll(ledger.path).entries) == [b"a"]
     for number in range(6):
         take(ledger, b"b%d" % number)
-        ledger.over(b"b%d" % number)
+        ledger.record_finished(b"b%d" % number)
         ledger.compact()
         take(ledger, b"c%d" % number)
     texts = [b"a", *(b"c%d" % number for number in range(6))]
     assert list(follower.poll(ledger.path).entries) == texts
-    ledger.over(b"a")
+    ledger.record_finished(b"a")
     assert list(follower.poll(ledger.path).entries) == texts[1:]
     follower.close()
 
@@ -177,7 +177,7 @@
         take(self.ledger, text, key="k", product="charge", **({"at": at, "ordered": True} | more))
 
     def claim(self, text):
-        return self.handover.claim(KEY, text, lambda: self.ledger.going(text, self.clock.now(), 0))
+        return self.handover.claim(KEY, text, lambda: self.ledger.record_submit(text, self.clock.now(), 0))
 
 
 @pytest.fixture
@@ -201,8 +201,8 @@
     assert other.claim(b"b") is Hold.SIBLING and one.claim(b"a") is None
     other.take(b"c", 3)  # drawn before, written after the other one's submit has gone
     assert other.claim(b"c") is Hold.SIBLING
-    one.ledger.ended(b"a", True, 0, 50)
-    one.ledger.over(b"a")
+    one.ledger.record_submit_end(b"a", True, 0, 50)
+    one.ledger.record_finished(b"a")
     assert other.claim(b"c") is Hold.REST
     other.clock.advance(1)
     assert other.claim(b"c") is None
@@ -232,8 +232,8 @@
     dead, left = pair[dies], pair[1 - dies]
     dead.take(b"a", 5)
     assert dead.claim(b"a") is None
-    dead.ledger.ended(b"a", True, 0, 50_000)
-    dead.ledger.over(b"a")
+    dead.ledger.record_submit_end(b"a", True, 0, 50_000)
+    dead.ledger.record_finished(b"a")
     dead.take(b"b", 6)
     left.take(b"c", 4)
     left.clock.advance(0.3)  # it has seen that there are two
@@ -269,7 +269,7 @@
 
 def test_the_other_process_s_waits_are_heard(pair):
     old, new = pair
-    old.ledger.told_wait(b"h", 70, 0)
+    old.ledger.record_retry_after(b"h", 70, 0)
     new.handover.poll()
     assert new.handover.host_waits == {b"h": 70}
     new.clock.advance(0.01)
@@ -283,7 +283,7 @@
     old, new = pair
     old.take(b"a", 5)
     assert new.handover.holds(b"a") and not new.handover.holds(b"b")
-    old.ledger.over(b"a")
+    old.ledger.record_finished(b"a")
     assert not new.handover.holds(b"a")
 
 
@@ -292,9 +292,9 @@
     old, new = pair
     new.handover.poll()
     old.take(b"a", 5)
-    old.ledger.ended(b"a", True, 0, 900)
-    old.ledger.told_wait(b"h", 700, 0)
-    old.ledger.found_health(b"h", Health.SICK, 3)
+    old.ledger.record_submit_end(b"a", True, 0, 900)
+    old.ledger.record_retry_after(b"h", 700, 0)
+    old.ledger.record_health(b"h", Health.SICK, 3)
     live = old.ledger.state.live_bytes
     old.ledger.compact()
     new.handover.poll()
@@ -302,17 +302,17 @@
     assert new.handover.host_health == {b"h": HostHealth(Health.SICK, 3)}
     again = ledger_in_place_of(old)
     assert again.state.live_bytes == live
-    again.over(b"a")
-    again.told_wait(b"h", 800, 750)
-    again.told_wait(b"i", 990, 850)
+    again.record_finished(b"a")
+    again.record_retry_after(b"h", 800, 750)
+    again.record_retry_after(b"i", 990, 850)
     assert again.state.host_waits == {b"i": 990}
     again.close()
 
 
 def test_how_hosts_were_is_heard_and_outlasts_the_other_process(pair):
     old, new = pair
-    old.ledger.found_health(b"h", Health.SICK, 7)
-    old.ledger.found_health(b"h", Health.WARMING, 9)
+    old.ledger.record_health(b"h", Health.SICK, 7)
+    old.ledger.record_health(b"h", Health.WARMING, 9)
     new.handover.poll()
     assert new.handover.host_health == {b"h": HostHealth(Health.WARMING, 9)}
     old.ledger.close()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -78,7 +78,7 @@
 
 
 def take(ledger, text, body=b"body", key="k1"):
-    ledger.taken(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
+    ledger.record_accepted(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
 
 
 def again(ledger):
@@ -165,13 +165,13 @@
 def test_the_ledger_tells_what_is_owed_in_the_order_it_was_taken(ledger):
     for text in (b"a", b"b", b"c", b"d"):
         take(ledger, text, b"body of " + text)
-    ledger.going(b"a", 5, 1)
-    ledger.going(b"b", 6, 0)
-    ledger.ended(b"b", ran=True)
-    ledger.going(b"b", 7, 2)
-    ledger.ended(b"b", ran=False)
-    ledger.owed(b"c", {"result": "dead"})
-    ledger.over(b"d")
+    ledger.record_submit(b"a", 5, 1)
+    ledger.record_submit(b"b", 6, 0)
+    ledger.record_submit_end(b"b", ran=True)
+    ledger.record_submit(b"b", 7, 2)
+    ledger.record_submit_end(b"b", ran=False)
+    ledger.record_notice(b"c", {"result": "dead"})
+    ledger.record_finished(b"d")
     a, b, c = again(ledger).entries.values()
     assert (a.id, a.body, a.submits, a.out, a.ran_at, a.ran_zone) == (b"a", b"body of a", 1, True, 5, 1)
     assert (b.submits, b.out, b.ran_at, b.ran_zone) == (2, False, 6, 0)
@@ -182,14 +182,14 @@
     """Every submit once kept its records, with room for 2 KB a text: others were refused untaken."""
     take(ledger, b"a" * 64)
     for at in range(40):
-        ledger.going(b"a" * 64, at, 1)
-        ledger.ended(b"a" * 64, ran=at > 2)
-    ledger.going(b"a" * 64, 99, 2)
+        ledger.record_submit(b"a" * 64, at, 1)
+        ledger.record_submit_end(b"a" * 64, ran=at > 2)
+    ledger.record_submit(b"a" * 64, 99, 2)
     before = ledger.entries[b"a" * 64]
     ledger.compact()
     after, taken = again(ledger).entries[b"a" * 64], len(before.taken)
     assert (after.submits, after.out, after.ran, after.ran_at, after.ran_zone) == (41, True, True, 3, 1)
-    ledger.owed(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
+    ledger.record_notice(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
     ledger.compact()
     assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= LATER
     while ledger.has_room(10):
@@ -199,8 +199,8 @@
 
 def test_a_submit_that_never_ran_is_forgotten(ledger):
     take(ledger, b"a")
-    ledger.going(b"a", 5, 1)
-    ledger.ended(b"a", ran=False)
+    ledger.record_submit(b"a", 5, 1)
+    ledger.record_submit_end(b"a", ran=False)
     assert again(ledger).entries[b"a"].ran_at is None
 
 
@@ -235,7 +235,7 @@
     with open(ledger.path, "r+b") as file:
         file.truncate(ledger.size - cut)
     torn = again(ledger)
-    assert list(torn.entries) == [b"a"] and torn.size == kept and torn.cut > 0
+    assert list(torn.entries) == [b"a"] and torn.size == kept and torn.cut_bytes > 0
     take(torn, b"c")
     assert list(again(torn).entries) == [b"a", b"c"]
 
@@ -260,7 +260,7 @@
     for number in range(300):
         text = b"t%d" % number
         take(ledger, text, b"x" * 900)
-        ledger.over(text)
+        ledger.record_finished(text)
     assert len(most) > 2 and max(most) <= 100_000 and ledger.size <= 100_000
     take(ledger, b"last")
     assert list(again(ledger).entries) == [b"stays", b"last"]
@@ -270,7 +270,7 @@
     assert ledger.has_room(30_000)
     take(ledger, b"a", b"x" * 30_000)
     assert not ledger.has_room(30_000)
-    ledger.over(b"a")
+    ledger.record_finished(b"a")
     assert ledger.has_room(30_000)
 
 
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -228,13 +228,13 @@
     driver, loop, monkeypatch, texts, dest
 ):
     """Between the decision and the call stand the ledger's writes; each takes 0.7 ms here."""
-    taken = driver.ledger.taken
+    taken = driver.ledger.record_accepted
 
     def slowly(*words, **more):
         loop.pass_to(loop.now() + 7)
         return taken(*words, **more)
 
-    monkeypatch.setattr(driver.ledger, "taken", slowly)
+    monkeypatch.setattr(driver.ledger, "record_accepted", slowly)
     line, call = call_out(driver, loop, *texts, dest=dest)
     ends = [driver.accepted[text.encode()].text.valid_until for text in texts]
     assert call.deadline.when == min(ends) and [each.due for each in call.parcels] == ends
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -42,11 +42,11 @@
         if not one.ledger.has_room(len(BODY)):
             return
         one.handover.poll()
-        one.ledger.taken(
+        one.ledger.record_accepted(
             text, BODY, key="", mark="m", dest=1, product="notice", customer="", until=9, at=number
         )
         if number % 8:
-            one.ledger.over(text)
+            one.ledger.record_finished(text)
         assert folder_bytes(one.ledger.folder) <= DISK
 
 
@@ -77,9 +77,9 @@
         head = json.dumps({"form": FORM, "catalog": "a:1", "index": 3, "more": "x" * 3000}).encode() + b"\n"
         file.write(head + b"".join(rows) + json.dumps({"rows": 0, "crc": 0}).encode() + b"\n")
     new = process(tmp_path, clock)
-    whole = new.ledger.disk
+    whole = new.ledger.disk_limit
     assert ListCopy(str(tmp_path), new.handover, new.ledger).read() is not None
-    assert whole - new.ledger.disk >= 6000
+    assert whole - new.ledger.disk_limit >= 6000
     old.ledger.close()
     new.ledger.close()
 
@@ -92,7 +92,7 @@
     new.handover.poll()
     beside = new.ledger.sibling_bytes
     for text in list(old.ledger.entries):
-        old.ledger.over(text)
+        old.ledger.record_finished(text)
     old.ledger.close()
     clock.advance(0.2)
     assert beside > 0 == new.ledger.sibling_bytes
@@ -107,7 +107,7 @@
     ledger.compact = lambda: made.append(ledger.size) or compact()
     for number in range(6000):
         take(ledger, b"t%d" % number)
-        ledger.over(b"t%d" % number)
+        ledger.record_finished(b"t%d" % number)
         assert ledger.size <= DISK // 2 + BLOCK
     assert 2 <= len(made) <= 10
     made.clear()
