--- a/limelatch/command/ledger.py
+++ b/limelatch/command/ledger.py
@@ -63,7 +63,7 @@
     """A text as the commands tell it."""
     from limelatch.relay.inspection import may_have_run, state_of
 
-    pairs = entry.pairs
+    pairs = entry.fields
     return {
         "id": entry.id.decode(errors="replace"),
         "state": state_of(entry),
@@ -72,10 +72,10 @@
         "customer": pairs.get("customer"),
         "key": pairs.get("key") or None,
         "mark": pairs.get("mark") or None,
-        "submits": entry.submits,
+        "submits": entry.submit_count,
         "may_have_run": may_have_run(entry),
-        "first_may_have_run_at": moment(entry.ran_at, wall_ahead),
-        "first_may_have_run_floor": entry.ran_zone,
+        "first_may_have_run_at": moment(entry.first_run_at, wall_ahead),
+        "first_may_have_run_floor": entry.first_run_zone,
         "valid_until": moment(pairs.get("until"), wall_ahead),
         "notice": entry.notice,
         "body_bytes": len(entry.body),
@@ -112,8 +112,8 @@
     entries = [
         each
         for each in view.entries.values()
-        if (destination is None or each.pairs.get("dest") == destination)
-        and (product is None or each.pairs.get("product") == product)
+        if (destination is None or each.fields.get("dest") == destination)
+        and (product is None or each.fields.get("product") == product)
         and (not may_have_run or ran(each))
     ]
     if as_json:
@@ -123,14 +123,14 @@
     form = "{:<18} {:<6} {:<16} {:>6} {:>7} {:<4} {:>14} {:>7}"
     click.echo(form.format("id", "state", "product", "dest", "submits", "ran?", "valid for", "bytes"))
     for each in entries:
-        pairs = each.pairs
+        pairs = each.fields
         click.echo(
             form.format(
                 each.id.decode(errors="replace"),
                 state_of(each),
                 pairs.get("product", "?"),
                 pairs.get("dest", "?"),
-                each.submits,
+                each.submit_count,
                 "may" if ran(each) else "no",
                 left(pairs.get("until", 0), now),
                 len(each.body),
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -184,25 +184,25 @@
 
     def _resume(self, now: int, entry: Entry) -> None:
         """A text that an earlier process took on: an end it still owes, or the module decides anew."""
-        pairs, names, said = entry.pairs, self.plan.names, entry.pairs["customer"]
+        pairs, names, said = entry.fields, self.plan.names, entry.fields["customer"]
         known = pairs["product"] in names.products
         product = names.products.index(pairs["product"]) if known else 0
         customer = names.customers.index(said) if said in names.customers else 0
         text = li.Text(entry.id, pairs["dest"], product, pairs["until"], customer, entry.key)
-        text.handed_in_at = entry.handed_in_at
-        self._handed_in_last = max(self._handed_in_last, entry.handed_in_at)
+        text.handed_in_at = entry.received_at
+        self._handed_in_last = max(self._handed_in_last, entry.received_at)
         in_order = self._is_ordered(pairs["product"]) if entry.in_order is None else entry.in_order
         row = replace(self.plan.terms.products[product], in_order=in_order)
         accepted = self._own(AcceptedText(text, pairs["mark"].encode(), entry.body, row, pairs["product"]))
         answered = entry.notice is not None or not known
-        ran_at = entry.ran_at
+        ran_at = entry.first_run_at
         if ran_at is not None and ran_at < self.clock.certain_from:
             ran_at = min(ran_at, now - row.repeat_window)  # nobody knows how long ago: its window is over
-        past = li.Past(entry.submits, ran_at, entry.ran_zone, entry.out, answered, in_order)
+        past = li.Past(entry.submit_count, ran_at, entry.first_run_zone, entry.in_flight, answered, in_order)
         self.text_log.adopted(entry, accepted.key, ran_at is not None, answered)
         self._meet(now, text.destination)
         self.policy.text_taken(now, text, past)
-        if entry.out and accepted.key is not None:  # its rest has to outlast this process too
+        if entry.in_flight and accepted.key is not None:  # its rest has to outlast this process too
             self.ledger.record_submit_end(entry.id, True, now, self._rest_of(accepted, now))
         if entry.notice is not None:
             self.notifier.notice(entry.id, entry.notice)
@@ -468,7 +468,7 @@
         zone = self.hosts[call.host].zone if call.host in self.hosts else -1
         accepted.submit_out = self.ledger.record_submit(text, call.sent, zone)
         if accepted.submit_out:
-            self.text_log.going(text, accepted.key, call.host, self.ledger.entries[text].submits)
+            self.text_log.going(text, accepted.key, call.host, self.ledger.entries[text].submit_count)
         return accepted.submit_out
 
     def _rest_of(self, accepted: AcceptedText, now: int) -> int | None:
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -87,9 +87,9 @@
         for entry in state.entries.values():
             ordered = entry.in_order
             if ordered is None:
-                ordered = self._is_ordered(entry.pairs["product"])
+                ordered = self._is_ordered(entry.fields["product"])
             if ordered and entry.key:
-                yield entry.key, Place(entry.id, entry.handed_in_at, entry.submits > 0)
+                yield entry.key, Place(entry.id, entry.received_at, entry.submit_count > 0)
 
     def holds(self, text: bytes) -> bool:
         """Whether the other process has taken this text on: its client hands it in again, under the same id,
--- a/limelatch/relay/inspection.py
+++ b/limelatch/relay/inspection.py
@@ -84,11 +84,11 @@
     """What a text waits for, in one word."""
     if entry.notice is not None:
         return "ended"
-    if entry.out:
+    if entry.in_flight:
         return "out"
     return "held"
 
 
 def may_have_run(entry: Entry) -> bool:
     """Whether a submit of the text may have had its effect."""
-    return entry.out or entry.ran
+    return entry.in_flight or entry.may_have_run
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -258,7 +258,7 @@
         adopted = [entry for text, entry in theirs.entries.items() if text not in self.entries]
         fresh = {entry.id: entry for entry in adopted}
         self.state.entries = fresh | self.state.entries if first else self.state.entries | fresh
-        self.state.live_bytes += sum(len(entry.taken) + LATER for entry in adopted)
+        self.state.live_bytes += sum(len(entry.accepted_record) + LATER for entry in adopted)
         for key, rest in theirs.cooldowns.items():
             self.state.add_cooldown(key, rest, 0)
         for host, until in theirs.host_waits.items():
@@ -270,7 +270,7 @@
     def _leave(self, adopted: list[Entry]) -> None:
         """What was taken in stays with the other file, since it can't be written to this one."""
         for entry in adopted:
-            self.state.live_bytes -= len(entry.taken) + LATER
+            self.state.live_bytes -= len(entry.accepted_record) + LATER
             del self.entries[entry.id]
 
     @property
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -47,33 +47,33 @@
     """One text that is not over, as the ledger tells it."""
 
     id: bytes
-    pairs: dict
-    submits: int = 0
-    out: bool = False  # a submit has gone out and not ended
-    ran: bool = False  # one that has ended may have run
-    ran_at: int | None = None  # when and where the first went that may have run
-    ran_zone: int | None = None
+    fields: dict
+    submit_count: int = 0
+    in_flight: bool = False  # a submit has gone out and not ended
+    may_have_run: bool = False  # one that has ended may have run
+    first_run_at: int | None = None  # when and where the first went that may have run
+    first_run_zone: int | None = None
     notice: dict | None = None
-    taken: bytes = b""  # its first record
+    accepted_record: bytes = b""  # its first record
 
     @property
     def body(self) -> bytes:
-        return body_of(self.taken)
+        return body_of(self.accepted_record)
 
     @property
     def key(self) -> bytes:
         """Of its order; empty where it has none."""
-        return self.pairs["key"].encode()
+        return self.fields["key"].encode()
 
     @property
-    def handed_in_at(self) -> int:
+    def received_at(self) -> int:
         """When, on the relay's timeline; 0 where an earlier version took it on."""
-        return self.pairs.get("at", 0)
+        return self.fields.get("at", 0)
 
     @property
     def in_order(self) -> bool | None:
         """Whether its product was in order; None where an earlier version took it on."""
-        return self.pairs.get("ordered")
+        return self.fields.get("ordered")
 
 
 def record(kind: Kind, text: bytes, pairs: dict, body: bytes = b"") -> bytes:
@@ -190,7 +190,7 @@
             self.add_wait(text, pairs["until"], pairs["at"])
             return None
         if kind == Kind.TAKEN:
-            self.entries[text] = Entry(text, pairs, taken=raw)
+            self.entries[text] = Entry(text, pairs, accepted_record=raw)
             self.live_bytes += len(raw) + LATER
             return None if entry is None else "taken a second time"
         if entry is None:
@@ -199,25 +199,29 @@
             case Kind.GOING:
                 # One still out here was out when its process was killed: it may have run for good. Guards
                 # against a later submit's refusal, after a second kill, that passes for the proof of both.
-                entry.ran = entry.ran or entry.out
-                entry.submits, entry.out = entry.submits + 1, True
-                if entry.ran_at is None:
-                    entry.ran_at, entry.ran_zone = pairs["at"], pairs["zone"]
+                entry.may_have_run = entry.may_have_run or entry.in_flight
+                entry.submit_count, entry.in_flight = entry.submit_count + 1, True
+                if entry.first_run_at is None:
+                    entry.first_run_at, entry.first_run_zone = pairs["at"], pairs["zone"]
             case Kind.ENDED:
-                wrong = None if entry.out else "an outcome without a submit"
-                entry.out, entry.ran = False, entry.ran or pairs["ran"]
-                if not entry.ran:
-                    entry.ran_at = entry.ran_zone = None
+                wrong = None if entry.in_flight else "an outcome without a submit"
+                entry.in_flight, entry.may_have_run = False, entry.may_have_run or pairs["ran"]
+                if not entry.may_have_run:
+                    entry.first_run_at = entry.first_run_zone = None
                 if "rest" in pairs:
                     self.add_cooldown(entry.key, Rest(pairs["rest"], text), pairs["at"])
                 return wrong
             case Kind.STATE:
-                entry.submits, entry.out, entry.ran = pairs["submits"], pairs["out"], pairs["ran"]
-                entry.ran_at, entry.ran_zone = pairs["at"], pairs["zone"]
+                entry.submit_count, entry.in_flight, entry.may_have_run = (
+                    pairs["submits"],
+                    pairs["out"],
+                    pairs["ran"],
+                )
+                entry.first_run_at, entry.first_run_zone = pairs["at"], pairs["zone"]
             case Kind.OWED:
-                entry.out, entry.notice = False, pairs["notice"]
+                entry.in_flight, entry.notice = False, pairs["notice"]
             case Kind.OVER:
-                self.live_bytes -= len(entry.taken) + LATER
+                self.live_bytes -= len(entry.accepted_record) + LATER
                 del self.entries[text]
             case _:
                 return f"a record of kind {kind}, which this version does not know"
@@ -251,14 +255,14 @@
 def compacted_records(entry: Entry) -> bytes:
     """What still matters of a text: as it was taken, its state in one record, the notice it is owed."""
     state = {
-        "submits": entry.submits,
-        "out": entry.out,
-        "ran": entry.ran,
-        "at": entry.ran_at,
-        "zone": entry.ran_zone,
+        "submits": entry.submit_count,
+        "out": entry.in_flight,
+        "ran": entry.may_have_run,
+        "at": entry.first_run_at,
+        "zone": entry.first_run_zone,
     }
     return (
-        entry.taken
-        + (record(Kind.STATE, entry.id, state) if entry.submits else b"")
+        entry.accepted_record
+        + (record(Kind.STATE, entry.id, state) if entry.submit_count else b"")
         + (record(Kind.OWED, entry.id, {"notice": entry.notice}) if entry.notice else b"")
     )
--- a/limelatch/relay/text_log.py
+++ b/limelatch/relay/text_log.py
@@ -38,8 +38,8 @@
                 "text-adopted",
                 text=entry.id,
                 key=key,
-                submits=entry.submits,
-                out=entry.out,
+                submits=entry.submit_count,
+                out=entry.in_flight,
                 ran=ran,
                 answered=answered,
             )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -73,7 +73,7 @@
     between.compact()
     between.close()  # killed again
     entry = ledger_in(tmp_path).entries[b"a"]
-    assert (entry.submits, entry.out, entry.ran_at, entry.ran_zone) == (2, False, 5, 1)
+    assert (entry.submit_count, entry.in_flight, entry.first_run_at, entry.first_run_zone) == (2, False, 5, 1)
 
 
 def test_after_two_kills_and_a_refusal_a_text_stays_on_the_floor_where_it_may_have_run(program, agent, party):
@@ -85,7 +85,7 @@
     first.reply = lambda request: request.answer(429, Retry_After="9")
     program.start()
     assert first.next().headers["X-Txn"] == "t1"  # again, and refused: it has not run this time
-    until(lambda: not look(str(program.state)).entries[b"t1"].out)
+    until(lambda: not look(str(program.state)).entries[b"t1"].in_flight)
     program.kill()
     agent.list(first.address, zone="a", status="leaving")
     agent.list(other.address, name="s-2", zone="b")
@@ -372,7 +372,7 @@
     assert ledger.record_submit(b"b", 7, 1)
     ledger.close()
     after = ledger_in(tmp_path)
-    assert list(after.entries) == [b"b"] and after.entries[b"b"].ran_at == 7 and not after.cut_bytes
+    assert list(after.entries) == [b"b"] and after.entries[b"b"].first_run_at == 7 and not after.cut_bytes
 
 
 def test_a_new_file_that_the_disk_does_not_take_leaves_the_old_one(tmp_path, monkeypatch):
@@ -383,7 +383,7 @@
     disk.room = 10_000
     assert ledger.record_submit(b"a", 5, 1)
     ledger.close()
-    assert ledger_in(tmp_path).entries[b"a"].out
+    assert ledger_in(tmp_path).entries[b"a"].in_flight
 
 
 def test_a_full_disk_leaves_both_ledgers_of_an_upgrade_as_they_are(tmp_path, monkeypatch):
@@ -398,7 +398,7 @@
     assert new.record_submit(b"b", 5, 1) and [each.id for each in new.take_over()] == [b"a"]
     new.close()
     after = ledger_in(tmp_path)
-    assert list(after.entries) == [b"a", b"b"] and after.entries[b"b"].out
+    assert list(after.entries) == [b"a", b"b"] and after.entries[b"b"].in_flight
 
 
 def test_a_relay_whose_disk_is_full_turns_texts_away_and_goes_on(program, agent, party):
@@ -563,7 +563,7 @@
     assert client.ask("SUBMIT", "k2", "t2", "c=report,t=acme,d=9000,k=5c0f,dest=1", "y") == "+OK"
     program.kill()
     entries = look(str(program.state)).entries
-    assert [(each.pairs["customer"], each.pairs["product"]) for each in entries.values()] == [
+    assert [(each.fields["customer"], each.fields["product"]) for each in entries.values()] == [
         ("bell", "charge"),
         ("acme", "report"),
     ]
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -170,7 +170,7 @@
     def adopt(self, entries):
         self.adopted += [entry.id for entry in entries]
         for entry in entries:
-            self.order.take(entry.key, Place(entry.id, entry.handed_in_at, entry.submits > 0))
+            self.order.take(entry.key, Place(entry.id, entry.received_at, entry.submit_count > 0))
 
     def take(self, text, at, **more):
         self.order.take(KEY, Place(text, at))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -173,9 +173,16 @@
     ledger.record_notice(b"c", {"result": "dead"})
     ledger.record_finished(b"d")
     a, b, c = again(ledger).entries.values()
-    assert (a.id, a.body, a.submits, a.out, a.ran_at, a.ran_zone) == (b"a", b"body of a", 1, True, 5, 1)
-    assert (b.submits, b.out, b.ran_at, b.ran_zone) == (2, False, 6, 0)
-    assert (c.notice, c.pairs["key"]) == ({"result": "dead"}, "k1")
+    assert (a.id, a.body, a.submit_count, a.in_flight, a.first_run_at, a.first_run_zone) == (
+        b"a",
+        b"body of a",
+        1,
+        True,
+        5,
+        1,
+    )
+    assert (b.submit_count, b.in_flight, b.first_run_at, b.first_run_zone) == (2, False, 6, 0)
+    assert (c.notice, c.fields["key"]) == ({"result": "dead"}, "k1")
 
 
 def test_a_new_file_keeps_each_text_s_state_in_the_room_that_is_kept_free_for_it(ledger):
@@ -187,8 +194,14 @@
     ledger.record_submit(b"a" * 64, 99, 2)
     before = ledger.entries[b"a" * 64]
     ledger.compact()
-    after, taken = again(ledger).entries[b"a" * 64], len(before.taken)
-    assert (after.submits, after.out, after.ran, after.ran_at, after.ran_zone) == (41, True, True, 3, 1)
+    after, taken = again(ledger).entries[b"a" * 64], len(before.accepted_record)
+    assert (
+        after.submit_count,
+        after.in_flight,
+        after.may_have_run,
+        after.first_run_at,
+        after.first_run_zone,
+    ) == (41, True, True, 3, 1)
     ledger.record_notice(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
     ledger.compact()
     assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= LATER
@@ -201,7 +214,7 @@
     take(ledger, b"a")
     ledger.record_submit(b"a", 5, 1)
     ledger.record_submit_end(b"a", ran=False)
-    assert again(ledger).entries[b"a"].ran_at is None
+    assert again(ledger).entries[b"a"].first_run_at is None
 
 
 def test_a_folder_is_one_relays_and_its_successors_until_they_end(ledger):
