--- a/limelatch/command/ledger.py
+++ b/limelatch/command/ledger.py
@@ -25,11 +25,11 @@
     """
 
 
-def look(folder: str):
-    from limelatch.relay.inspection import NoLedger, look
+def inspect_ledger(folder: str):
+    from limelatch.relay.inspection import NoLedger, inspect_ledger
 
     try:
-        return look(folder)
+        return inspect_ledger(folder)
     except NoLedger as error:
         raise BadUse(str(error)) from None
 
@@ -61,12 +61,12 @@
 
 def row(entry, wall_ahead: int) -> dict:
     """A text as the commands tell it."""
-    from limelatch.relay.inspection import may_have_run, state_of
+    from limelatch.relay.inspection import may_have_run, text_state
 
     pairs = entry.fields
     return {
         "id": entry.id.decode(errors="replace"),
-        "state": state_of(entry),
+        "state": text_state(entry),
         "product": pairs.get("product"),
         "destination": pairs.get("dest"),
         "customer": pairs.get("customer"),
@@ -105,9 +105,9 @@
            ended  its final answer is given, the notice is not answered
     """
     from limelatch.relay.inspection import may_have_run as ran
-    from limelatch.relay.inspection import state_of
+    from limelatch.relay.inspection import text_state
 
-    view, clock = look(folder), clock_of(folder)
+    view, clock = inspect_ledger(folder), clock_of(folder)
     now = clock.now()
     entries = [
         each
@@ -127,7 +127,7 @@
         click.echo(
             form.format(
                 each.id.decode(errors="replace"),
-                state_of(each),
+                text_state(each),
                 pairs.get("product", "?"),
                 pairs.get("dest", "?"),
                 each.submit_count,
@@ -136,7 +136,9 @@
                 len(each.body),
             )
         )
-    click.echo(f"{len(entries)} owed" + (f", {view.torn} bytes torn at the end" if view.torn else ""))
+    click.echo(
+        f"{len(entries)} owed" + (f", {view.torn_bytes} bytes torn at the end" if view.torn_bytes else "")
+    )
 
 
 @ledger.command()
@@ -146,7 +148,7 @@
 @click.option("--body", is_flag=True, help="Write the body to standard output, and nothing else.")
 def show(folder: str, text: str, as_json: bool, body: bool) -> None:
     """Show one owed text; exit 1 where the ledger has none of this id."""
-    entry, ahead = look(folder).entries.get(text.encode()), wall_ahead(clock_of(folder))
+    entry, ahead = inspect_ledger(folder).entries.get(text.encode()), wall_ahead(clock_of(folder))
     if entry is None:
         raise Wrong(f"{text}: no owed text of this id")
     if body:
@@ -170,10 +172,11 @@
     A torn tail is what the end of a process leaves: the relay cuts it at its start, and nothing that was
     answered for is lost with it.
     """
-    view = look(folder)
+    view = inspect_ledger(folder)
     if as_json:
         wrongs = [
-            {"at": at, "id": text.decode(errors="replace"), "wrong": wrong} for at, text, wrong in view.wrongs
+            {"at": at, "id": text.decode(errors="replace"), "wrong": wrong}
+            for at, text, wrong in view.problems
         ]
         click.echo(
             json.dumps(
@@ -183,8 +186,8 @@
                     "records": view.records,
                     "kinds": dict(view.kinds),
                     "owed": len(view.entries),
-                    "torn_at": view.whole,
-                    "torn_bytes": view.torn,
+                    "torn_at": view.whole_bytes,
+                    "torn_bytes": view.torn_bytes,
                     "wrongs": wrongs,
                 }
             )
@@ -195,11 +198,11 @@
             f"{view.path}: {view.size} bytes, {view.records} records ({kinds or 'none'}), "
             f"{len(view.entries)} owed"
         )
-        for at, text, wrong in view.wrongs:
+        for at, text, wrong in view.problems:
             click.echo(f"at byte {at}, text {text.decode(errors='replace')}: {wrong}", err=True)
-        if view.torn:
-            click.echo(f"at byte {view.whole}: {view.torn} bytes are no whole record", err=True)
-    if view.torn or view.wrongs:
+        if view.torn_bytes:
+            click.echo(f"at byte {view.whole_bytes}: {view.torn_bytes} bytes are no whole record", err=True)
+    if view.torn_bytes or view.problems:
         raise SystemExit(Wrong.exit_code)
 
 
@@ -210,7 +213,7 @@
 )
 def export(folder: str, output) -> None:
     """Write every owed text with its body (Base64), one JSON object a line."""
-    view, ahead = look(folder), wall_ahead(clock_of(folder))
+    view, ahead = inspect_ledger(folder), wall_ahead(clock_of(folder))
     for entry in view.entries.values():
         body = base64.b64encode(entry.body).decode()
         output.write(json.dumps(row(entry, ahead) | {"body": body}) + "\n")
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -541,12 +541,12 @@
 
     def owed(self) -> int:
         """Texts that the relays' ledgers still hold, as far as they can be read beside them."""
-        from limelatch.relay.inspection import NoLedger, look
+        from limelatch.relay.inspection import NoLedger, inspect_ledger
 
         found = 0
         for relay in self.relays:
             with contextlib.suppress(NoLedger):
-                found += len(look(str(relay.state)).entries)
+                found += len(inspect_ledger(str(relay.state)).entries)
         return found
 
     async def _hear_load(self) -> None:
--- a/limelatch/relay/anchor_file.py
+++ b/limelatch/relay/anchor_file.py
@@ -7,7 +7,7 @@
 from limelatch.logs import logger, say
 from limelatch.relay.clock import ANCHOR_MOST, Anchor, BadAnchor, Clock, Machine, begin_in_doubt, resume
 from limelatch.relay.ledger import named
-from limelatch.relay.atomic_file import replace_whole
+from limelatch.relay.atomic_file import replace_file
 
 log = logger("deadlines")
 
@@ -37,7 +37,7 @@
     def keep(self, clock: Clock) -> bool:
         """Whether the anchor is in the folder as it is now."""
         try:
-            replace_whole(self.path, clock.anchor().encode())
+            replace_file(self.path, clock.anchor().encode())
         except OSError as error:
             say(log, "clock-not-written", why=error)
             return False
--- a/limelatch/relay/atomic_file.py
+++ b/limelatch/relay/atomic_file.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 
 
-def replace_whole(path: str, content: bytes) -> None:
+def replace_file(path: str, content: bytes) -> None:
     """Put a file with this content in the place of the one there. Raises OSError; the old one stays then."""
     passing = f"{path}.{os.getpid()}"
     try:
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -239,7 +239,7 @@
             if name == b"SUBMIT":
                 handed = read_submit(arguments)
                 self.waiting = True
-                self.listener.driver.handed_in(handed, self)
+                self.listener.driver.submission_received(handed, self)
             elif name == b"PING":
                 self.reply(
                     "-ERR stopping"
@@ -297,7 +297,7 @@
             self.listener.drop(self)
         self.listener.release()
         if self.waiting:
-            self.listener.driver.client_gone(self)
+            self.listener.driver.client_disconnected(self)
 
 
 class Listener(ServerFactory):
--- a/limelatch/relay/door.py
+++ b/limelatch/relay/door.py
@@ -16,7 +16,7 @@
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.ledger import named
 from limelatch.relay.slots import Slots
-from limelatch.relay.atomic_file import replace_whole
+from limelatch.relay.atomic_file import replace_file
 
 log = logger("door")
 
@@ -111,7 +111,7 @@
         """First the folder, then in force: what a restart would not know is not answered as done."""
         told = {host.decode(): count for host, count in sorted(counts.items())}
         try:
-            replace_whole(self.path, json.dumps(told).encode())
+            replace_file(self.path, json.dumps(told).encode())
         except OSError as error:
             raise DoorError(f"not done, the folder does not keep it: {error.strerror}") from None
         self._read_at, self.counts = self._written_at(), counts
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -20,7 +20,7 @@
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.door import Door, HostsOut
-from limelatch.relay.storage_monitor import FolderWatch
+from limelatch.relay.storage_monitor import StorageMonitor
 from limelatch.relay.handover import SUCCESSOR_NOTICED_AFTER, Handover
 from limelatch.relay.hosts import Call, Outcome, Parcel, HostPool
 from limelatch.relay.ledger import Ledger
@@ -75,10 +75,14 @@
         self.started_with = plan.told
         self.deadlines = Deadlines(reactor, clock)
         self.policy = Policy(plan.terms, clock.now())
-        self.out = HostsOut(plan.state)  # by hand, through the door; read before the folder is locked
-        self.folder = FolderWatch(clock, self.deadlines, self._notify, self.soon)
-        self.ledger = Ledger(plan.state, plan.disk_bytes, plan.memory_bytes, self.folder.told)
-        self.folder.ledger = self.ledger
+        self.suspended_hosts = HostsOut(
+            plan.state
+        )  # by hand, through the door; read before the folder is locked
+        self.storage_monitor = StorageMonitor(clock, self.deadlines, self._notify, self.schedule_turn)
+        self.ledger = Ledger(
+            plan.state, plan.disk_bytes, plan.memory_bytes, self.storage_monitor.on_write_result
+        )
+        self.storage_monitor.ledger = self.ledger
         self.wall_watch = WallWatch(
             clock, self.deadlines, AnchorFile(plan.state), lambda: not self.ledger.is_standby
         )
@@ -89,14 +93,14 @@
             self.policy.order,
             self._is_ordered,
             self._adopt,
-            self.soon,
+            self.schedule_turn,
             self._share_limits,
         )
-        self._handed_in_last = 0
+        self._last_received_at = 0
         self._serves_from = clock.now() + (SUCCESSOR_NOTICED_AFTER if self.ledger.is_standby else 0)
         self.slots: Slots[AcceptedText] = Slots(max(plan.terms.max_texts, len(self.ledger.entries)))
         self.accepted: dict[bytes, AcceptedText] = {}
-        self.arrived: dict[bytes, AcceptedText] = {}  # this turn, not taken on yet
+        self.new_texts: dict[bytes, AcceptedText] = {}  # this turn, not taken on yet
         self.hosts: dict[li.HostId, li.HostEntry] = {}  # of the destinations at work, as last told
         self.held_down, self.text_log = HeldDown(log, clock), TextLog(clock)
         self._turn_due, self.ready, self._stop_at, self._stop_least_at = False, False, None, 0
@@ -105,7 +109,12 @@
             reactor, self.deadlines, clock, self, plan.shares.hosts, plan.connect_wait, plan.probe_wait
         )
         self.notifier = Notifier(
-            reactor, self.deadlines, plan.discovery, plan.notice_wait, plan.reconnect_wait, self.notice_heard
+            reactor,
+            self.deadlines,
+            plan.discovery,
+            plan.notice_wait,
+            plan.reconnect_wait,
+            self.notice_answered,
         )
         self.catalog = Catalog(
             reactor,
@@ -114,13 +123,13 @@
             plan.names,
             plan.silence,
             plan.reconnect_wait,
-            self.listed,
+            self.hosts_listed,
             self.list_failed if plan.terms.list_asked else None,
             ListCopy(plan.state, self.deadlines, self.ledger),
             lambda destination: destination in self.policy.dests,
         )
         self.listener = Listener(self, plan.shares.clients, plan.client_bytes, plan.shares.clients_most)
-        self.operations = Operations(self, self.out)
+        self.operations = Operations(self, self.suspended_hosts)
         self.door = Door(self, self.operations, plan.shares.operators)
         self.peers = None
         if plan.membership is not None:  # else nothing of it is loaded
@@ -140,7 +149,7 @@
         if self.ledger.cut_bytes:
             say(log, "ledger-cut", bytes=self.ledger.cut_bytes)
         for entry in list(self.ledger.entries.values()):
-            self._resume(now, entry)
+            self._restore(now, entry)
         self.handover.start()
         say(
             log,
@@ -158,16 +167,16 @@
         self.deadlines.after(self.plan.list_wait, self.serve)
         if not self.plan.terms.list_asked:
             self.catalog.connect()
-        self.soon()
+        self.schedule_turn()
 
     def _adopt(self, entries: list[Entry]) -> None:
         """Texts that another process of this relay has left are this one's."""
         self.slots.size = max(self.slots.size, len(self.accepted) + len(entries))
         now = self.clock.now()
         for entry in entries:
-            self._resume(now, entry)
+            self._restore(now, entry)
         say(log, "taken-over", owed=len(self.accepted), adopted=len(entries))
-        self.soon()
+        self.schedule_turn()
 
     def _share_limits(self, two: bool) -> None:
         """The limits are one for both processes of an upgrade: each holds half of the descriptors, and sends
@@ -182,7 +191,7 @@
         names = self.plan.names.products
         return product not in names or self.plan.terms.products[names.index(product)].in_order
 
-    def _resume(self, now: int, entry: Entry) -> None:
+    def _restore(self, now: int, entry: Entry) -> None:
         """A text that an earlier process took on: an end it still owes, or the module decides anew."""
         pairs, names, said = entry.fields, self.plan.names, entry.fields["customer"]
         known = pairs["product"] in names.products
@@ -190,17 +199,19 @@
         customer = names.customers.index(said) if said in names.customers else 0
         text = li.Text(entry.id, pairs["dest"], product, pairs["until"], customer, entry.key)
         text.handed_in_at = entry.received_at
-        self._handed_in_last = max(self._handed_in_last, entry.received_at)
+        self._last_received_at = max(self._last_received_at, entry.received_at)
         in_order = self._is_ordered(pairs["product"]) if entry.in_order is None else entry.in_order
         row = replace(self.plan.terms.products[product], in_order=in_order)
-        accepted = self._own(AcceptedText(text, pairs["mark"].encode(), entry.body, row, pairs["product"]))
+        accepted = self._register(
+            AcceptedText(text, pairs["mark"].encode(), entry.body, row, pairs["product"])
+        )
         answered = entry.notice is not None or not known
         ran_at = entry.first_run_at
         if ran_at is not None and ran_at < self.clock.certain_from:
             ran_at = min(ran_at, now - row.repeat_window)  # nobody knows how long ago: its window is over
         past = li.Past(entry.submit_count, ran_at, entry.first_run_zone, entry.in_flight, answered, in_order)
         self.text_log.adopted(entry, accepted.key, ran_at is not None, answered)
-        self._meet(now, text.destination)
+        self._list_hosts_of(now, text.destination)
         self.policy.text_taken(now, text, past)
         if entry.in_flight and accepted.key is not None:  # its rest has to outlast this process too
             self.ledger.record_submit_end(entry.id, True, now, self._rest_of(accepted, now))
@@ -208,7 +219,7 @@
             self.notifier.notice(entry.id, entry.notice)
         elif not known:
             say(log, "product-unknown", product=pairs["product"])
-            self._end_later(accepted, {"result": "dead"})
+            self._finish_with_notice(accepted, {"result": "dead"})
 
     def serve(self) -> None:
         """Open for clients; PING is answered from here on."""
@@ -230,7 +241,7 @@
                 hosts=len(self.catalog.directory),
                 fresh_list=self.catalog.fresh,
             )
-            self.soon()
+            self.schedule_turn()
 
     def _port_taken(self, error: CannotListenError) -> None:
         """Guards against a process before that has given back the folder and, ending, not yet the port."""
@@ -273,7 +284,7 @@
             submits=terms.max_submits,
             restart_for=",".join(later),
         )
-        self.soon()
+        self.schedule_turn()
 
     def stop(self) -> None:
         """SIGTERM: nothing new is taken, calls that are out finish, then the relay ends."""
@@ -285,7 +296,7 @@
         self.policy.stopping(self._stop_at)
         self.listener.stop(handed_over)
         say(log, "stopping", owed=len(self.accepted), calls=self.pool.calls_out, handed_over=handed_over)
-        self.soon()
+        self.schedule_turn()
         if not self.ready:
             self._exit()
         self.deadlines.after(self.plan.stop_least, self._exit_if_idle)
@@ -306,7 +317,7 @@
         that was read has to be answered, one that was not is sent again by its client."""
         if not self._ended:
             self._ended = True
-            self.folder.last_try()
+            self.storage_monitor.retry_at_exit()
             self.listener.last_words()
             if self.peers is not None:
                 self.peers.stop()
@@ -315,7 +326,7 @@
 
     # What the parties tell.
 
-    def handed_in(self, handed: Handed, client: Client) -> None:
+    def submission_received(self, handed: Handed, client: Client) -> None:
         """A client hands in a text; the answer comes with this turn."""
         names, now = self.plan.names, self.clock.now()
         if self.handover.holds(handed.id):
@@ -331,16 +342,16 @@
             row = names.products.index(product)
             most = self.plan.terms.products[row].validity_period or handed.valid_for
             until = now + min(handed.valid_for, most)
-            self._handed_in_last = max(now, self._handed_in_last + 1)  # each text has a time of its own
+            self._last_received_at = max(now, self._last_received_at + 1)  # each text has a time of its own
             text = li.Text(handed.id, handed.destination, row, until, number, handed.order)
-            text.handed_in_at = self._handed_in_last
+            text.handed_in_at = self._last_received_at
             rules = self.plan.terms.products[row]
-            self.arrived[handed.id] = self._own(
+            self.new_texts[handed.id] = self._register(
                 AcceptedText(text, handed.mark, handed.body, rules, product, client)
             )
-            self._meet(now, text.destination)
+            self._list_hosts_of(now, text.destination)
             self.policy.text_taken(now, text)
-            self.soon()
+            self.schedule_turn()
 
     def _refusal(self, handed: Handed, product: str, customer: str) -> Refusal | None:
         """Why a text is turned back before the module hears of it; None where it is not."""
@@ -372,53 +383,55 @@
             return True
         return self.catalog.directory.knows(destination)
 
-    def _own(self, accepted: AcceptedText) -> AcceptedText:
+    def _register(self, accepted: AcceptedText) -> AcceptedText:
         accepted.number = self.slots.take(accepted)
         self.accepted[accepted.text.id] = accepted
         return accepted
 
-    def client_gone(self, client: Client) -> None:
+    def client_disconnected(self, client: Client) -> None:
         """A client left before its text was taken on: it hands it in again, under a new id."""
-        for accepted in [each for each in self.arrived.values() if each.client is client]:
-            del self.arrived[accepted.text.id]
+        for accepted in [each for each in self.new_texts.values() if each.client is client]:
+            del self.new_texts[accepted.text.id]
             self.policy.text_over(self.clock.now(), accepted.text.id)
             self._release(accepted)
-            self.soon()
+            self.schedule_turn()
 
-    def listed(self, entries: list[li.HostEntry], whole: bool) -> None:
+    def hosts_listed(self, entries: list[li.HostEntry], whole: bool) -> None:
         """News of the list: the module hears of the destinations at work alone, after a whole list of all
         those. The others are told as they are met."""
         if whole:
             entries = [entry for number in list(self.policy.dests) for entry in self.catalog.entries(number)]
             for host in self.hosts.keys() - {entry.host for entry in entries}:
-                self._leave(host)
-        self._tell(self.clock.now(), entries, whole)
+                self._remove_host(host)
+        self._apply_host_list(self.clock.now(), entries, whole)
         if entries or whole:  # else nothing that is held has changed
-            self.soon()
+            self.schedule_turn()
         if self.catalog.fresh and not self.ready:
             self.deadlines.after(0, self.serve)
 
-    def _meet(self, now: int, destination: int) -> None:
+    def _list_hosts_of(self, now: int, destination: int) -> None:
         """A text's destination: the module is told its hosts, unless it knows them."""
         if destination not in self.policy.dests:
-            self._tell(now, self.catalog.entries(destination), news=False)
+            self._apply_host_list(now, self.catalog.entries(destination), news=False)
 
-    def _tell(self, now: int, entries: list[li.HostEntry], whole: bool = False, news: bool = True) -> None:
+    def _apply_host_list(
+        self, now: int, entries: list[li.HostEntry], whole: bool = False, news: bool = True
+    ) -> None:
         for entry in entries:
             if entry.listing is li.Listing.GONE:
-                self._leave(entry.host)
+                self._remove_host(entry.host)
             else:
                 self.hosts[entry.host] = entry
                 self.pool.reach(entry.host, self.catalog.reached(entry.host))
-        self.policy.hosts_listed(now, [self.out.seen(entry) for entry in entries], whole, news)
-        self._tell_of_sibling()
+        self.policy.hosts_listed(now, [self.suspended_hosts.seen(entry) for entry in entries], whole, news)
+        self._apply_sibling_news()
 
-    def _hear_sibling(self) -> None:
+    def _poll_sibling(self) -> None:
         """Take in what the other process of this relay holds and knows by now."""
         self.handover.poll()
-        self._tell_of_sibling()
+        self._apply_sibling_news()
 
-    def _tell_of_sibling(self) -> None:
+    def _apply_sibling_news(self) -> None:
         """What hosts have told the other process of this relay, and how it found them."""
         for host, until in self.handover.host_waits.items():
             self.policy.wait_told_to_sibling(host, until)
@@ -426,7 +439,7 @@
         for host, found in self.handover.host_health.items():
             self.policy.health_told_to_sibling(now, host, found.health, found.at)
 
-    def _leave(self, host: li.HostId) -> None:
+    def _remove_host(self, host: li.HostId) -> None:
         """The host is off the list, or its destination at rest."""
         self.hosts.pop(host, None)
         self.pool.reach(host, None)
@@ -436,34 +449,34 @@
         """Whether SIGTERM has come."""
         return self._stop_at is not None
 
-    def relist(self, host: li.HostId) -> None:
+    def refresh_host(self, host: li.HostId) -> None:
         """Tell the module a host's line again: an operator has changed what it is to see of it."""
         if host in self.hosts:
-            self._tell(self.clock.now(), [self.hosts[host]], news=False)
-            self.soon()
+            self._apply_host_list(self.clock.now(), [self.hosts[host]], news=False)
+            self.schedule_turn()
 
     def list_failed(self) -> None:
         """A watch that the module had asked for ended: it says when to ask again."""
         self.policy.list_failed(self.clock.now(), self.catalog.heard_at)
-        self.soon()
+        self.schedule_turn()
 
-    def may_go(self, now: int, text: bytes, host: li.HostId) -> bool:
+    def may_send(self, now: int, text: bytes, host: li.HostId) -> bool:
         if self.handover.has_news:  # what it was told since this process decided binds too
-            self._hear_sibling()
+            self._poll_sibling()
         return self.policy.may_go(now, text, host)
 
-    def going(self, call: Call, parcel: Parcel) -> bool:
+    def start_submit(self, call: Call, parcel: Parcel) -> bool:
         """A submit is about to be written; not where the ledger can't tell of it, nor out of turn."""
         if (accepted := self.accepted.get(parcel.text)) is None:
             return False
         if accepted.key is None:
-            return self._record_going(accepted, call)
-        hold = self.handover.claim(accepted.key, parcel.text, lambda: self._record_going(accepted, call))
+            return self._record_submit(accepted, call)
+        hold = self.handover.claim(accepted.key, parcel.text, lambda: self._record_submit(accepted, call))
         if hold is not None:
             self.text_log.held(parcel.text, accepted.key, call.host, hold.value)
         return accepted.submit_out
 
-    def _record_going(self, accepted: AcceptedText, call: Call) -> bool:
+    def _record_submit(self, accepted: AcceptedText, call: Call) -> bool:
         text = accepted.text.id
         zone = self.hosts[call.host].zone if call.host in self.hosts else -1
         accepted.submit_out = self.ledger.record_submit(text, call.sent, zone)
@@ -476,7 +489,7 @@
         rest = None if accepted.key is None else self.policy.order.rests.get(accepted.key)
         return rest.until if rest is not None and rest.text == accepted.text.id and rest.until > now else None
 
-    def ended(self, call: Call, parcel: Parcel, outcome: Outcome) -> None:
+    def submit_ended(self, call: Call, parcel: Parcel, outcome: Outcome) -> None:
         """A submit's outcome."""
         accepted, now = self.accepted.get(parcel.text), self.clock.now()
         if accepted is None:
@@ -507,12 +520,12 @@
             self.ledger.record_finished(parcel.text)
             self._release(accepted)
         accepted.submit_out = False
-        self.soon()
+        self.schedule_turn()
 
-    def probed(self, call: Call, result: li.Result, report: dict[str, float]) -> None:
+    def probe_ended(self, call: Call, result: li.Result, report: dict[str, float]) -> None:
         say(log, "probe-ended", host=call.host, result=result.value, x0=report.get("x0"), x1=report.get("x1"))
 
-    def notice_heard(self, text: bytes) -> None:
+    def notice_answered(self, text: bytes) -> None:
         """The platform has answered the notice: only now is the text over."""
         if accepted := self.accepted.get(text):
             now = self.clock.now()
@@ -521,7 +534,7 @@
             self.ledger.record_finished(text)
             self.policy.text_over(now, text)
             self._release(accepted)
-            self.soon()
+            self.schedule_turn()
 
     def _release(self, accepted: AcceptedText) -> None:
         del self.accepted[accepted.text.id]
@@ -529,7 +542,7 @@
 
     # The turn.
 
-    def soon(self) -> None:
+    def schedule_turn(self) -> None:
         """Decide once for all that happens until the reactor has gone round."""
         if not self._turn_due:
             self._turn_due = True
@@ -540,36 +553,39 @@
         if not self.ready:
             return  # what an earlier process took on waits for the list too
         if self.handover.has_news:
-            self._hear_sibling()
+            self._poll_sibling()
             self.operations.hear()
         now = self.clock.now()
-        actions = self.policy.decide(now, self.folder.gate.may_submit)
-        arrived, self.arrived = self.arrived, {}  # an answer may bring a client's next text, for a later turn
+        actions = self.policy.decide(now, self.storage_monitor.gate.may_submit)
+        arrived, self.new_texts = (
+            self.new_texts,
+            {},
+        )  # an answer may bring a client's next text, for a later turn
         for action in actions:
             if isinstance(action, (li.Nack, li.Undeliverable)) and action.text in arrived:
-                self._refuse(arrived.pop(action.text), action)
+                self._reject(arrived.pop(action.text), action)
         for text, accepted in arrived.items():
-            self._take_on(text, accepted)
+            self._accept(text, accepted)
         calls: dict[li.HostId, list[Parcel]] = {}
         for action in actions:
             match action:
                 case li.Submit(text, host) if text not in self.accepted:  # it could not be taken on
                     self.policy.submit_ended(now, li.SubmitReport(text, host, li.Result.MOOT, 0, over=True))
-                    self.soon()
+                    self.schedule_turn()
                 case li.Submit(text, host, time_out):
-                    self._pack(calls, host, text, now + time_out, action.keep)
+                    self._add_to_call(calls, host, text, now + time_out, action.keep)
                 case li.Nack(text, advice) if text in self.accepted:
                     wait = {"wait_ms": advice // li.MS} if advice else {}
-                    self._end_later(self.accepted[text], {"result": "bounced"} | wait)
+                    self._finish_with_notice(self.accepted[text], {"result": "bounced"} | wait)
                 case li.Undeliverable(text) if text in self.accepted:
-                    self._end_later(self.accepted[text], {"result": "dead"})
+                    self._finish_with_notice(self.accepted[text], {"result": "dead"})
                 case li.Probe(host):
                     self.pool.send(host, [])
                 case li.CloseIdle(host):
                     self.pool.close_idle(host)
                 case li.Forget(_, hosts):
                     for host in hosts:
-                        self._leave(host)
+                        self._remove_host(host)
                 case li.Watch():
                     self.catalog.connect()
                 case li.Wake(after):
@@ -583,7 +599,7 @@
         if self._stop_at is not None:
             self._exit_if_idle()
 
-    def _refuse(self, accepted: AcceptedText, answer: li.Nack | li.Undeliverable) -> None:
+    def _reject(self, accepted: AcceptedText, answer: li.Nack | li.Undeliverable) -> None:
         """The final answer in the turn of its arrival: the text was never taken on."""
         self._release(accepted)
         if isinstance(answer, li.Nack):
@@ -596,7 +612,7 @@
             accepted.client.answer("-ERR undeliverable")
         self.policy.text_over(self.clock.now(), accepted.text.id)
 
-    def _take_on(self, text: bytes, accepted: AcceptedText) -> None:
+    def _accept(self, text: bytes, accepted: AcceptedText) -> None:
         """First the ledger, then the client's answer, and only then a call."""
         row, client, names = accepted.text, accepted.client, self.plan.names.customers
         accepted.client = None
@@ -620,7 +636,7 @@
             say(log, "text-refused", text=text, why="folder")
             client.answer("-BUSY")
 
-    def _pack(self, calls: dict, host: li.HostId, text: bytes, due: int, keep: int) -> None:
+    def _add_to_call(self, calls: dict, host: li.HostId, text: bytes, due: int, keep: int) -> None:
         """Texts to one host in one turn share a call as far as its kind allows.
 
         `due` counts from the decision: guards against a submit that waits past its text's validity period by
@@ -631,12 +647,12 @@
             self.pool.send(host, calls.pop(host))
         calls.setdefault(host, []).append(Parcel(text, accepted.mark, accepted.body, due, keep))
 
-    def _end_later(self, accepted: AcceptedText, notice: dict) -> None:
+    def _finish_with_notice(self, accepted: AcceptedText, notice: dict) -> None:
         """The final answer of a text that was taken on is a notice, owed until it is answered."""
         self.text_log.ended(accepted.text, notice["result"])
         text = accepted.text
         recorded = self.ledger.record_notice(text.id, notice)
-        self.folder.end(text.id, notice, text.valid_until, recorded)
+        self.storage_monitor.send_notice(text.id, notice, text.valid_until, recorded)
 
     def _notify(self, text: bytes, notice: dict) -> None:
         self.notifier.notice(text, notice)
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -280,12 +280,12 @@
         held = [
             each
             for each in call.parcels
-            if not (self.driver.may_go(now, each.text, call.host) and self.driver.going(call, each))
+            if not (self.driver.may_send(now, each.text, call.host) and self.driver.start_submit(call, each))
         ]
         if held:
             call.parcels = [each for each in call.parcels if each not in held]
             for each in held:
-                self.driver.ended(call, each, Outcome(RESULT_OF_ENDING[Ending.HELD_BACK], unsent=True))
+                self.driver.submit_ended(call, each, Outcome(RESULT_OF_ENDING[Ending.HELD_BACK], unsent=True))
             if not call.parcels:
                 self._finish(call)
                 self._rest(connection, held[0].keep)
@@ -309,9 +309,9 @@
         self._finish(call)
         if not call.parcels:
             result = RESULT_OF_STATUS.get(answer.status, Result.ERROR)
-            self.driver.probed(call, result, report_of(answer.headers))
+            self.driver.probe_ended(call, result, report_of(answer.headers))
         for each, outcome in zip(call.parcels, outcomes, strict=True):
-            self.driver.ended(call, each, too_late(outcome) if late and outcome.over else outcome)
+            self.driver.submit_ended(call, each, too_late(outcome) if late and outcome.over else outcome)
         self._rest(connection, keep if answer.keeps else 0)
 
     def _rest(self, connection: Connection, keep: int) -> None:
@@ -375,6 +375,6 @@
         if answer is not None and answer.status == 200 and not call.batched and not call.late(call.begun):
             result, over = Result.SPOILT, True  # its first line is true; the call may run on
         if not call.parcels:
-            self.driver.probed(call, result, {})
+            self.driver.probe_ended(call, result, {})
         for each in call.parcels:
-            self.driver.ended(call, each, Outcome(result, over))
+            self.driver.submit_ended(call, each, Outcome(result, over))
--- a/limelatch/relay/incarnation.py
+++ b/limelatch/relay/incarnation.py
@@ -7,7 +7,7 @@
 
 from limelatch.logs import logger, say
 from limelatch.membership.messages import INCARNATION_MOST
-from limelatch.relay.atomic_file import replace_whole
+from limelatch.relay.atomic_file import replace_file
 
 log = logger("membership")
 FILE = "incarnation"
@@ -37,6 +37,6 @@
         """Keep it; where the disk refuses, the other members tell it at the next start."""
         word = b"%d" % incarnation
         try:
-            replace_whole(self.path, b"%s %d\n" % (word, zlib.crc32(word)))
+            replace_file(self.path, b"%s %d\n" % (word, zlib.crc32(word)))
         except OSError as error:
             say(log, "incarnation-not-written", why=error)
--- a/limelatch/relay/inspection.py
+++ b/limelatch/relay/inspection.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from limelatch.relay.ledger import FILE
-from limelatch.relay.records import BadRecord, LedgerState, Entry, Kind, read, split
+from limelatch.relay.records import BadRecord, LedgerState, Entry, RecordKind, decode_record, split_records
 
 LOOKS, PAUSE = 4, 0.05  # a tail that is being written just now is whole at the next look
 
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class View:
+class LedgerView:
     """What one look at a ledger found; offsets and sizes in bytes."""
 
     path: str
@@ -26,16 +26,16 @@
     entries: dict[bytes, Entry]
     records: int
     kinds: Counter[str]
-    whole: int  # bytes of whole records from the start
-    wrongs: list[tuple[int, bytes, str]] = field(default_factory=list)  # offset, text, what is wrong
+    whole_bytes: int  # bytes of whole records from the start
+    problems: list[tuple[int, bytes, str]] = field(default_factory=list)  # offset, text, what is wrong
 
     @property
-    def torn(self) -> int:
+    def torn_bytes(self) -> int:
         """Bytes at the end that are no whole record; a relay cuts them at its start."""
-        return self.size - self.whole
+        return self.size - self.whole_bytes
 
 
-def look(folder: str) -> View:
+def inspect_ledger(folder: str) -> LedgerView:
     """The ledger of a folder as it stands; NoLedger where there is none.
 
     A relay may write to it, or put a new file in its place, at any moment: the open file stays the same one,
@@ -54,8 +54,8 @@
             raise NoLedger(f"{folder}: {what}") from None
         except OSError as error:
             raise NoLedger(f"{path}: {error.strerror}") from None
-        view = view_of(path, raw)
-        if not view.torn:
+        view = view_of_bytes(path, raw)
+        if not view.torn_bytes:
             return view
         if not view.records:
             raise NoLedger(f"{path}: no ledger: it does not begin with a whole record")
@@ -63,24 +63,24 @@
     return view
 
 
-def view_of(path: str, raw: bytes) -> View:
+def view_of_bytes(path: str, raw: bytes) -> LedgerView:
     """What these bytes of a ledger say."""
-    state, kinds, wrongs, at, count = LedgerState(), Counter(), [], 0, 0
-    for one in split(raw):
+    state, kinds, problems, at, count = LedgerState(), Counter(), [], 0, 0
+    for one in split_records(raw):
         text = b""
         try:
-            kind, text, _ = read(one)
-            kinds[Kind(kind).name.lower() if kind in list(Kind) else f"kind {kind}"] += 1
-            wrong = state.apply(one)
+            kind, text, _ = decode_record(one)
+            kinds[RecordKind(kind).name.lower() if kind in list(RecordKind) else f"kind {kind}"] += 1
+            problem = state.apply(one)
         except BadRecord as error:
-            wrong = f"not of this version: {error}"
-        if wrong:
-            wrongs.append((at, text, wrong))
+            problem = f"not of this version: {error}"
+        if problem:
+            problems.append((at, text, problem))
         at, count = at + len(one), count + 1
-    return View(path, len(raw), state.entries, count, kinds, at, wrongs)
+    return LedgerView(path, len(raw), state.entries, count, kinds, at, problems)
 
 
-def state_of(entry: Entry) -> str:
+def text_state(entry: Entry) -> str:
     """What a text waits for, in one word."""
     if entry.notice is not None:
         return "ended"
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -18,15 +18,15 @@
 
 from limelatch.interface import Health
 from limelatch.relay.records import (
-    LATER,
+    STATE_RESERVE,
     BadRecord,
     LedgerState,
     Entry,
-    Kind,
+    RecordKind,
     compacted_records,
     records_besides_texts,
-    record,
-    split,
+    encode_record,
+    split_records,
 )
 
 FILE, NEW_FILE, STANDBY_DIR = "ledger", "ledger.new", "next"
@@ -250,7 +250,7 @@
     def _absorb(self, path: str, first: bool = True) -> list[Entry]:
         """Take in the texts of another file, `first` before those held; a torn tail is left out."""
         raw, theirs = read_whole(path), LedgerState()
-        for one in split(raw):
+        for one in split_records(raw):
             try:
                 theirs.apply(one)
             except BadRecord:  # of another version: left out rather than take a text that can't be read
@@ -258,7 +258,7 @@
         adopted = [entry for text, entry in theirs.entries.items() if text not in self.entries]
         fresh = {entry.id: entry for entry in adopted}
         self.state.entries = fresh | self.state.entries if first else self.state.entries | fresh
-        self.state.live_bytes += sum(len(entry.accepted_record) + LATER for entry in adopted)
+        self.state.live_bytes += sum(len(entry.accepted_record) + STATE_RESERVE for entry in adopted)
         for key, rest in theirs.cooldowns.items():
             self.state.add_cooldown(key, rest, 0)
         for host, until in theirs.host_waits.items():
@@ -270,7 +270,7 @@
     def _leave(self, adopted: list[Entry]) -> None:
         """What was taken in stays with the other file, since it can't be written to this one."""
         for entry in adopted:
-            self.state.live_bytes -= len(entry.accepted_record) + LATER
+            self.state.live_bytes -= len(entry.accepted_record) + STATE_RESERVE
             del self.entries[entry.id]
 
     @property
@@ -284,7 +284,7 @@
 
     def _replay(self) -> None:
         raw, at = read_whole(self.path), 0
-        for one in split(raw):
+        for one in split_records(raw):
             try:
                 self.state.apply(one)
             except BadRecord as error:  # whole, and yet not of this version: to cut it would lose texts
@@ -310,42 +310,46 @@
     def has_room(self, body: int) -> bool:
         """Whether one more text fits, with all that will be written of it and of the others."""
         own_disk = max(0, self.disk_limit - self.sibling_bytes)
-        return self.state.live_bytes + body + 2 * LATER <= min(self.max_live_bytes, own_disk * LIVE_SHARE)
+        return self.state.live_bytes + body + 2 * STATE_RESERVE <= min(
+            self.max_live_bytes, own_disk * LIVE_SHARE
+        )
 
     def record_accepted(self, text: bytes, body: bytes, **pairs: object) -> bool:
         """Whether the text is in the ledger; else it is not taken on."""
-        return self._flush() and self._write(Kind.TAKEN, text, pairs, body, must=True)
+        return self._flush() and self._write(RecordKind.TAKEN, text, pairs, body, must=True)
 
     def record_submit(self, text: bytes, at: int, zone: int) -> bool:
         """A submit is about to go: written before the call's last byte; where it can't be, none may go."""
-        return self._flush() and self._write(Kind.GOING, text, {"at": at, "zone": zone}, must=True)
+        return self._flush() and self._write(RecordKind.GOING, text, {"at": at, "zone": zone}, must=True)
 
     def record_submit_end(self, text: bytes, ran: bool, now: int = 0, rest: int | None = None) -> None:
         """The submit has ended; `ran` unless it is proved never to have run. `rest`: until when its key
         rests, where the call may still run."""
         resting = {} if rest is None else {"at": now, "rest": rest}
-        self._write(Kind.ENDED, text, {"ran": ran} | resting)
+        self._write(RecordKind.ENDED, text, {"ran": ran} | resting)
 
     def record_health(self, host: bytes, health: Health, now: int) -> None:
         """The module has found a host sick or warming, for the other process of an upgrade."""
-        self._write(Kind.HEALTH, host, {"health": health.value, "at": now})
+        self._write(RecordKind.HEALTH, host, {"health": health.value, "at": now})
 
     def record_retry_after(self, host: bytes, until: int, now: int) -> None:
         """A host has told to wait; one record for the texts of a batch."""
         if until > self.state.host_waits.get(host, 0):
-            self._write(Kind.WAIT, host, {"at": now, "until": until})
+            self._write(RecordKind.WAIT, host, {"at": now, "until": until})
 
     def record_notice(self, text: bytes, notice: dict) -> bool:
         """The final answer is given; whether its record is in the folder."""
-        return self._write(Kind.OWED, text, {"notice": notice})
+        return self._write(RecordKind.OWED, text, {"notice": notice})
 
     def record_finished(self, text: bytes) -> None:
         if text in self.entries:
-            self._write(Kind.OVER, text, {})
+            self._write(RecordKind.OVER, text, {})
 
-    def _write(self, kind: Kind, text: bytes, pairs: dict, body: bytes = b"", must: bool = False) -> bool:
+    def _write(
+        self, kind: RecordKind, text: bytes, pairs: dict, body: bytes = b"", must: bool = False
+    ) -> bool:
         """Add a record; False where it could not be written: it waits, or, if it `must`, it is dropped."""
-        one = record(kind, text, pairs, body)
+        one = encode_record(kind, text, pairs, body)
         if self._needs_compaction(len(one)):
             self.compact()
         self.unwritten += one
@@ -387,7 +391,7 @@
     def retry_write(self) -> bool:
         """Write what has waited since a failure, or a record that tells nothing; whether that has worked."""
         if not self.unwritten:
-            self.unwritten = record(Kind.BLANK, b"", {})
+            self.unwritten = encode_record(RecordKind.BLANK, b"", {})
         return self._flush()
 
     def _failed(self, error: OSError) -> None:
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -29,7 +29,7 @@
             f"+OK serving owed={len(driver.accepted)} hosts={len(driver.catalog.directory)} "
             f"out={len(self.out.counts)}"
             f" paused={'yes' if driver.listener.paused else 'no'}"
-            f" folder={'ok' if driver.folder.gate.failing_since is None else 'failing'}"
+            f" folder={'ok' if driver.storage_monitor.gate.failing_since is None else 'failing'}"
         )
 
     def pause(self) -> str:
@@ -50,17 +50,17 @@
         """The host counts as draining until RESTORE, whatever the catalog says."""
         self.hear()
         if self.out.suspend(host):
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
         return f"+OK {host.decode()} out, {self.out.counts[host]} calls"
 
     def restore(self, host: li.HostId) -> str:
         """The catalog's own line of the host holds again."""
         self.hear()
         if self.out.restore(host):
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
         return f"+OK {host.decode()} back"
 
     def hear(self) -> None:
         """What operators have told the other process of an upgrade binds this one."""
         for host in self.out.refresh() if self._driver.handover.has_news else ():
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -17,13 +17,15 @@
 from limelatch.interface import Health
 from limelatch.key_order import Rest
 
-HEAD = struct.Struct(">II")  # length and checksum of what follows
-NAMES = struct.Struct(">BH")  # kind of record and length of its pairs; a body follows these
+RECORD_HEADER = struct.Struct(">II")  # length and checksum of what follows
+PAYLOAD_HEADER = struct.Struct(">BH")  # kind of record and length of its pairs; a body follows these
 MAX_HOST_HEALTH = 256  # hosts of which a ledger's reader knows how they were
-LATER = 384  # kept free for a text's state and its notice, which are all that a new file holds beside it
+STATE_RESERVE = (
+    384  # kept free for a text's state and its notice, which are all that a new file holds beside it
+)
 
 
-class Kind(IntEnum):
+class RecordKind(IntEnum):
     """What a record tells."""
 
     TAKEN = 1  # a text was taken on
@@ -58,7 +60,7 @@
 
     @property
     def body(self) -> bytes:
-        return body_of(self.accepted_record)
+        return body_of_record(self.accepted_record)
 
     @property
     def key(self) -> bytes:
@@ -76,32 +78,34 @@
         return self.fields.get("ordered")
 
 
-def record(kind: Kind, text: bytes, pairs: dict, body: bytes = b"") -> bytes:
+def encode_record(kind: RecordKind, text: bytes, pairs: dict, body: bytes = b"") -> bytes:
     words = msgspec.json.encode({"id": text.decode()} | pairs)
-    payload = NAMES.pack(kind, len(words)) + words + body
-    return HEAD.pack(len(payload), zlib.crc32(payload)) + payload
+    payload = PAYLOAD_HEADER.pack(kind, len(words)) + words + body
+    return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def body_of(raw: bytes) -> bytes:
-    return raw[HEAD.size + NAMES.size + NAMES.unpack_from(raw, HEAD.size)[1] :]
+def body_of_record(raw: bytes) -> bytes:
+    return raw[
+        RECORD_HEADER.size + PAYLOAD_HEADER.size + PAYLOAD_HEADER.unpack_from(raw, RECORD_HEADER.size)[1] :
+    ]
 
 
-def split(raw: bytes) -> Iterator[bytes]:
+def split_records(raw: bytes) -> Iterator[bytes]:
     """The records at the head of `raw`, up to the first that is not whole or does not fit its checksum."""
     at = 0
-    while at + HEAD.size <= len(raw):
-        length, checksum = HEAD.unpack_from(raw, at)
-        payload = raw[at + HEAD.size : at + HEAD.size + length]
-        if len(payload) < max(length, NAMES.size) or zlib.crc32(payload) != checksum:
+    while at + RECORD_HEADER.size <= len(raw):
+        length, checksum = RECORD_HEADER.unpack_from(raw, at)
+        payload = raw[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
+        if len(payload) < max(length, PAYLOAD_HEADER.size) or zlib.crc32(payload) != checksum:
             return
-        yield raw[at : at + HEAD.size + length]
-        at += HEAD.size + length
+        yield raw[at : at + RECORD_HEADER.size + length]
+        at += RECORD_HEADER.size + length
 
 
-def read(raw: bytes) -> tuple[int, bytes, dict]:
+def decode_record(raw: bytes) -> tuple[int, bytes, dict]:
     """Kind, text and pairs of one record; BadRecord where it has none."""
-    kind, length = NAMES.unpack_from(raw, HEAD.size)
-    at = HEAD.size + NAMES.size
+    kind, length = PAYLOAD_HEADER.unpack_from(raw, RECORD_HEADER.size)
+    at = RECORD_HEADER.size + PAYLOAD_HEADER.size
     try:
         pairs = msgspec.json.decode(raw[at : at + length])
         return kind, pairs["id"].encode(), pairs
@@ -168,7 +172,7 @@
         """Take in the next record; in words, what is wrong with it in this place, else None.
 
         Raises BadRecord where it lacks what a record of its kind tells."""
-        kind, text, pairs = read(raw)
+        kind, text, pairs = decode_record(raw)
         try:
             return self._apply(kind, text, pairs, raw)
         except KeyError as error:
@@ -178,32 +182,32 @@
 
     def _apply(self, kind: int, text: bytes, pairs: dict, raw: bytes) -> str | None:
         entry = self.entries.get(text)
-        if kind == Kind.BLANK:
+        if kind == RecordKind.BLANK:
             return None
-        if kind == Kind.REST:
+        if kind == RecordKind.REST:
             self.add_cooldown(pairs["key"].encode(), Rest(pairs["until"], text), 0)
             return None
-        if kind == Kind.HEALTH:
+        if kind == RecordKind.HEALTH:
             self.add_health(text, HostHealth(Health(pairs["health"]), pairs["at"]))
             return None
-        if kind == Kind.WAIT:
+        if kind == RecordKind.WAIT:
             self.add_wait(text, pairs["until"], pairs["at"])
             return None
-        if kind == Kind.TAKEN:
+        if kind == RecordKind.TAKEN:
             self.entries[text] = Entry(text, pairs, accepted_record=raw)
-            self.live_bytes += len(raw) + LATER
+            self.live_bytes += len(raw) + STATE_RESERVE
             return None if entry is None else "taken a second time"
         if entry is None:
             return "nothing was taken on under this id"
         match kind:
-            case Kind.GOING:
+            case RecordKind.GOING:
                 # One still out here was out when its process was killed: it may have run for good. Guards
                 # against a later submit's refusal, after a second kill, that passes for the proof of both.
                 entry.may_have_run = entry.may_have_run or entry.in_flight
                 entry.submit_count, entry.in_flight = entry.submit_count + 1, True
                 if entry.first_run_at is None:
                     entry.first_run_at, entry.first_run_zone = pairs["at"], pairs["zone"]
-            case Kind.ENDED:
+            case RecordKind.ENDED:
                 wrong = None if entry.in_flight else "an outcome without a submit"
                 entry.in_flight, entry.may_have_run = False, entry.may_have_run or pairs["ran"]
                 if not entry.may_have_run:
@@ -211,17 +215,17 @@
                 if "rest" in pairs:
                     self.add_cooldown(entry.key, Rest(pairs["rest"], text), pairs["at"])
                 return wrong
-            case Kind.STATE:
+            case RecordKind.STATE:
                 entry.submit_count, entry.in_flight, entry.may_have_run = (
                     pairs["submits"],
                     pairs["out"],
                     pairs["ran"],
                 )
                 entry.first_run_at, entry.first_run_zone = pairs["at"], pairs["zone"]
-            case Kind.OWED:
+            case RecordKind.OWED:
                 entry.in_flight, entry.notice = False, pairs["notice"]
-            case Kind.OVER:
-                self.live_bytes -= len(entry.accepted_record) + LATER
+            case RecordKind.OVER:
+                self.live_bytes -= len(entry.accepted_record) + STATE_RESERVE
                 del self.entries[text]
             case _:
                 return f"a record of kind {kind}, which this version does not know"
@@ -230,17 +234,17 @@
 
 def cooldown_record(key: bytes, rest: Rest) -> bytes:
     """A rest's own record."""
-    return record(Kind.REST, rest.text, {"key": key.decode(), "until": rest.until})
+    return encode_record(RecordKind.REST, rest.text, {"key": key.decode(), "until": rest.until})
 
 
 def wait_record(host: bytes, until: int) -> bytes:
     """A wait's record, of no time of its own."""
-    return record(Kind.WAIT, host, {"at": 0, "until": until})
+    return encode_record(RecordKind.WAIT, host, {"at": 0, "until": until})
 
 
 def health_record(host: bytes, health: HostHealth) -> bytes:
     """The record of how a host was."""
-    return record(Kind.HEALTH, host, {"health": health.health.value, "at": health.at})
+    return encode_record(RecordKind.HEALTH, host, {"health": health.health.value, "at": health.at})
 
 
 def records_besides_texts(state: LedgerState) -> Iterator[bytes]:
@@ -263,6 +267,6 @@
     }
     return (
         entry.accepted_record
-        + (record(Kind.STATE, entry.id, state) if entry.submit_count else b"")
-        + (record(Kind.OWED, entry.id, {"notice": entry.notice}) if entry.notice else b"")
+        + (encode_record(RecordKind.STATE, entry.id, state) if entry.submit_count else b"")
+        + (encode_record(RecordKind.OWED, entry.id, {"notice": entry.notice}) if entry.notice else b"")
     )
--- a/limelatch/relay/sibling.py
+++ b/limelatch/relay/sibling.py
@@ -14,7 +14,7 @@
 from contextlib import contextmanager, suppress
 
 from limelatch.relay.ledger import NO_LOCKS, Ledger, close_quietly
-from limelatch.relay.records import BadRecord, LedgerState, split
+from limelatch.relay.records import BadRecord, LedgerState, split_records
 
 CLAIMS = "claims"  # the file that is locked; it stays empty
 CLAIM_TRIES, CLAIM_PAUSE = 5, 0.0005  # seconds; the sibling holds the lock for one look and one write
@@ -39,7 +39,7 @@
             return None
         except OSError:
             return self._state if self._file >= 0 else None
-        for one in split(raw):
+        for one in split_records(raw):
             self._read += len(one)
             with suppress(BadRecord):  # of another version: it says nothing of keys
                 self._state.apply(one)
--- a/limelatch/relay/storage_monitor.py
+++ b/limelatch/relay/storage_monitor.py
@@ -17,7 +17,7 @@
 log = logger("ledger")
 
 
-class FolderWatch:
+class StorageMonitor:
     """One relay's folder, as the ledger's writes tell of it."""
 
     def __init__(
@@ -35,7 +35,7 @@
         self._next_try: Deadline | None = None
         self.held_down = HeldDown(log, clock)
 
-    def told(self, error: OSError | None) -> None:
+    def on_write_result(self, error: OSError | None) -> None:
         """A call on the folder has failed, or a write worked again."""
         now = self._clock.now()
         if error is not None:
@@ -49,7 +49,7 @@
             for text in list(self._unrecorded):
                 self._send(text)
 
-    def end(self, text: bytes, notice: dict, valid_until: int, recorded: bool) -> None:
+    def send_notice(self, text: bytes, notice: dict, valid_until: int, recorded: bool) -> None:
         """A text's final answer: its notice goes when the gate lets it."""
         now = self._clock.now()
         due = self.gate.notice_due(now, valid_until, recorded)
@@ -59,7 +59,7 @@
             self._unrecorded[text] = notice
             self._deadlines.at(due, lambda: self._send(text))
 
-    def last_try(self) -> None:
+    def retry_at_exit(self) -> None:
         """The process ends: what waits in memory is written if it can be."""
         if not self.gate.may_submit:
             self.ledger.retry_write()
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -17,7 +17,7 @@
 from limelatch.client import wire
 from limelatch.client.wire import Ending
 from limelatch.relay.ledger import Ledger
-from limelatch.relay.records import HEAD
+from limelatch.relay.records import RECORD_HEADER
 
 ROOT = Path(__file__).parent.parent
 DONE, WRONG, BAD_USE = 0, 1, 2
@@ -158,7 +158,7 @@
 
 def test_a_torn_a_changed_and_a_foreign_ledger_are_told_apart(folder):
     with open(folder.path, "ab") as file:
-        file.write(HEAD.pack(99, 0) + b"torn")
+        file.write(RECORD_HEADER.pack(99, 0) + b"torn")
     before = files_of(path_of(folder))
     code, out, err = run("ledger", "verify", path_of(folder))
     assert code == WRONG and "5 records" in out and "12 bytes are no whole record" in err
@@ -192,17 +192,17 @@
     writer = threading.Thread(target=churn)
     writer.start()
     try:
-        views = [look(path_of(folder)) for _ in range(200)]
+        views = [inspect_ledger(path_of(folder)) for _ in range(200)]
     finally:
         over.set()
         writer.join()
-    assert all(list(view.entries)[:3] == [b"t1", b"t2", b"t3"] and not view.wrongs for view in views)
+    assert all(list(view.entries)[:3] == [b"t1", b"t2", b"t3"] and not view.problems for view in views)
 
 
-def look(path):
-    from limelatch.relay.inspection import look
+def inspect_ledger(path):
+    from limelatch.relay.inspection import inspect_ledger
 
-    return look(path)
+    return inspect_ledger(path)
 
 
 def test_relay_run_serves_a_toml_file_a_second_beside_it_and_a_third_is_kept_off(tmp_path, agent, party):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -37,7 +37,7 @@
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.driver import Driver
 from limelatch.relay.ending import Ending
-from limelatch.relay.inspection import look
+from limelatch.relay.inspection import inspect_ledger
 from limelatch.relay.ledger import STANDBY_DIR, Ledger, lock
 from limelatch.relay.platform import Notifier
 
@@ -85,7 +85,7 @@
     first.reply = lambda request: request.answer(429, Retry_After="9")
     program.start()
     assert first.next().headers["X-Txn"] == "t1"  # again, and refused: it has not run this time
-    until(lambda: not look(str(program.state)).entries[b"t1"].in_flight)
+    until(lambda: not inspect_ledger(str(program.state)).entries[b"t1"].in_flight)
     program.kill()
     agent.list(first.address, zone="a", status="leaving")
     agent.list(other.address, name="s-2", zone="b")
@@ -278,21 +278,23 @@
     clock, driver, tmp_path
 ):
     driver.handover.start()
-    driver._tell(clock.now(), [HostEntry(HOST, 1, 0, 0, 1.0, Listing.READY)])
+    driver._apply_host_list(clock.now(), [HostEntry(HOST, 1, 0, 0, 1.0, Listing.READY)])
     driver.policy.text_taken(clock.now(), Text(b"t1", 1, 0, clock.now() + 9 * S))
     (submit,) = [each for each in driver.policy.decide(clock.now()) if isinstance(each, Submit)]
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it
-    assert driver.may_go(clock.now(), submit.text, submit.host)
+    assert driver.may_send(clock.now(), submit.text, submit.host)
     beside.record_retry_after(HOST, clock.now() + 5 * S, clock.now())
-    assert not driver.may_go(clock.now(), submit.text, submit.host)
+    assert not driver.may_send(clock.now(), submit.text, submit.host)
     beside.close()
 
 
 def test_an_outage_that_one_process_finds_is_the_module_s_in_the_other(clock, driver, tmp_path):
     """From the module's word to the ledger, and from the other process's ledger to the module."""
     driver.handover.start()
-    driver._tell(clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, TWIN)])
+    driver._apply_host_list(
+        clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, TWIN)]
+    )
     driver.policy.log.append(LogLine("sick", TWIN, Health.SICK))
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it, and has turned
@@ -406,7 +408,7 @@
     agent.list(host.address)
     client = program.start()
     assert client.submit("t1") == "+OK" and host.next()
-    until(lambda: not look(str(program.state)).entries)
+    until(lambda: not inspect_ledger(str(program.state)).entries)
     pid, full = program.process.pid, os.path.getsize(program.state / "ledger") + 20
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY))  # a part of a record goes in
     assert client.submit("t2") == "-BUSY" and client.submit("t3", "charge", key="k1") == "-BUSY"
@@ -562,7 +564,7 @@
     assert client.ask("SUBMIT", "k1", "t1", "c=charge,t=bell,d=9000,k=5c0f,dest=1", "x") == "+OK"
     assert client.ask("SUBMIT", "k2", "t2", "c=report,t=acme,d=9000,k=5c0f,dest=1", "y") == "+OK"
     program.kill()
-    entries = look(str(program.state)).entries
+    entries = inspect_ledger(str(program.state)).entries
     assert [(each.fields["customer"], each.fields["product"]) for each in entries.values()] == [
         ("bell", "charge"),
         ("acme", "report"),
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -108,7 +108,7 @@
 def test_a_client_whose_text_awaits_its_answer_gives_way_for_no_memory(listener):
     """A refusal would pass for the answer, and the client would hand in again what may be taken on."""
     handed = []
-    listener.driver.handed_in = lambda text, client: handed.append(client)
+    listener.driver.submission_received = lambda text, client: handed.append(client)
     waiting, partial = come(listener, 2)
     waiting.dataReceived(ASKED + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
     partial.dataReceived(b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 6000)
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -249,7 +249,7 @@
     def refuse(path, content):
         raise OSError(errno.ENOSPC, "No space left on device", path)
 
-    monkeypatch.setattr(door, "replace_whole", refuse)
+    monkeypatch.setattr(door, "replace_file", refuse)
     with pytest.raises(door.DoorError, match="not done"):
         out.suspend(b"s-1")
     assert out.counts == {}
--- a/tests/test_order_over_processes.py
+++ b/tests/test_order_over_processes.py
@@ -15,7 +15,7 @@
 from conftest import SETTINGS, WAIT
 from test_crossings import until
 
-from limelatch.relay.inspection import look
+from limelatch.relay.inspection import inspect_ledger
 
 REST = 3.0  # seconds
 NOTICE, CHARGE, REPORT = SETTINGS["classes"]
@@ -218,7 +218,7 @@
     closed = host.close_of("t1")
     assert relay.agent.notice()["ref"] == "t1"
     if heard:
-        until(lambda: b"t1" not in look(str(relay.program.state)).entries)
+        until(lambda: b"t1" not in inspect_ledger(str(relay.program.state)).entries)
     relay.program.kill()
     relay.agent.notice_status = 204
     charge(relay.start(), "t2")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -32,7 +32,7 @@
 )
 from limelatch.relay.http import Answer, HttpCaller
 from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
-from limelatch.relay.records import LATER, Kind, record
+from limelatch.relay.records import STATE_RESERVE, RecordKind, encode_record
 from limelatch.relay.ring import Ring, RingFull
 from limelatch.relay.slots import Slots
 
@@ -204,7 +204,7 @@
     ) == (41, True, True, 3, 1)
     ledger.record_notice(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
     ledger.compact()
-    assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= LATER
+    assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= STATE_RESERVE
     while ledger.has_room(10):
         take(ledger, b"t%d" % len(ledger.entries), b"x" * 10)
     assert len(ledger.entries) > 60 and ledger.size <= 100_000
@@ -234,7 +234,7 @@
     take(ledger, b"a")
     before = ledger.size
     with open(ledger.path, "ab") as file:
-        file.write(record(Kind.STATE, b"a", {"tries": 3}))
+        file.write(encode_record(RecordKind.STATE, b"a", {"tries": 3}))
     with pytest.raises(ForeignLedger):
         again(ledger)
     assert os.path.getsize(ledger.path) > before
@@ -417,13 +417,13 @@
     def __init__(self, goes=True):
         self.goes, self.ends, self.over = goes, [], []
 
-    def may_go(self, now, text, host):
+    def may_send(self, now, text, host):
         return self.goes
 
-    def going(self, call, parcel):
+    def start_submit(self, call, parcel):
         return True
 
-    def ended(self, call, parcel, outcome):
+    def submit_ended(self, call, parcel, outcome):
         self.ends.append((parcel.text, outcome.result))
         self.over += [parcel.text] if outcome.over else []
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,7 +12,7 @@
 import pytest
 from conftest import SETTINGS, WAIT
 
-from limelatch.relay.inspection import look
+from limelatch.relay.inspection import inspect_ledger
 
 
 def hang(request):
@@ -424,5 +424,5 @@
     assert "products=2 submits=4" in program.says("event=configured")
     assert client.submit("t2", product="digest") == "+OK"
     assert client.submit("t3", product="charge").startswith("-ERR unknown class")
-    products = {entry.fields["product"] for entry in look(str(program.state)).entries.values()}
+    products = {entry.fields["product"] for entry in inspect_ledger(str(program.state)).entries.values()}
     assert products == {"charge", "digest"}  # each text under the rows it came with
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -14,7 +14,7 @@
 
 from limelatch.relay.anchor_file import AnchorFile
 from limelatch.relay.clock import Anchor
-from limelatch.relay.atomic_file import replace_whole
+from limelatch.relay.atomic_file import replace_file
 
 ENDS_WITHIN = 1.0  # seconds from a relay's last word to its process's end, on a machine with load too
 SLACK = 0.3  # seconds after a text's time within which it must have its end, as the protocol allows
@@ -175,7 +175,7 @@
     file = AnchorFile(str(program.state))
     with open(file.path, "rb") as kept:
         anchor = Anchor.decode(kept.read())
-    replace_whole(file.path, structs.replace(anchor, boot="another boot").encode())
+    replace_file(file.path, structs.replace(anchor, boot="another boot").encode())
     host.reply = lambda request: (200,)
     program.start()
     assert agent.notice()["ref"] == "ran"
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -86,10 +86,10 @@
         self.clock.rightNow += self.late / S
         now = self.clock.now()
         for each in parcels:
-            if not self.driver.may_go(now, each.text, host):
-                self.driver.ended(call, each, Outcome(Result.MOOT))
-        for each in [one for one in parcels if self.driver.may_go(now, one.text, host)]:
-            assert self.driver.going(call, each)
+            if not self.driver.may_send(now, each.text, host):
+                self.driver.submit_ended(call, each, Outcome(Result.MOOT))
+        for each in [one for one in parcels if self.driver.may_send(now, one.text, host)]:
+            assert self.driver.start_submit(call, each)
             self.sent.append((now, each.text, host))
             self.out.append((call, each))
             known = self.ran.get((each.mark, host))
@@ -110,14 +110,14 @@
             mark=b"m-" + text,
             body=b"x",
         )
-        self.driver.handed_in(handed, client)
+        self.driver.submission_received(handed, client)
         self.driver.turn()
         assert client.answers == ["+OK"]
 
     def answered(self, result):
         """All calls that are out get this answer."""
         for call, parcel in self.out:
-            self.driver.ended(call, parcel, Outcome(result, result is Result.DELIVERED))
+            self.driver.submit_ended(call, parcel, Outcome(result, result is Result.DELIVERED))
         self.out = []
 
     def killed(self, restart, **more):
