--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -42,8 +42,8 @@
     Mutant(
         "the rest in the ledger",
         "relay/driver.py",
-        "self.ledger.ended(outgoing.text, outcome.result not in NEVER_RAN, now, rest)",
-        "self.ledger.ended(outgoing.text, outcome.result not in NEVER_RAN)",
+        "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, rest)",
+        "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN)",
     ),
     Mutant(
         "the rest of a call that was out at its process's end",
@@ -60,8 +60,8 @@
     Mutant(
         "the record of a submit before it goes",
         "relay/driver.py",
-        "owed.submit_out = self.ledger.going(text, call.sent_at, zone)",
-        "owed.submit_out = True",
+        "accepted.submit_out = self.ledger.record_submit(text, call.sent_at, zone)",
+        "accepted.submit_out = True",
     ),
     Mutant(
         "the window for repeats",
@@ -90,13 +90,13 @@
     Mutant(
         "the notice before the text is over",
         "relay/driver.py",
-        "recorded = self.ledger.owed(text.id, notice)",
-        "recorded = self.ledger.owed(text.id, notice)\n        self.ledger.over(text.id)",
+        "recorded = self.ledger.record_notice(text.id, notice)",
+        "recorded = self.ledger.record_notice(text.id, notice)\n        self.ledger.record_finished(text.id)",
     ),
     Mutant(
         "the torn tail that is cut",
         "relay/ledger.py",
-        "self._torn = self.cut > 0",
+        "self._torn = self.cut_bytes > 0",
         "self._torn = False",
     ),
     Mutant(
@@ -144,13 +144,13 @@
     Mutant(
         "the texts of the old process",
         "relay/handover.py",
-        "self._adopt(adopted)\n        self._deadlines.after(SEAT_LOOK, self._take_seat)",
-        "self._deadlines.after(SEAT_LOOK, self._take_seat)",
+        "self._adopt(adopted)\n        self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)",
+        "self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)",
     ),
     Mutant(
         "the texts of a successor that died",
         "relay/handover.py",
-        "if self._ledger.seat_left and (adopted := self._ledger.take_seat()):",
+        "if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):",
         "if False:",
     ),
     Mutant(
--- a/limelatch/relay/anchor_file.py
+++ b/limelatch/relay/anchor_file.py
@@ -15,7 +15,7 @@
     resume_timeline,
 )
 from limelatch.relay.ledger import named
-from limelatch.relay.whole_file import replace_whole
+from limelatch.relay.atomic_file import replace_file
 
 log = logger("deadlines")
 
@@ -45,7 +45,7 @@
     def save(self, clock: Clock) -> bool:
         """Whether the anchor is in the folder as it is now."""
         try:
-            replace_whole(self.path, clock.anchor().encode())
+            replace_file(self.path, clock.anchor().encode())
         except OSError as error:
             log_event(log, "clock-not-written", why=error)
             return False
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -239,7 +239,7 @@
             if name == b"SUBMIT":
                 submission = read_submit(arguments)
                 self.waiting = True
-                self.listener.driver.handed_in(submission, self)
+                self.listener.driver.submission_received(submission, self)
             elif name == b"PING":
                 self.reply(
                     "-ERR stopping"
@@ -299,7 +299,7 @@
             self.listener.drop(self)
         self.listener.release()
         if self.waiting:
-            self.listener.driver.client_gone(self)
+            self.listener.driver.client_disconnected(self)
 
 
 class Listener(ServerFactory):
@@ -502,7 +502,7 @@
         """A drain: PING says no at once; after a grace no connection stays, so that none is held idle."""
         if not self.paused:
             self.paused = True
-            log_event(log, "paused", owed=len(self.driver.owed))
+            log_event(log, "paused", owed=len(self.driver.accepted))
             self._grace = self.driver.deadlines.after(PAUSE_GRACE, self._close_all)
 
     def _close_all(self) -> None:
@@ -512,7 +512,7 @@
     def resume(self) -> None:
         if self.paused:
             self.paused = self.closing = False
-            log_event(log, "resumed", owed=len(self.driver.owed))
+            log_event(log, "resumed", owed=len(self.driver.accepted))
             if self._grace is not None:
                 self._grace.cancel()
                 self._grace = None
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -13,13 +13,15 @@
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.ledger import Ledger
-from limelatch.relay.records import Book, Entry, HostHealth
+from limelatch.relay.records import LedgerState, Entry, HostHealth
 from limelatch.relay.sibling import Sibling
 
 NEWS_KEPT = 20 * SECOND  # what the other process knew of hosts, for destinations met after its end
-SIBLING_LOOK = SECOND // 10  # between two looks at a sibling that is there
-SEAT_LOOK = SECOND // 4  # between two looks whether one has come: a notice is overdue after 0.3 s
-NOTICED_AFTER = SEAT_LOOK + SIBLING_LOOK // 2  # by then the old process has seen that it has a successor
+SIBLING_POLL_INTERVAL = SECOND // 10  # between two looks at a sibling that is there
+STANDBY_POLL_INTERVAL = SECOND // 4  # between two looks whether one has come: a notice is overdue after 0.3 s
+SUCCESSOR_NOTICED_AFTER = (
+    STANDBY_POLL_INTERVAL + SIBLING_POLL_INTERVAL // 2
+)  # by then the old process has seen that it has a successor
 
 
 class Handover:
@@ -40,58 +42,60 @@
         another process; `soon` has the module decide; `share` is told whether there are two processes now."""
         self._ledger, self._clock, self._deadlines, self._order = ledger, clock, deadlines, order
         self._is_ordered, self._adopt, self._soon = is_ordered, adopt, soon
-        self._sibling, self._sibling_known, self._share = Sibling(ledger), ledger.beside, share
-        self.waits: dict[HostId, int] = {}  # told to the other process, until when
-        self.healths: dict[HostId, HostHealth] = {}  # found by the other process
-        self.has_news = ledger.beside  # whether `look` may tell anything; a plain value, asked in each turn
+        self._sibling, self._sibling_known, self._share = Sibling(ledger), ledger.is_standby, share
+        self.host_waits: dict[HostId, int] = {}  # told to the other process, until when
+        self.host_health: dict[HostId, HostHealth] = {}  # found by the other process
+        self.has_news = (
+            ledger.is_standby
+        )  # whether `look` may tell anything; a plain value, asked in each turn
 
     def start(self) -> None:
         """Follow the sibling from now on, where there is one or one may come."""
-        self.learn(self._ledger.book)
+        self.learn(self._ledger.state)
         if self._sibling_known:
             self._share(True)
-        look = self._take_over if self._ledger.beside else self._take_seat
-        self._deadlines.after(SIBLING_LOOK, look)
+        look = self._take_over if self._ledger.is_standby else self._adopt_standby
+        self._deadlines.after(SIBLING_POLL_INTERVAL, look)
 
-    def learn(self, book: Book) -> None:
+    def learn(self, state: LedgerState) -> None:
         """Rests that a ledger tells bind this process too."""
         now = self._clock.now()
-        for key, rest in book.rests.items():
+        for key, rest in state.cooldowns.items():
             if rest.until > now:
                 self._order.rest(key, rest.text, rest.until)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Tell the order of keys, and the waits, what the sibling holds by now."""
         if not self._sibling_known:
             return
-        book = self._sibling.look()
-        self._ledger.sibling_needs = self._sibling.bytes_needed
-        if book is None:
+        state = self._sibling.poll()
+        self._ledger.sibling_bytes = self._sibling.bytes_needed
+        if state is None:
             self._order.sibling_holds(())
             self._forget_sibling()
             return
-        self.learn(book)
-        self._order.sibling_holds(self._places(book))
-        self._hear(book)
+        self.learn(state)
+        self._order.sibling_holds(self._places(state))
+        self._hear(state)
 
-    def _hear(self, book: Book) -> None:
+    def _hear(self, state: LedgerState) -> None:
         now = self._clock.now()
-        self.waits = {host: until for host, until in book.waits.items() if until > now}
-        self.healths = book.healths
+        self.host_waits = {host: until for host, until in state.host_waits.items() if until > now}
+        self.host_health = state.host_health
 
-    def _places(self, book: Book) -> Iterator[tuple[Key, Place]]:
-        for entry in book.entries.values():
+    def _places(self, state: LedgerState) -> Iterator[tuple[Key, Place]]:
+        for entry in state.entries.values():
             ordered = entry.in_order
             if ordered is None:
-                ordered = self._is_ordered(entry.pairs["product"])
+                ordered = self._is_ordered(entry.fields["product"])
             if ordered and entry.key:
-                yield entry.key, Place(entry.id, entry.handed_in_at, entry.submits > 0)
+                yield entry.key, Place(entry.id, entry.received_at, entry.submit_count > 0)
 
     def holds(self, text: bytes) -> bool:
         """Whether the other process has taken this text on: its client hands it in again, under the same id,
         where the process that it was handed to has closed the connection or died."""
-        book = self._sibling.look() if self._sibling_known else None
-        return book is not None and text in book.entries
+        state = self._sibling.poll() if self._sibling_known else None
+        return state is not None and text in state.entries
 
     def claim(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
         """Have the submit of a text in order recorded by `going`, if it still has its key's turn.
@@ -104,7 +108,7 @@
         with self._sibling.claiming() as held:
             if not held:
                 return Hold.SIBLING
-            self.look()
+            self.poll()
             return self._go(key, text, going)
 
     def _go(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
@@ -118,14 +122,14 @@
         adopted = self._ledger.take_over()
         if adopted is None:
             self._soon()  # a key that the process before has freed meanwhile is taken up
-            self._deadlines.after(SIBLING_LOOK, self._take_over)
+            self._deadlines.after(SIBLING_POLL_INTERVAL, self._take_over)
             return
-        self._hear(self._ledger.book)
+        self._hear(self._ledger.state)
         self._order.sibling_holds(())
-        self.learn(self._ledger.book)
+        self.learn(self._ledger.state)
         self._forget_sibling()
         self._adopt(adopted)
-        self._deadlines.after(SEAT_LOOK, self._take_seat)
+        self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)
 
     def _meet_sibling(self) -> None:
         """There are two processes from now on."""
@@ -136,7 +140,7 @@
     def _forget_news(self) -> None:
         """What the other process knew of hosts is old."""
         if not self._sibling_known:
-            self.waits, self.healths, self.has_news = {}, {}, False
+            self.host_waits, self.host_health, self.has_news = {}, {}, False
 
     def _forget_sibling(self) -> None:
         """There is one process again."""
@@ -144,18 +148,20 @@
         self._sibling_known = False
         self._share(False)
         self._sibling.close()
-        self._ledger.sibling_needs = 0
+        self._ledger.sibling_bytes = 0
 
-    def _take_seat(self) -> None:
+    def _adopt_standby(self) -> None:
         """In the folder: what a successor that has ended left in its seat is this process's."""
-        if self._ledger.seat_left and (adopted := self._ledger.take_seat()):
+        if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):
             self._order.sibling_holds(())
-            self.learn(self._ledger.book)
-            self._hear(self._ledger.book)
+            self.learn(self._ledger.state)
+            self._hear(self._ledger.state)
             self._adopt(adopted)
-        if self._ledger.seat_left:
+        if self._ledger.has_abandoned_standby:
             self._meet_sibling()
             self._soon()
         elif self._sibling_known:
             self._forget_sibling()
-        self._deadlines.after(SIBLING_LOOK if self._sibling_known else SEAT_LOOK, self._take_seat)
+        self._deadlines.after(
+            SIBLING_POLL_INTERVAL if self._sibling_known else STANDBY_POLL_INTERVAL, self._adopt_standby
+        )
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -280,12 +280,12 @@
         held = [
             each
             for each in call.texts
-            if not (self.driver.may_go(now, each.text, call.host) and self.driver.going(call, each))
+            if not (self.driver.may_send(now, each.text, call.host) and self.driver.start_submit(call, each))
         ]
         if held:
             call.texts = [each for each in call.texts if each not in held]
             for each in held:
-                self.driver.ended(call, each, Outcome(RESULT_BY_END_REASON[EndReason.NOT_SENT], unsent=True))
+                self.driver.submit_ended(call, each, Outcome(RESULT_BY_END_REASON[EndReason.NOT_SENT], unsent=True))
             if not call.texts:
                 self._finish(call)
                 self._rest(connection, held[0].idle_limit)
@@ -309,9 +309,9 @@
         self._finish(call)
         if not call.texts:
             result = RESULT_BY_STATUS.get(response.status, Result.ERROR)
-            self.driver.probed(call, result, read_report(response.headers))
+            self.driver.probe_ended(call, result, read_report(response.headers))
         for each, outcome in zip(call.texts, outcomes, strict=True):
-            self.driver.ended(call, each, too_late(outcome) if late and outcome.finished else outcome)
+            self.driver.submit_ended(call, each, too_late(outcome) if late and outcome.finished else outcome)
         self._rest(connection, keep if response.keep_alive else 0)
 
     def _rest(self, connection: Connection, keep: int) -> None:
@@ -382,6 +382,6 @@
         ):
             result, finished = Result.SPOILT, True  # its first line is true; the call may run on
         if not call.texts:
-            self.driver.probed(call, result, {})
+            self.driver.probe_ended(call, result, {})
         for each in call.texts:
-            self.driver.ended(call, each, Outcome(result, finished))
+            self.driver.submit_ended(call, each, Outcome(result, finished))
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -17,15 +17,28 @@
 from contextlib import contextmanager, suppress
 
 from limelatch.interface import Health
-from limelatch.relay.records import LATER, BadRecord, Book, Entry, Kind, kept, kept_beside, record, split
-
-FILE, NEW_FILE, SEAT = "ledger", "ledger.new", "next"
+from limelatch.relay.records import (
+    STATE_RESERVE,
+    BadRecord,
+    LedgerState,
+    Entry,
+    RecordKind,
+    compacted_records,
+    records_besides_texts,
+    encode_record,
+    split_records,
+)
+
+FILE, NEW_FILE, STANDBY_DIR = "ledger", "ledger.new", "next"
 BLOCK = 512  # files count in whole blocks
 DEAD_TIMES = 2  # the file's size in what is still needed of it, from which a new one is worth its writing
 LIVE_SHARE = 0.4  # of the disk, for records of texts that are not over; the rest: growth, the new file
 BESIDE_SHARE = 0.125  # of the disk at the most, for the copy of the list and the new one beside it
 MEMORY_SHARE = 0.1  # of the memory, for the same records, which are kept there too
-SEAT_LOOKS, SEAT_PAUSE = 20, 0.01  # seconds: the old process takes the seat's lock for a look at times
+STANDBY_LOCK_TRIES, STANDBY_LOCK_PAUSE = (
+    20,
+    0.01,
+)  # seconds: the old process takes the seat's lock for a look at times
 OTHER_FILES = 4  # in blocks: the hosts out, the clock, and a new one of either
 NO_LOCKS = (errno.ENOLCK, errno.EOPNOTSUPP, errno.ENOSYS)  # a file system without locks
 
@@ -86,16 +99,16 @@
         raw = raw[os.write(file, raw) :]
 
 
-def lock_seat(seat: str) -> int:
+def lock_standby(standby: str) -> int:
     """Hold the seat; FolderInUse where a third process does.
 
     Guards against a new process that is refused because the old one looks just then whether it waits."""
-    for _ in range(SEAT_LOOKS):
+    for _ in range(STANDBY_LOCK_TRIES):
         try:
-            return lock(seat)
+            return lock(standby)
         except FolderInUse:
-            time.sleep(SEAT_PAUSE)
-    return lock(seat)
+            time.sleep(STANDBY_LOCK_PAUSE)
+    return lock(standby)
 
 
 class Ledger:
@@ -112,48 +125,50 @@
         memory_bytes: int,
         told: Callable[[OSError | None], None] = lambda error: None,
     ) -> None:
-        self.folder, self.seat, self._told = folder, folder, told
+        self.folder, self.directory, self._told = folder, folder, told
         self._whole, self._memory = disk_bytes // BLOCK * BLOCK - OTHER_FILES * BLOCK, memory_bytes
-        self.leave_room(0, at_once=True)
-        self.book, self.size, self.cut, self.behind = Book(), 0, 0, b""
+        self.reserve_disk(0, at_once=True)
+        self.state, self.size, self.cut_bytes, self.unwritten = LedgerState(), 0, 0, b""
         self._torn = False  # a record written in part stands at the file's end
         self._failing = False  # since a call that failed, until a write works
-        self.sibling_needs = 0  # bytes of the disk that the other process of an upgrade holds or will write
+        self.sibling_bytes = 0  # bytes of the disk that the other process of an upgrade holds or will write
         self._emptied_later: list[str] = []  # files taken in that could not be removed
         try:
             self._lock = lock(folder)
         except FolderInUse:  # an upgrade: the process before still holds it; a third one is refused
-            self.seat = os.path.join(folder, SEAT)
-            with named("mkdir", self.seat):
-                os.makedirs(self.seat, exist_ok=True)
-            self._lock = lock_seat(self.seat)
+            self.directory = os.path.join(folder, STANDBY_DIR)
+            with named("mkdir", self.directory):
+                os.makedirs(self.directory, exist_ok=True)
+            self._lock = lock_standby(self.directory)
         # The other process's ledger in an upgrade: the folder's, seen from the seat, and the other way.
-        self.sibling_path = os.path.join(folder, FILE) if self.beside else os.path.join(folder, SEAT, FILE)
+        self.sibling_path = (
+            os.path.join(folder, FILE) if self.is_standby else os.path.join(folder, STANDBY_DIR, FILE)
+        )
         try:
             self._open()
             self._replay()
         except OSError:
             close_quietly(self._lock)  # else a further try would find the folder in use
             raise
-        if self.seat_left:
-            self.take_seat()
+        if self.has_abandoned_standby:
+            self.adopt_standby()
 
     def _open(self) -> None:
-        self.path, self._new = os.path.join(self.seat, FILE), os.path.join(self.seat, NEW_FILE)
+        self.path, self._new = os.path.join(self.directory, FILE), os.path.join(self.directory, NEW_FILE)
         with suppress(OSError):  # a compaction that the end of the process cut short; the next one empties it
             os.remove(self._new)
         with named("open", self.path):
             self._file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
     @property
-    def beside(self) -> bool:
+    def is_standby(self) -> bool:
         """Whether this process waits in the seat for the one before it to end."""
-        return self.seat != self.folder
+        return self.directory != self.folder
 
-    def successor(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a new process waits in the seat: the old one then hands clients over to it."""
         try:
-            os.close(lock(os.path.join(self.folder, SEAT)))
+            os.close(lock(os.path.join(self.folder, STANDBY_DIR)))
         except FolderInUse:
             return True
         except OSError:  # no seat: nobody waits
@@ -172,29 +187,29 @@
         except OSError as error:
             self._failed(error)
             return None
-        seat_file, seat_lock, paths = self.path, self._lock, (self.path, self._new)
+        standby_file, standby_lock, paths = self.path, self._lock, (self.path, self._new)
         self.path, self._new = os.path.join(self.folder, FILE), os.path.join(self.folder, NEW_FILE)
         adopted = self._adopt(self.path)
         if adopted is None:
             self.path, self._new = paths
             close_quietly(held)
             return None
-        self._lock, self.seat, self.sibling_path = held, self.folder, seat_file
-        self._empty(seat_file)
-        close_quietly(seat_lock)
+        self._lock, self.directory, self.sibling_path = held, self.folder, standby_file
+        self._empty(standby_file)
+        close_quietly(standby_lock)
         return adopted
 
     @property
-    def seat_left(self) -> bool:
+    def has_abandoned_standby(self) -> bool:
         """Whether a successor that ended before it took over has left texts in its seat."""
-        return not self.beside and os.path.exists(self.sibling_path)
+        return not self.is_standby and os.path.exists(self.sibling_path)
 
-    def take_seat(self) -> list[Entry] | None:
+    def adopt_standby(self) -> list[Entry] | None:
         """The texts that a successor left in its seat are this process's now; None where that has to be tried
         again, and none where the successor lives: it takes this folder over itself."""
         path = self.sibling_path
         try:
-            held = lock(os.path.join(self.folder, SEAT))
+            held = lock(os.path.join(self.folder, STANDBY_DIR))
         except FolderInUse:
             return []
         except OSError as error:
@@ -234,33 +249,33 @@
 
     def _absorb(self, path: str, first: bool = True) -> list[Entry]:
         """Take in the texts of another file, `first` before those held; a torn tail is left out."""
-        raw, theirs = read_whole(path), Book()
-        for one in split(raw):
+        raw, theirs = read_whole(path), LedgerState()
+        for one in split_records(raw):
             try:
                 theirs.apply(one)
             except BadRecord:  # of another version: left out rather than take a text that can't be read
                 continue
         adopted = [entry for text, entry in theirs.entries.items() if text not in self.entries]
         fresh = {entry.id: entry for entry in adopted}
-        self.book.entries = fresh | self.book.entries if first else self.book.entries | fresh
-        self.book.live += sum(len(entry.taken) + LATER for entry in adopted)
-        for key, rest in theirs.rests.items():
-            self.book.add_rest(key, rest, 0)
-        for host, until in theirs.waits.items():
-            self.book.add_wait(host, until, 0)
-        for host, health in theirs.healths.items():
-            self.book.add_health(host, health)
+        self.state.entries = fresh | self.state.entries if first else self.state.entries | fresh
+        self.state.live_bytes += sum(len(entry.accepted_record) + STATE_RESERVE for entry in adopted)
+        for key, rest in theirs.cooldowns.items():
+            self.state.add_cooldown(key, rest, 0)
+        for host, until in theirs.host_waits.items():
+            self.state.add_wait(host, until, 0)
+        for host, health in theirs.host_health.items():
+            self.state.add_health(host, health)
         return adopted
 
     def _leave(self, adopted: list[Entry]) -> None:
         """What was taken in stays with the other file, since it can't be written to this one."""
         for entry in adopted:
-            self.book.live -= len(entry.taken) + LATER
+            self.state.live_bytes -= len(entry.accepted_record) + STATE_RESERVE
             del self.entries[entry.id]
 
     @property
     def entries(self) -> dict[bytes, Entry]:
-        return self.book.entries
+        return self.state.entries
 
     def close(self) -> None:
         """Give the folder back."""
@@ -269,74 +284,80 @@
 
     def _replay(self) -> None:
         raw, at = read_whole(self.path), 0
-        for one in split(raw):
+        for one in split_records(raw):
             try:
-                self.book.apply(one)
+                self.state.apply(one)
             except BadRecord as error:  # whole, and yet not of this version: to cut it would lose texts
                 raise ForeignLedger(
                     errno.EINVAL, f"a record at byte {at} is not of this version: {error}", self.path
                 ) from None
             at += len(one)
-        self.cut, self.size = len(raw) - at, at
-        self._torn = self.cut > 0  # by the end of the process: cut off, with whatever follows it
+        self.cut_bytes, self.size = len(raw) - at, at
+        self._torn = self.cut_bytes > 0  # by the end of the process: cut off, with whatever follows it
         with suppress(OSError):  # else before the first write
             self._cut_tail()
 
-    def leave_room(self, size: int, at_once: bool = False) -> bool:
+    def reserve_disk(self, size: int, at_once: bool = False) -> bool:
         """Leave so many bytes of the disk to another file of the folder; not where the ledger needs them."""
         disk = self._whole - (-size // BLOCK * -BLOCK)
-        if not at_once and (size > self._whole * BESIDE_SHARE or self.size + self.book.live > disk - BLOCK):
+        if not at_once and (
+            size > self._whole * BESIDE_SHARE or self.size + self.state.live_bytes > disk - BLOCK
+        ):
             return False
-        self.disk, self.live_most = disk, min(disk * LIVE_SHARE, self._memory * MEMORY_SHARE)
+        self.disk_limit, self.max_live_bytes = disk, min(disk * LIVE_SHARE, self._memory * MEMORY_SHARE)
         return True
 
     def has_room(self, body: int) -> bool:
         """Whether one more text fits, with all that will be written of it and of the others."""
-        own_disk = max(0, self.disk - self.sibling_needs)
-        return self.book.live + body + 2 * LATER <= min(self.live_most, own_disk * LIVE_SHARE)
+        own_disk = max(0, self.disk_limit - self.sibling_bytes)
+        return self.state.live_bytes + body + 2 * STATE_RESERVE <= min(
+            self.max_live_bytes, own_disk * LIVE_SHARE
+        )
 
-    def taken(self, text: bytes, body: bytes, **pairs: object) -> bool:
+    def record_accepted(self, text: bytes, body: bytes, **pairs: object) -> bool:
         """Whether the text is in the ledger; else it is not taken on."""
-        return self._flush() and self._write(Kind.TAKEN, text, pairs, body, must=True)
+        return self._flush() and self._write(RecordKind.TAKEN, text, pairs, body, must=True)
 
-    def going(self, text: bytes, at: int, zone: int) -> bool:
+    def record_submit(self, text: bytes, at: int, zone: int) -> bool:
         """A submit is about to go: written before the call's last byte; where it can't be, none may go."""
-        return self._flush() and self._write(Kind.GOING, text, {"at": at, "zone": zone}, must=True)
+        return self._flush() and self._write(RecordKind.GOING, text, {"at": at, "zone": zone}, must=True)
 
-    def ended(self, text: bytes, ran: bool, now: int = 0, rest: int | None = None) -> None:
+    def record_submit_end(self, text: bytes, ran: bool, now: int = 0, rest: int | None = None) -> None:
         """The submit has ended; `ran` unless it is proved never to have run. `rest`: until when its key
         rests, where the call may still run."""
         resting = {} if rest is None else {"at": now, "rest": rest}
-        self._write(Kind.ENDED, text, {"ran": ran} | resting)
+        self._write(RecordKind.ENDED, text, {"ran": ran} | resting)
 
-    def found_health(self, host: bytes, health: Health, now: int) -> None:
+    def record_health(self, host: bytes, health: Health, now: int) -> None:
         """The module has found a host sick or warming, for the other process of an upgrade."""
-        self._write(Kind.HEALTH, host, {"health": health.value, "at": now})
+        self._write(RecordKind.HEALTH, host, {"health": health.value, "at": now})
 
-    def told_wait(self, host: bytes, until: int, now: int) -> None:
+    def record_retry_after(self, host: bytes, until: int, now: int) -> None:
         """A host has told to wait; one record for the texts of a batch."""
-        if until > self.book.waits.get(host, 0):
-            self._write(Kind.WAIT, host, {"at": now, "until": until})
+        if until > self.state.host_waits.get(host, 0):
+            self._write(RecordKind.WAIT, host, {"at": now, "until": until})
 
-    def owed(self, text: bytes, notice: dict) -> bool:
+    def record_notice(self, text: bytes, notice: dict) -> bool:
         """The final answer is given; whether its record is in the folder."""
-        return self._write(Kind.OWED, text, {"notice": notice})
+        return self._write(RecordKind.OWED, text, {"notice": notice})
 
-    def over(self, text: bytes) -> None:
+    def record_finished(self, text: bytes) -> None:
         if text in self.entries:
-            self._write(Kind.OVER, text, {})
+            self._write(RecordKind.OVER, text, {})
 
-    def _write(self, kind: Kind, text: bytes, pairs: dict, body: bytes = b"", must: bool = False) -> bool:
+    def _write(
+        self, kind: RecordKind, text: bytes, pairs: dict, body: bytes = b"", must: bool = False
+    ) -> bool:
         """Add a record; False where it could not be written: it waits, or, if it `must`, it is dropped."""
-        one = record(kind, text, pairs, body)
+        one = encode_record(kind, text, pairs, body)
         if self._needs_compaction(len(one)):
             self.compact()
-        self.behind += one
+        self.unwritten += one
         written = self._flush()
         if not written and must:
-            self.behind = b""  # nothing else was behind
+            self.unwritten = b""  # nothing else was behind
             return False
-        self.book.apply(one)
+        self.state.apply(one)
         return written
 
     def _needs_compaction(self, more: int) -> bool:
@@ -344,33 +365,33 @@
 
         At half of it already, unless most of the file is still needed: so there is room for the ledger of
         a successor."""
-        size, room = self.size + more, self.disk - self.sibling_needs - BLOCK
-        if size + self.book.live > room:
+        size, room = self.size + more, self.disk_limit - self.sibling_bytes - BLOCK
+        if size + self.state.live_bytes > room:
             return True
-        return size + self.book.live > room // 2 and size > DEAD_TIMES * self.book.live
+        return size + self.state.live_bytes > room // 2 and size > DEAD_TIMES * self.state.live_bytes
 
     def _flush(self) -> bool:
         """Write what is behind; of a record written in part nothing stays before the next one."""
-        if not self.behind:
+        if not self.unwritten:
             return True
         try:
             self._cut_tail()
             with named("write", self.path):
-                append(self._file, self.behind)
+                append(self._file, self.unwritten)
         except OSError as error:
             self._torn = True
             with suppress(OSError):  # else before the next write
                 self._cut_tail()
             self._failed(error)
             return False
-        self.size, self.behind = self.size + len(self.behind), b""
+        self.size, self.unwritten = self.size + len(self.unwritten), b""
         self._worked()
         return True
 
-    def try_again(self) -> bool:
+    def retry_write(self) -> bool:
         """Write what has waited since a failure, or a record that tells nothing; whether that has worked."""
-        if not self.behind:
-            self.behind = record(Kind.BLANK, b"", {})
+        if not self.unwritten:
+            self.unwritten = encode_record(RecordKind.BLANK, b"", {})
         return self._flush()
 
     def _failed(self, error: OSError) -> None:
@@ -397,8 +418,8 @@
         """Write what still matters to a new file, in the order of the texts; put it in place.
 
         Where it can't be written the old file stays."""
-        parts = [kept(entry) for entry in self.entries.values()]
-        records, new = b"".join([*parts, *kept_beside(self.book)]), None
+        parts = [compacted_records(entry) for entry in self.entries.values()]
+        records, new = b"".join([*parts, *records_besides_texts(self.state)]), None
         try:
             with named("open", self._new):
                 new = os.open(self._new, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
@@ -413,7 +434,7 @@
             self._failed(error)
             return False
         close_quietly(self._file)
-        self._file, self.size, self.behind, self._torn = new, len(records), b"", False  # the rest is in it
+        self._file, self.size, self.unwritten, self._torn = new, len(records), b"", False  # the rest is in it
         self._worked()
         return True
 
--- a/limelatch/relay/list_copy.py
+++ b/limelatch/relay/list_copy.py
@@ -70,9 +70,9 @@
         try:
             found = read_copy(self.path)
             needed = 2 * os.path.getsize(self.path)
-            if self._ledger.beside:  # the other process's copy, and the new one that it writes beside it
-                self._ledger.leave_room(needed, at_once=True)
-            elif not self._ledger.leave_room(needed):
+            if self._ledger.is_standby:  # the other process's copy, and the new one that it writes beside it
+                self._ledger.reserve_disk(needed, at_once=True)
+            elif not self._ledger.reserve_disk(needed):
                 os.remove(self.path)  # guards against a disk over its limit once the ledger is full
         except FileNotFoundError:
             return None
@@ -96,9 +96,9 @@
 
     def _begin(self, source) -> None:
         self._due, self._again, directory = None, None, source.directory
-        if source.index is None or directory.reading or self._ledger.beside:
+        if source.index is None or directory.reading or self._ledger.is_standby:
             return  # a whole list is on its way and will call again, or the folder is another process's
-        if not self._ledger.leave_room(2 * (directory.size + HEAD_MOST)):
+        if not self._ledger.reserve_disk(2 * (directory.size + HEAD_MOST)):
             log_event(log, "copy-not-written", why=f"{directory.size} bytes, and no room beside the ledger")
             return
         head = {"form": COPY_FORM, "catalog": str(source.address), "index": source.index}
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -26,16 +26,16 @@
         if not driver.ready:
             return "-ERR starting"
         return (
-            f"+OK serving owed={len(driver.owed)} hosts={len(driver.catalog.directory)} "
+            f"+OK serving owed={len(driver.accepted)} hosts={len(driver.catalog.directory)} "
             f"out={len(self.suspended.counts)}"
             f" paused={'yes' if driver.listener.paused else 'no'}"
-            f" folder={'ok' if driver.folder.gate.failing_since is None else 'failing'}"
+            f" folder={'ok' if driver.storage_monitor.gate.failing_since is None else 'failing'}"
         )
 
     def pause(self) -> str:
         """Send clients away; what the relay holds goes on."""
         self._driver.listener.pause()
-        return f"+OK paused owed={len(self._driver.owed)}"
+        return f"+OK paused owed={len(self._driver.accepted)}"
 
     def resume(self) -> str:
         """Take clients again."""
@@ -50,17 +50,17 @@
         """The host counts as draining until RESTORE, whatever the catalog says."""
         self.refresh_suspended()
         if self.suspended.suspend(host):
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
         return f"+OK {host.decode()} out, {self.suspended.counts[host]} calls"
 
     def restore(self, host: li.HostId) -> str:
         """The catalog's own line of the host holds again."""
         self.refresh_suspended()
         if self.suspended.restore(host):
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
         return f"+OK {host.decode()} back"
 
     def refresh_suspended(self) -> None:
         """What operators have told the other process of an upgrade binds this one."""
         for host in self.suspended.refresh() if self._driver.handover.has_news else ():
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -12,7 +12,7 @@
 from limelatch.interface import SECOND
 from limelatch.relay import operator_server
 from limelatch.relay.operator_server import SuspendedHosts
-from limelatch.relay.ledger import FILE, SEAT, Ledger
+from limelatch.relay.ledger import FILE, STANDBY_DIR, Ledger
 
 SPANS = [0.4, 3.0]  # seconds
 OTHER_CELLS = [("open", "ENOSPC"), ("write", "EIO"), ("rename", "EROFS"), ("unlink", "EIO")]
@@ -167,7 +167,7 @@
         flow.submit_text(within=BACK)
     flow.settle()
     assert before.delivered and held.ended and flow.check() == []
-    seat = flow.program.state / SEAT / FILE
+    seat = flow.program.state / STANDBY_DIR / FILE
     assert not seat.exists() or seat.stat().st_size == 0
 
 
@@ -249,7 +249,7 @@
     def refuse(path, content):
         raise OSError(errno.ENOSPC, "No space left on device", path)
 
-    monkeypatch.setattr(operator_server, "replace_whole", refuse)
+    monkeypatch.setattr(operator_server, "replace_file", refuse)
     with pytest.raises(operator_server.OperatorError, match="not done"):
         out.suspend(b"s-1")
     assert out.counts == {}
@@ -274,7 +274,7 @@
     """Else later records would go to a file that no folder has."""
     ledger = Ledger(str(tmp_path), 100_000, 10_000_000)
     taken = {"key": "", "mark": "", "dest": 1, "product": "notice", "customer": "", "until": 9}
-    assert ledger.taken(b"a", b"x", **taken)
+    assert ledger.record_accepted(b"a", b"x", **taken)
     from limelatch.relay import ledger as module
 
     def done_and_failed(source, target, real=module.os.replace):
@@ -284,7 +284,7 @@
     monkeypatch.setattr(module.os, "replace", done_and_failed)
     assert ledger.compact()
     monkeypatch.undo()
-    assert ledger.taken(b"b", b"y", **taken)
+    assert ledger.record_accepted(b"b", b"y", **taken)
     ledger.close()
     again = Ledger(str(tmp_path), 100_000, 10_000_000)
     assert list(again.entries) == [b"a", b"b"]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -32,7 +32,7 @@
 )
 from limelatch.relay.http import HttpClientProtocol, Response
 from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
-from limelatch.relay.records import LATER, Kind, record
+from limelatch.relay.records import STATE_RESERVE, RecordKind, encode_record
 from limelatch.relay.ring_buffer import Ring, RingFull
 from limelatch.relay.slots import Slots
 
@@ -78,7 +78,7 @@
 
 
 def take(ledger, text, body=b"body", key="k1"):
-    ledger.taken(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
+    ledger.record_accepted(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
 
 
 def again(ledger):
@@ -165,33 +165,46 @@
 def test_the_ledger_tells_what_is_owed_in_the_order_it_was_taken(ledger):
     for text in (b"a", b"b", b"c", b"d"):
         take(ledger, text, b"body of " + text)
-    ledger.going(b"a", 5, 1)
-    ledger.going(b"b", 6, 0)
-    ledger.ended(b"b", ran=True)
-    ledger.going(b"b", 7, 2)
-    ledger.ended(b"b", ran=False)
-    ledger.owed(b"c", {"result": "dead"})
-    ledger.over(b"d")
+    ledger.record_submit(b"a", 5, 1)
+    ledger.record_submit(b"b", 6, 0)
+    ledger.record_submit_end(b"b", ran=True)
+    ledger.record_submit(b"b", 7, 2)
+    ledger.record_submit_end(b"b", ran=False)
+    ledger.record_notice(b"c", {"result": "dead"})
+    ledger.record_finished(b"d")
     a, b, c = again(ledger).entries.values()
-    assert (a.id, a.body, a.submits, a.out, a.ran_at, a.ran_zone) == (b"a", b"body of a", 1, True, 5, 1)
-    assert (b.submits, b.out, b.ran_at, b.ran_zone) == (2, False, 6, 0)
-    assert (c.notice, c.pairs["key"]) == ({"result": "dead"}, "k1")
+    assert (a.id, a.body, a.submit_count, a.in_flight, a.first_run_at, a.first_run_zone) == (
+        b"a",
+        b"body of a",
+        1,
+        True,
+        5,
+        1,
+    )
+    assert (b.submit_count, b.in_flight, b.first_run_at, b.first_run_zone) == (2, False, 6, 0)
+    assert (c.notice, c.fields["key"]) == ({"result": "dead"}, "k1")
 
 
 def test_a_new_file_keeps_each_text_s_state_in_the_room_that_is_kept_free_for_it(ledger):
     """Every submit once kept its records, with room for 2 KB a text: others were refused untaken."""
     take(ledger, b"a" * 64)
     for at in range(40):
-        ledger.going(b"a" * 64, at, 1)
-        ledger.ended(b"a" * 64, ran=at > 2)
-    ledger.going(b"a" * 64, 99, 2)
+        ledger.record_submit(b"a" * 64, at, 1)
+        ledger.record_submit_end(b"a" * 64, ran=at > 2)
+    ledger.record_submit(b"a" * 64, 99, 2)
     before = ledger.entries[b"a" * 64]
     ledger.compact()
-    after, taken = again(ledger).entries[b"a" * 64], len(before.taken)
-    assert (after.submits, after.out, after.ran, after.ran_at, after.ran_zone) == (41, True, True, 3, 1)
-    ledger.owed(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
+    after, taken = again(ledger).entries[b"a" * 64], len(before.accepted_record)
+    assert (
+        after.submit_count,
+        after.in_flight,
+        after.may_have_run,
+        after.first_run_at,
+        after.first_run_zone,
+    ) == (41, True, True, 3, 1)
+    ledger.record_notice(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
     ledger.compact()
-    assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= LATER
+    assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= STATE_RESERVE
     while ledger.has_room(10):
         take(ledger, b"t%d" % len(ledger.entries), b"x" * 10)
     assert len(ledger.entries) > 60 and ledger.size <= 100_000
@@ -199,20 +212,20 @@
 
 def test_a_submit_that_never_ran_is_forgotten(ledger):
     take(ledger, b"a")
-    ledger.going(b"a", 5, 1)
-    ledger.ended(b"a", ran=False)
-    assert again(ledger).entries[b"a"].ran_at is None
+    ledger.record_submit(b"a", 5, 1)
+    ledger.record_submit_end(b"a", ran=False)
+    assert again(ledger).entries[b"a"].first_run_at is None
 
 
 def test_a_folder_is_one_relays_and_its_successors_until_they_end(ledger):
     folder = ledger.path.removesuffix("/ledger")
     beside = Ledger(folder, 100_000, 10_000_000)  # an upgrade's new process, in the seat
-    assert beside.beside and ledger.successor()
+    assert beside.is_standby and ledger.has_successor()
     with pytest.raises(FolderInUse):
         Ledger(folder, 100_000, 10_000_000)
     assert beside.take_over() is None  # the first still holds the folder
     ledger.close()
-    assert beside.take_over() == [] and not beside.beside
+    assert beside.take_over() == [] and not beside.is_standby
     beside.close()
     Ledger(folder, 100_000, 10_000_000).close()
 
@@ -221,7 +234,7 @@
     take(ledger, b"a")
     before = ledger.size
     with open(ledger.path, "ab") as file:
-        file.write(record(Kind.STATE, b"a", {"tries": 3}))
+        file.write(encode_record(RecordKind.STATE, b"a", {"tries": 3}))
     with pytest.raises(ForeignLedger):
         again(ledger)
     assert os.path.getsize(ledger.path) > before
@@ -235,7 +248,7 @@
     with open(ledger.path, "r+b") as file:
         file.truncate(ledger.size - cut)
     torn = again(ledger)
-    assert list(torn.entries) == [b"a"] and torn.size == kept and torn.cut > 0
+    assert list(torn.entries) == [b"a"] and torn.size == kept and torn.cut_bytes > 0
     take(torn, b"c")
     assert list(again(torn).entries) == [b"a", b"c"]
 
@@ -260,7 +273,7 @@
     for number in range(300):
         text = b"t%d" % number
         take(ledger, text, b"x" * 900)
-        ledger.over(text)
+        ledger.record_finished(text)
     assert len(most) > 2 and max(most) <= 100_000 and ledger.size <= 100_000
     take(ledger, b"last")
     assert list(again(ledger).entries) == [b"stays", b"last"]
@@ -270,7 +283,7 @@
     assert ledger.has_room(30_000)
     take(ledger, b"a", b"x" * 30_000)
     assert not ledger.has_room(30_000)
-    ledger.over(b"a")
+    ledger.record_finished(b"a")
     assert ledger.has_room(30_000)
 
 
@@ -404,13 +417,13 @@
     def __init__(self, goes=True):
         self.goes, self.ends, self.over = goes, [], []
 
-    def may_go(self, now, text, host):
+    def may_send(self, now, text, host):
         return self.goes
 
-    def going(self, call, outgoing):
+    def start_submit(self, call, outgoing):
         return True
 
-    def ended(self, call, outgoing, outcome):
+    def submit_ended(self, call, outgoing, outcome):
         self.ends.append((outgoing.text, outcome.result))
         self.over += [outgoing.text] if outcome.finished else []
 
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -86,10 +86,10 @@
         self.clock.rightNow += self.late / S
         now = self.clock.now()
         for each in texts:
-            if not self.driver.may_go(now, each.text, host):
-                self.driver.ended(call, each, Outcome(Result.MOOT))
-        for each in [one for one in texts if self.driver.may_go(now, one.text, host)]:
-            assert self.driver.going(call, each)
+            if not self.driver.may_send(now, each.text, host):
+                self.driver.submit_ended(call, each, Outcome(Result.MOOT))
+        for each in [one for one in texts if self.driver.may_send(now, one.text, host)]:
+            assert self.driver.start_submit(call, each)
             self.sent.append((now, each.text, host))
             self.out.append((call, each))
             known = self.ran.get((each.idempotency_key, host))
@@ -110,14 +110,14 @@
             idempotency_key=b"m-" + text,
             body=b"x",
         )
-        self.driver.handed_in(submission, client)
+        self.driver.submission_received(submission, client)
         self.driver.turn()
         assert client.answers == ["+OK"]
 
     def answered(self, result):
         """All calls that are out get this answer."""
         for call, outgoing in self.out:
-            self.driver.ended(call, outgoing, Outcome(result, result is Result.DELIVERED))
+            self.driver.submit_ended(call, outgoing, Outcome(result, result is Result.DELIVERED))
         self.out = []
 
     def killed(self, restart, **more):
@@ -149,7 +149,7 @@
     assert life.ended == {b"c": "dead"} | ({} if repeated else {b"n": "dead", b"y": "bounced"})
     assert all(life.effects[text] == 1 for text in (b"n", b"y", b"c"))
     life.answered(Result.DELIVERED)
-    assert set(life.driver.owed) == set(life.ended)  # nothing is lost, and nothing else owed
+    assert set(life.driver.accepted) == set(life.ended)  # nothing is lost, and nothing else owed
 
 
 @pytest.mark.parametrize("late", [S // 2, 7 * S // 10])
