--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -27,13 +27,13 @@
 
     DELIVERED = "delivered"
     ERROR = "error"
-    SPOILT = "spoilt"  # its answer can't be read: it may have run, and may still be running
+    MALFORMED = "spoilt"  # its answer can't be read: it may have run, and may still be running
     FULL = "full"
     TIMEOUT = "timeout"
     CONNECT = "connect"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
 class Listing(Enum):
@@ -54,8 +54,8 @@
     revenue: float
     late_share: float
     by_halves: bool
-    repeat_window: int = 0
-    repeats_anywhere: bool = True
+    retry_window: int = 0
+    retry_anywhere: bool = True
     in_order: bool = False
 
 
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class Terms:
+class PolicySettings:
     """All that a relay is told when it starts."""
 
     seed: int
@@ -88,8 +88,8 @@
     cold_time: int = 0
     fall_multiple: float = 1.0
     fall_time: int = 0
-    turn_gap: int = 0
-    conn_idle: int = 0
+    key_cooldown: int = 0
+    connection_idle_limit: int = 0
 
 
 @dataclass(slots=True)
@@ -114,35 +114,38 @@
     valid_until: int
     customer: int = 0
     key: int | bytes = 0
-    again: bool = False  # its client hands it in again after a nack
-    handed_in_at: int | None = None  # its place in its key's order; None: as it is told
+    resubmitted: bool = False  # its client hands it in again after a nack
+    received_at: int | None = None  # its place in its key's order; None: as it is told
 
 
 @dataclass(slots=True)
-class Past:
-    """What an earlier process of this relay did with a text that it took on and still owes its end.
+class TextHistory:
+    """What an earlier process of this relay did with a text that is not finished yet.
 
-    `ran_at` and `ran_zone` say when and where the first submit went that may have run; `out`: one had no
-    outcome yet; `answered`: the text's final answer is given and only waits to be heard."""
+    `first_run_at` and `first_run_zone`: when and where the first submit that may have run was sent.
+    `in_flight`: one submit had no outcome yet. `is_answered`: the final answer has been given and only waits
+    to be acknowledged."""
 
-    submits: int = 0
-    ran_at: int | None = None
-    ran_zone: int | None = None
-    out: bool = False
-    answered: bool = False
+    submit_count: int = 0
+    first_run_at: int | None = None
+    first_run_zone: int | None = None
+    in_flight: bool = False
+    is_answered: bool = False
     in_order: bool | None = None  # as its product was when it was taken on; None: as its product is now
 
 
 @dataclass(slots=True)
 class SubmitReport:
-    """How a submit ended. `over`: the text is finished. `told_wait`: the wait the destination asked for."""
+    """How a submit ended.
+
+    `finished`: the text is finished. `retry_after`: the wait that the destination asked for, 0 for none."""
 
     text: TextId
     host: HostId
     result: Result
     took: int
-    over: bool = False
-    told_wait: int = 0
+    finished: bool = False
+    retry_after: int = 0
     limit_left: float | None = None
     limit_rate: float | None = None
     idle: int | None = None  # how long its connection had stood idle; 0 if it was new, None if nobody knows
@@ -161,12 +164,12 @@
 
 @dataclass(slots=True)
 class Submit:
-    """Send the text to the host, stop waiting after `time_out`; let the connection stand idle for `keep`."""
+    """Send the text to the host, stop waiting after `timeout`; keep the connection idle for `idle_limit`."""
 
     text: TextId
     host: HostId
-    time_out: int
-    keep: int = 0
+    timeout: int
+    idle_limit: int = 0
 
 
 @dataclass(slots=True)
@@ -221,7 +224,7 @@
 class Health(Enum):
     """What the module has come to hold of a host."""
 
-    SICK = "sick"  # in an outage: it gets trials alone
+    OUTAGE = "sick"  # in an outage: it gets trials alone
     WARMING = "warming"  # back from one, and cold
 
 
@@ -234,7 +237,7 @@
     health: Health | None = None
 
 
-def limit_told(report: dict[str, float]) -> tuple[float | None, float | None]:
+def limit_from_report(report: dict[str, float]) -> tuple[float | None, float | None]:
     """Share of the limit left and the limit's rate, None where not told: both are 0 where there is no limit.
 
     Guards against a host without a limit that passes for one whose limit is used up."""
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -42,8 +42,8 @@
 
     tries = 1
 
-    def __init__(self, terms: li.Terms, now: int) -> None:
-        self.terms, self.chance = terms, Streams(terms.seed)
+    def __init__(self, settings: li.PolicySettings, now: int) -> None:
+        self.settings, self.chance = settings, Streams(settings.seed)
         self.texts: dict[li.TextId, PlainText] = {}
         self.over: dict[li.TextId, li.Text] = {}
         self.hosts: dict[li.HostId, li.HostEntry] = {}
@@ -66,20 +66,22 @@
             if entry.listing is Listing.READY:
                 self.by_destination.setdefault(entry.destination, []).append(entry.host)
 
-    def text_taken(self, now: int, text: li.Text, past: li.Past | None = None) -> None:
-        past = past or li.Past()
-        self.texts[text.id] = PlainText(text, past.submits, now, ran_at=past.ran_at, floor=past.ran_zone)
+    def text_accepted(self, now: int, text: li.Text, history: li.TextHistory | None = None) -> None:
+        history = history or li.TextHistory()
+        self.texts[text.id] = PlainText(
+            text, history.submit_count, now, ran_at=history.first_run_at, floor=history.first_run_zone
+        )
         self.waiting[text.id] = None
         heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
-        if text.key and self.terms.products[text.product].in_order:
+        if text.key and self.settings.products[text.product].in_order:
             self.lines.setdefault(text.key, []).append(text.id)
-            if past.out:
-                self.rests[text.key] = now + self.terms.turn_gap
-        if past.answered:
+            if history.in_flight:
+                self.rests[text.key] = now + self.settings.key_cooldown
+        if history.is_answered:
             self.over[text.id] = self.texts.pop(text.id).text
             self.waiting.pop(text.id)
 
-    def text_over(self, now: int, text: li.TextId) -> None:
+    def text_finished(self, now: int, text: li.TextId) -> None:
         self.texts.pop(text, None)
         row = self.over.pop(text, None)
         self.waiting.pop(text, None)
@@ -97,19 +99,19 @@
             return
         self.used -= 1
         held.out, text = False, held.text
-        if report.told_wait:
-            until = max(self.waits.get(text.destination, 0), now + report.told_wait)
+        if report.retry_after:
+            until = max(self.waits.get(text.destination, 0), now + report.retry_after)
             self.waits[text.destination] = until
-        if report.over:
+        if report.finished:
             self.texts.pop(report.text)
             self._out_of_line(text)
             return
-        if report.result in (Result.ERROR, Result.SPOILT, Result.TIMEOUT, Result.RESET):
+        if report.result in (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET):
             if held.ran_at is None:
                 held.ran_at = now - report.took
                 held.floor = self.hosts[report.host].zone if report.host in self.hosts else None
             if text.key and report.result is not Result.ERROR:
-                self.rests[text.key] = now + self.terms.turn_gap
+                self.rests[text.key] = now + self.settings.key_cooldown
         held.due = now + PAUSE
         self.waiting[report.text] = None
         heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
@@ -117,7 +119,7 @@
     def stopping(self, until: int) -> None:
         self.stop_at = until
 
-    def may_go(self, now: int, text: li.TextId, host: li.HostId) -> bool:
+    def may_send(self, now: int, text: li.TextId, host: li.HostId) -> bool:
         entry, held = self.hosts.get(host), self.texts.get(text)
         return (
             entry is not None
@@ -139,7 +141,9 @@
             elif self._done(now, held):
                 self._end(held, actions)
             elif (
-                self.used < self.terms.slots and held.due <= now < self.stop_at and self._turn(now, held.text)
+                self.used < self.settings.slots
+                and held.due <= now < self.stop_at
+                and self._turn(now, held.text)
             ):
                 self._submit(now, held, actions)
         if self.waiting:
@@ -148,12 +152,12 @@
 
     def _done(self, now: int, held: PlainText) -> bool:
         """Whether it is not to be sent again."""
-        product = self.terms.products[held.text.product]
-        if held.tries >= min(self.tries, self.terms.max_submits):
+        product = self.settings.products[held.text.product]
+        if held.tries >= min(self.tries, self.settings.max_submits):
             return True
         if held.ran_at is None or product.effect is Effect.RESENDABLE:
             return False
-        return product.effect is Effect.ONCE_ONLY or now + LAST_MOMENT >= held.ran_at + product.repeat_window
+        return product.effect is Effect.ONCE_ONLY or now + LAST_MOMENT >= held.ran_at + product.retry_window
 
     def _turn(self, now: int, text: li.Text) -> bool:
         line = self.lines.get(text.key)
@@ -162,9 +166,9 @@
 
     def _submit(self, now: int, held: PlainText, actions: list[li.Action]) -> None:
         text = held.text
-        product = self.terms.products[text.product]
+        product = self.settings.products[text.product]
         hosts = self.by_destination.get(text.destination, [])
-        if held.ran_at is not None and product.effect is Effect.REFERENCED and not product.repeats_anywhere:
+        if held.ran_at is not None and product.effect is Effect.REFERENCED and not product.retry_anywhere:
             hosts = [each for each in hosts if self.hosts[each].zone == held.floor]
         if not hosts:
             return
@@ -176,14 +180,14 @@
 
     def _end(self, held: PlainText, actions: list[li.Action]) -> None:
         text = held.text
-        product = self.terms.products[text.product]
+        product = self.settings.products[text.product]
         safe = (
             held.ran_at is None
             or product.effect is Effect.RESENDABLE
             or product.effect is Effect.REFERENCED
-            and product.repeats_anywhere
+            and product.retry_anywhere
         )
-        actions.append(li.Nack(text.id, self.terms.max_advice) if safe else li.Undeliverable(text.id))
+        actions.append(li.Nack(text.id, self.settings.max_advice) if safe else li.Undeliverable(text.id))
         self.over[text.id] = self.texts.pop(text.id).text
         self.waiting.pop(text.id, None)
 
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -34,7 +34,7 @@
 from limelatch.relay.wall_clock_monitor import WallClockMonitor
 
 log, policy_log = logger("driver"), logger("policy")
-NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.MOOT)
+NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.NOT_SENT)
 PORT_WAIT, PORT_LOOK = li.SECOND, li.SECOND // 20  # for a port that is in use at the start
 SHORTAGE_WAIT = 20 * li.SECOND  # for a machine without buffers or descriptors at the start
 LAST_LOOK = 20 * li.MS  # between two looks whether clients still ask, before an early end
@@ -74,7 +74,7 @@
         self.plan, self.reactor, self.clock = plan, reactor, clock
         self.started_with = plan.given
         self.deadlines = Deadlines(reactor, clock)
-        self.policy = Policy(plan.terms, clock.now())
+        self.policy = Policy(plan.settings, clock.now())
         self.suspended_hosts = SuspendedHosts(
             plan.state_dir
         )  # by operators; read before the folder is locked
@@ -90,7 +90,7 @@
             self.ledger,
             clock,
             self.deadlines,
-            self.policy.order,
+            self.policy.key_order,
             self._is_ordered,
             self._adopt,
             self.schedule_turn,
@@ -98,7 +98,7 @@
         )
         self._last_received_at = 0
         self._serves_from = clock.now() + (SUCCESSOR_NOTICED_AFTER if self.ledger.is_standby else 0)
-        self.slots: Slots[AcceptedText] = Slots(max(plan.terms.max_texts, len(self.ledger.entries)))
+        self.slots: Slots[AcceptedText] = Slots(max(plan.settings.max_texts, len(self.ledger.entries)))
         self.accepted: dict[bytes, AcceptedText] = {}
         self.new_texts: dict[bytes, AcceptedText] = {}  # this turn, not taken on yet
         self.hosts: dict[li.HostId, li.HostEntry] = {}  # of the destinations at work, as last told
@@ -124,9 +124,9 @@
             plan.watch_timeout,
             plan.reconnect_delay,
             self.hosts_listed,
-            self.list_failed if plan.terms.list_asked else None,
+            self.list_failed if plan.settings.list_asked else None,
             ListCopy(plan.state_dir, self.deadlines, self.ledger),
-            lambda destination: destination in self.policy.dests,
+            lambda destination: destination in self.policy.destinations,
         )
         self.listener = Listener(self, plan.shares.clients, plan.max_client_bytes, plan.shares.max_clients)
         self.operations = Operations(self, self.suspended_hosts)
@@ -136,7 +136,7 @@
             from limelatch.relay.peers import Peers
 
             self.peers = Peers(
-                plan.membership, reactor, self.deadlines, clock, plan.state_dir, plan.terms.seed
+                plan.membership, reactor, self.deadlines, clock, plan.state_dir, plan.settings.seed
             )
 
     def start(self) -> None:
@@ -169,7 +169,7 @@
         self.wall_clock_monitor.start()
         log_event(log, "waiting", on="list", most_ms=self.plan.list_timeout // li.MS)
         self.deadlines.after(self.plan.list_timeout, self.serve)
-        if not self.plan.terms.list_asked:
+        if not self.plan.settings.list_asked:
             self.catalog.connect()
         self.schedule_turn()
 
@@ -185,7 +185,7 @@
     def _share_limits(self, two: bool) -> None:
         """The limits are one for both processes of an upgrade: each holds half of the descriptors, and sends
         half of what a host back from an outage bears."""
-        self.policy.processes = 2 if two else 1
+        self.policy.process_count = 2 if two else 1
         shares = DescriptorShares.during_upgrade(self.plan.sockets) if two else self.plan.shares
         self.listener.set_limits(shares.clients, shares.max_clients)
         self.pool.set_limit(shares.hosts)
@@ -193,7 +193,7 @@
     def _is_ordered(self, product: str) -> bool:
         """Whether a product is in order by the settings; one that they don't know counts as one that is."""
         names = self.plan.names.products
-        return product not in names or self.plan.terms.products[names.index(product)].in_order
+        return product not in names or self.plan.settings.products[names.index(product)].in_order
 
     def _restore(self, now: int, entry: Entry) -> None:
         """A text that an earlier process took on: an end it still owes, or the module decides anew."""
@@ -202,21 +202,21 @@
         product = names.products.index(pairs["product"]) if known else 0
         customer = names.customers.index(said) if said in names.customers else 0
         text = li.Text(entry.id, pairs["dest"], product, pairs["until"], customer, entry.key)
-        text.handed_in_at = entry.received_at
+        text.received_at = entry.received_at
         self._last_received_at = max(self._last_received_at, entry.received_at)
         in_order = self._is_ordered(pairs["product"]) if entry.in_order is None else entry.in_order
-        row = replace(self.plan.terms.products[product], in_order=in_order)
+        row = replace(self.plan.settings.products[product], in_order=in_order)
         accepted = self._register(
             AcceptedText(text, pairs["mark"].encode(), entry.body, row, pairs["product"])
         )
         answered = entry.notice is not None or not known
         ran_at = entry.first_run_at
         if ran_at is not None and ran_at < self.clock.certain_from:
-            ran_at = min(ran_at, now - row.repeat_window)  # nobody knows how long ago: its window is over
-        past = li.Past(entry.submit_count, ran_at, entry.first_run_zone, entry.in_flight, answered, in_order)
+            ran_at = min(ran_at, now - row.retry_window)  # nobody knows how long ago: its window is over
+        history = li.TextHistory(entry.submit_count, ran_at, entry.first_run_zone, entry.in_flight, answered, in_order)
         self.text_log.adopted(entry, accepted.key, ran_at is not None, answered)
         self._list_hosts_of(now, text.destination)
-        self.policy.text_taken(now, text, past)
+        self.policy.text_accepted(now, text, history)
         if entry.in_flight and accepted.key is not None:  # its rest has to outlast this process too
             self.ledger.record_submit_end(entry.id, True, now, self._rest_of(accepted, now))
         if entry.notice is not None:
@@ -266,7 +266,9 @@
         later = [
             each.path for each in changes(self.started_with, plan.given) if each.reload is Reload.RESTART
         ]
-        terms = replace(self.plan.terms, products=plan.terms.products, max_submits=plan.terms.max_submits)
+        settings = replace(
+            self.plan.settings, products=plan.settings.products, max_submits=plan.settings.max_submits
+        )
         self.plan = replace(
             self.plan,
             catalog_address=plan.catalog_address,
@@ -274,10 +276,10 @@
             known_hosts=plan.known_hosts,
             min_stop_time=plan.min_stop_time,
             max_stop_time=plan.max_stop_time,
-            terms=terms,
+            settings=settings,
             names=replace(self.plan.names, products=plan.names.products),
         )
-        self.policy.terms = terms  # what it holds keeps the rows it came with
+        self.policy.settings = settings  # what it holds keeps the rows it came with
         self.catalog.change_address(plan.catalog_address)
         self.notifier.move(plan.catalog_address)
         start_logs(plan.log)
@@ -286,8 +288,8 @@
             "configured",
             catalog=plan.catalog_address,
             owed=len(self.accepted),
-            products=len(terms.products),
-            submits=terms.max_submits,
+            products=len(settings.products),
+            submits=settings.max_submits,
             restart_for=",".join(later),
         )
         self.schedule_turn()
@@ -353,17 +355,17 @@
         else:
             number = names.customers.index(customer) if customer in names.customers else 0
             row = names.products.index(product)
-            most = self.plan.terms.products[row].validity_period or submission.valid_for
+            most = self.plan.settings.products[row].validity_period or submission.valid_for
             until = now + min(submission.valid_for, most)
             self._last_received_at = max(now, self._last_received_at + 1)  # each text has a time of its own
             text = li.Text(submission.id, submission.destination, row, until, number, submission.key)
-            text.handed_in_at = self._last_received_at
-            rules = self.plan.terms.products[row]
+            text.received_at = self._last_received_at
+            rules = self.plan.settings.products[row]
             self.new_texts[submission.id] = self._register(
                 AcceptedText(text, submission.idempotency_key, submission.body, rules, product, client)
             )
             self._list_hosts_of(now, text.destination)
-            self.policy.text_taken(now, text)
+            self.policy.text_accepted(now, text)
             self.schedule_turn()
 
     def _refusal(self, submission: Submission, product: str, customer: str) -> Refusal | None:
@@ -391,7 +393,7 @@
 
     def _has_hosts(self, destination: int) -> bool:
         """Whether the list has the destination; one at work is not looked up for each text."""
-        at_work = self.policy.dests.get(destination)
+        at_work = self.policy.destinations.get(destination)
         if at_work is not None and any(host.listing is not li.Listing.GONE for host in at_work.hosts):
             return True
         return self.catalog.directory.has_destination(destination)
@@ -405,7 +407,7 @@
         """A client left before its text was taken on: it hands it in again, under a new id."""
         for accepted in [each for each in self.new_texts.values() if each.client is client]:
             del self.new_texts[accepted.text.id]
-            self.policy.text_over(self.clock.now(), accepted.text.id)
+            self.policy.text_finished(self.clock.now(), accepted.text.id)
             self._release(accepted)
             self.schedule_turn()
 
@@ -413,7 +415,9 @@
         """News of the list: the module hears of the destinations at work alone, after a whole list of all
         those. The others are told as they are met."""
         if whole:
-            entries = [entry for number in list(self.policy.dests) for entry in self.catalog.entries(number)]
+            entries = [
+                entry for number in list(self.policy.destinations) for entry in self.catalog.entries(number)
+            ]
             for host in self.hosts.keys() - {entry.host for entry in entries}:
                 self._remove_host(host)
         self._apply_host_list(self.clock.now(), entries, whole)
@@ -424,7 +428,7 @@
 
     def _list_hosts_of(self, now: int, destination: int) -> None:
         """A text's destination: the module is told its hosts, unless it knows them."""
-        if destination not in self.policy.dests:
+        if destination not in self.policy.destinations:
             self._apply_host_list(now, self.catalog.entries(destination), news=False)
 
     def _apply_host_list(
@@ -449,10 +453,10 @@
     def _apply_sibling_news(self) -> None:
         """What hosts have told the other process of this relay, and how it found them."""
         for host, until in self.handover.host_waits.items():
-            self.policy.wait_told_to_sibling(host, until)
+            self.policy.wait_from_sibling(host, until)
         now = self.clock.now()
         for host, found in self.handover.host_health.items():
-            self.policy.health_told_to_sibling(now, host, found.health, found.at)
+            self.policy.health_from_sibling(now, host, found.health, found.at)
 
     def _remove_host(self, host: li.HostId) -> None:
         """The host is off the list, or its destination at rest."""
@@ -478,7 +482,7 @@
     def may_send(self, now: int, text: bytes, host: li.HostId) -> bool:
         if self.handover.has_news:  # what it was told since this process decided binds too
             self._poll_sibling()
-        return self.policy.may_go(now, text, host)
+        return self.policy.may_send(now, text, host)
 
     def start_submit(self, call: Call, outgoing: OutgoingText) -> bool:
         """A submit is about to be written; not where the ledger can't tell of it, nor out of turn."""
@@ -501,7 +505,7 @@
 
     def _rest_of(self, accepted: AcceptedText, now: int) -> int | None:
         """Until when the text's key rests by a call of this text; None where it does not."""
-        rest = None if accepted.key is None else self.policy.order.rests.get(accepted.key)
+        rest = None if accepted.key is None else self.policy.key_order.cooldowns.get(accepted.key)
         return rest.until if rest is not None and rest.text == accepted.text.id and rest.until > now else None
 
     def submit_ended(self, call: Call, outgoing: OutgoingText, outcome: Outcome) -> None:
@@ -509,7 +513,7 @@
         accepted, now = self.accepted.get(outgoing.text), self.clock.now()
         if accepted is None:
             return
-        left, rate = li.limit_told(outcome.report)
+        left, rate = li.limit_from_report(outcome.report)
         self.policy.submit_ended(
             now,
             li.SubmitReport(
@@ -549,7 +553,7 @@
             if now > accepted.text.valid_until:
                 self.limited_log("ended-late", text=text, by_ms=(now - accepted.text.valid_until) // li.MS)
             self.ledger.record_finished(text)
-            self.policy.text_over(now, text)
+            self.policy.text_finished(now, text)
             self._release(accepted)
             self.schedule_turn()
 
@@ -587,10 +591,12 @@
         for action in actions:
             match action:
                 case li.Submit(text, host) if text not in self.accepted:  # it could not be taken on
-                    self.policy.submit_ended(now, li.SubmitReport(text, host, li.Result.MOOT, 0, over=True))
+                    self.policy.submit_ended(
+                        now, li.SubmitReport(text, host, li.Result.NOT_SENT, 0, finished=True)
+                    )
                     self.schedule_turn()
-                case li.Submit(text, host, time_out):
-                    self._add_to_call(calls, host, text, now + time_out, action.keep)
+                case li.Submit(text, host, timeout):
+                    self._add_to_call(calls, host, text, now + timeout, action.idle_limit)
                 case li.Nack(text, advice) if text in self.accepted:
                     wait = {"wait_ms": advice // li.MS} if advice else {}
                     self._finish_with_notice(self.accepted[text], {"result": "bounced"} | wait)
@@ -627,7 +633,7 @@
         else:
             log_event(log, "text-refused", text=accepted.text.id, why="undeliverable")
             accepted.client.answer("-ERR undeliverable")
-        self.policy.text_over(self.clock.now(), accepted.text.id)
+        self.policy.text_finished(self.clock.now(), accepted.text.id)
 
     def _accept(self, text: bytes, accepted: AcceptedText) -> None:
         """First the ledger, then the client's answer, and only then a call."""
@@ -642,13 +648,13 @@
             product=accepted.product,
             until=row.valid_until,
             customer=names[row.customer] if names else "",
-            at=row.handed_in_at,
+            at=row.received_at,
             ordered=accepted.row.in_order,
         ):  # a number does not outlast them
             self.text_log.taken(row, accepted.key)
             client.answer("+OK")
         else:  # a disk that takes no more
-            self.policy.text_over(self.clock.now(), text)
+            self.policy.text_finished(self.clock.now(), text)
             self._release(accepted)
             log_event(log, "text-refused", text=text, why="folder")
             client.answer("-BUSY")
@@ -659,7 +665,7 @@
         `due` counts from the decision: guards against a submit that waits past its text's validity period by
         the time that the ledger's writes have taken since."""
         accepted = self.accepted[text]
-        most = self.plan.terms.kinds[self.hosts[host].kind].texts_per_call if host in self.hosts else 1
+        most = self.plan.settings.kinds[self.hosts[host].kind].texts_per_call if host in self.hosts else 1
         if len(calls.get(host, [])) >= most:
             self.pool.send(host, calls.pop(host))
         calls.setdefault(host, []).append(OutgoingText(text, accepted.mark, accepted.body, due, keep))
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 
 from limelatch.interface import SECOND, HostId
-from limelatch.key_order import Hold, Key, KeyOrder, Place
+from limelatch.key_order import BlockReason, Key, KeyOrder, QueuedText
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.ledger import Ledger
@@ -62,7 +62,7 @@
         now = self._clock.now()
         for key, rest in state.cooldowns.items():
             if rest.until > now:
-                self._order.rest(key, rest.text, rest.until)
+                self._order.start_cooldown(key, rest.text, rest.until)
 
     def poll(self) -> None:
         """Tell the order of keys, and the waits, what the sibling holds by now."""
@@ -71,11 +71,11 @@
         state = self._sibling.poll()
         self._ledger.sibling_bytes = self._sibling.bytes_needed
         if state is None:
-            self._order.sibling_holds(())
+            self._order.set_sibling_texts(())
             self._forget_sibling()
             return
         self.learn(state)
-        self._order.sibling_holds(self._places(state))
+        self._order.set_sibling_texts(self._places(state))
         self._hear(state)
 
     def _hear(self, state: LedgerState) -> None:
@@ -83,13 +83,13 @@
         self.host_waits = {host: until for host, until in state.host_waits.items() if until > now}
         self.host_health = state.host_health
 
-    def _places(self, state: LedgerState) -> Iterator[tuple[Key, Place]]:
+    def _places(self, state: LedgerState) -> Iterator[tuple[Key, QueuedText]]:
         for entry in state.entries.values():
             ordered = entry.in_order
             if ordered is None:
                 ordered = self._is_ordered(entry.fields["product"])
             if ordered and entry.key:
-                yield entry.key, Place(entry.id, entry.received_at, entry.submit_count > 0)
+                yield entry.key, QueuedText(entry.id, entry.received_at, entry.submit_count > 0)
 
     def holds(self, text: bytes) -> bool:
         """Whether the other process has taken this text on: its client hands it in again, under the same id,
@@ -97,7 +97,7 @@
         state = self._sibling.poll() if self._sibling_known else None
         return state is not None and text in state.entries
 
-    def claim(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
+    def claim(self, key: Key, text: bytes, going: Callable[[], bool]) -> BlockReason | None:
         """Have the submit of a text in order recorded by `going`, if it still has its key's turn.
 
         None where it goes. Guards against the other process doing the same between look and record: see
@@ -107,14 +107,14 @@
         self._meet_sibling()
         with self._sibling.claiming() as held:
             if not held:
-                return Hold.SIBLING
+                return BlockReason.SIBLING
             self.poll()
             return self._go(key, text, going)
 
-    def _go(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
-        hold = self._order.hold_of(self._clock.now(), key, text)
+    def _go(self, key: Key, text: bytes, going: Callable[[], bool]) -> BlockReason | None:
+        hold = self._order.block_reason(self._clock.now(), key, text)
         if hold is None and going():
-            self._order.begin(key, text)
+            self._order.mark_started(key, text)
         return hold
 
     def _take_over(self) -> None:
@@ -125,7 +125,7 @@
             self._deadlines.after(SIBLING_POLL_INTERVAL, self._take_over)
             return
         self._hear(self._ledger.state)
-        self._order.sibling_holds(())
+        self._order.set_sibling_texts(())
         self.learn(self._ledger.state)
         self._forget_sibling()
         self._adopt(adopted)
@@ -153,7 +153,7 @@
     def _adopt_standby(self) -> None:
         """In the folder: what a successor that has ended left in its seat is this process's."""
         if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):
-            self._order.sibling_holds(())
+            self._order.set_sibling_texts(())
             self.learn(self._ledger.state)
             self._hear(self._ledger.state)
             self._adopt(adopted)
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -100,11 +100,11 @@
     if call.batched and response.status in (410, 504):  # these speak of one text
         result = Result.ERROR
     if response.status == 503 and response.headers.get(b"x-no-slot") == b"1":
-        result = Result.MOOT
+        result = Result.NOT_SENT
     elif response.status == 503 and not (call.idle_time or response.keep_alive or report or wait):
         result = Result.CONNECT  # a new connection, turned away and closed: the host holds no more of them
     if call.batched and response.status == 400:
-        result = Result.MOOT  # a batch that was not read
+        result = Result.NOT_SENT  # a batch that was not read
     finished = response.status in FINISHED_STATUSES and result is not Result.ERROR
     return [Outcome(result, finished, wait, report) for _ in call.texts]
 
@@ -380,7 +380,7 @@
             and not call.batched
             and not call.is_late(call.response_started_at)
         ):
-            result, finished = Result.SPOILT, True  # its first line is true; the call may run on
+            result, finished = Result.MALFORMED, True  # its first line is true; the call may run on
         if not call.texts:
             self.driver.probe_ended(call, result, {})
         for each in call.texts:
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from limelatch.interface import Health
-from limelatch.key_order import Rest
+from limelatch.key_order import KeyCooldown
 
 RECORD_HEADER = struct.Struct(">II")  # length and checksum of what follows
 PAYLOAD_HEADER = struct.Struct(">BH")  # kind of record and length of its pairs; a body follows these
@@ -129,12 +129,12 @@
 
     def __init__(self) -> None:
         self.entries: dict[bytes, Entry] = {}
-        self.cooldowns: dict[bytes, Rest] = {}
+        self.cooldowns: dict[bytes, KeyCooldown] = {}
         self.host_waits: dict[bytes, int] = {}
         self.host_health: dict[bytes, HostHealth] = {}
         self.live_bytes = 0
 
-    def add_cooldown(self, key: bytes, rest: Rest, now: int) -> None:
+    def add_cooldown(self, key: bytes, rest: KeyCooldown, now: int) -> None:
         """The longest rest of the key holds."""
         for each in [known for known, old in self.cooldowns.items() if old.until <= now]:
             self._drop_cooldown(each)
@@ -185,7 +185,7 @@
         if kind == RecordKind.BLANK:
             return None
         if kind == RecordKind.REST:
-            self.add_cooldown(pairs["key"].encode(), Rest(pairs["until"], text), 0)
+            self.add_cooldown(pairs["key"].encode(), KeyCooldown(pairs["until"], text), 0)
             return None
         if kind == RecordKind.HEALTH:
             self.add_health(text, HostHealth(Health(pairs["health"]), pairs["at"]))
@@ -213,7 +213,7 @@
                 if not entry.may_have_run:
                     entry.first_run_at = entry.first_run_zone = None
                 if "rest" in pairs:
-                    self.add_cooldown(entry.key, Rest(pairs["rest"], text), pairs["at"])
+                    self.add_cooldown(entry.key, KeyCooldown(pairs["rest"], text), pairs["at"])
                 return wrong
             case RecordKind.STATE:
                 entry.submit_count, entry.in_flight, entry.may_have_run = (
@@ -232,7 +232,7 @@
         return None
 
 
-def cooldown_record(key: bytes, rest: Rest) -> bytes:
+def cooldown_record(key: bytes, rest: KeyCooldown) -> bytes:
     """A rest's own record."""
     return encode_record(RecordKind.REST, rest.text, {"key": key.decode(), "until": rest.until})
 
