--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -350,8 +350,8 @@
     def listen(self, reactor, host: str, port: int, is_standby: bool = False) -> None:
         """Listen with SO_REUSEPORT, so that a new version can serve on the same port during an upgrade.
 
-        Only a standby process (`is_standby`) joins a port in use; any other is refused, because it would share
-        the clients of another relay. Raises CannotListenError."""
+        Only a standby process (`is_standby`) joins a port in use; any other is refused, because it would
+        share the clients of another relay. Raises CannotListenError."""
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as shared:
                 if not is_standby:
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -213,7 +213,9 @@
         ran_at = entry.first_run_at
         if ran_at is not None and ran_at < self.clock.certain_from:
             ran_at = min(ran_at, now - row.retry_window)  # nobody knows how long ago: its window is over
-        history = li.TextHistory(entry.submit_count, ran_at, entry.first_run_zone, entry.in_flight, answered, in_order)
+        history = li.TextHistory(
+            entry.submit_count, ran_at, entry.first_run_zone, entry.in_flight, answered, in_order
+        )
         self.text_log.adopted(entry, accepted.key, ran_at is not None, answered)
         self._list_hosts_of(now, text.destination)
         self.policy.text_accepted(now, text, history)
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -285,7 +285,9 @@
         if held:
             call.texts = [each for each in call.texts if each not in held]
             for each in held:
-                self.driver.submit_ended(call, each, Outcome(RESULT_BY_END_REASON[EndReason.NOT_SENT], unsent=True))
+                self.driver.submit_ended(
+                    call, each, Outcome(RESULT_BY_END_REASON[EndReason.NOT_SENT], unsent=True)
+                )
             if not call.texts:
                 self._finish(call)
                 self._rest(connection, held[0].idle_limit)
--- a/limelatch/relay/http.py
+++ b/limelatch/relay/http.py
@@ -174,5 +174,7 @@
 
     def connectionLost(self, reason) -> None:
         if self.end_reason is None:
-            self.end_reason = EndReason.CONNECTION_LOST if self.awaiting_response else EndReason.CLOSED_BY_PEER
+            self.end_reason = (
+                EndReason.CONNECTION_LOST if self.awaiting_response else EndReason.CLOSED_BY_PEER
+            )
         self.connection_ended(self.end_reason)
