--- a/limelatch/configuration/files.py
+++ b/limelatch/configuration/files.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from limelatch.configuration.checks import doubts, mixed
-from limelatch.configuration.faults import ConfigurationError, Fault
+from limelatch.configuration.checks import doubts, conflicts
+from limelatch.configuration.errors import ConfigurationError, ConfigError
 from limelatch.configuration.model import Installation
-from limelatch.configuration.platform import UNITS, read_platform
-from limelatch.configuration.reading import OWN, Reader, Unit
+from limelatch.configuration.platform_form import PLATFORM_UNITS, read_platform
+from limelatch.configuration.reading import TOML_UNITS, Reader, Unit
 
-JSON_MOST, TOML_MOST = 8_000_000, 500_000  # bytes of a file; the parsers' time grows with it
+MAX_JSON_BYTES, MAX_TOML_BYTES = 8_000_000, 500_000  # bytes of a file; the parsers' time grows with it
 LINES_MOST = 500_000  # bytes of a file whose lines are looked up
 QUOTED_ADDRESS = re.compile(r'"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}"')  # a list of peers has its dots in these
 KEY_MOST = 2000  # dots in a key of TOML, whose parser goes as deep
@@ -33,15 +33,15 @@
 class Form(Enum):
     """How a configuration is written."""
 
-    OWN = "toml"
+    TOML = "toml"
     PLATFORM = "json"
 
 
-UNITS_OF: dict[Form, Mapping[str, Unit]] = {Form.OWN: OWN, Form.PLATFORM: UNITS}
+UNITS_OF: dict[Form, Mapping[str, Unit]] = {Form.TOML: TOML_UNITS, Form.PLATFORM: PLATFORM_UNITS}
 
 
 @dataclass(frozen=True)
-class Found:
+class LoadedFile:
     """A file that was read: its form, its text, its model, and the reader that knows which keys it tells."""
 
     path: str
@@ -51,19 +51,19 @@
     reader: Reader
 
     @property
-    def told(self) -> set[str]:
+    def given(self) -> set[str]:
         """The paths of the keys that it tells; all others have their defaults."""
-        return self.reader.told
+        return self.reader.given
 
-    def doubts(self) -> list[Fault]:
+    def doubts(self) -> list[ConfigError]:
         """What is taken as it is, though it can't be right."""
         found = [replace(each, path=self.reader.where(each.path)) for each in doubts(self.installation)]
-        return located(found, self.text, self.form)
+        return with_lines(found, self.text, self.form)
 
 
 def form_of(path: str) -> Form:
     """By the file's name: `.toml` is people's own form, any other the platform's JSON."""
-    return Form.OWN if path.endswith(".toml") else Form.PLATFORM
+    return Form.TOML if path.endswith(".toml") else Form.PLATFORM
 
 
 def read_bytes(path: str, most: int) -> bytes:
@@ -72,16 +72,18 @@
         with open(path, "rb", opener=lambda name, flags: os.open(name, flags | os.O_NONBLOCK)) as file:
             status = os.fstat(file.fileno())
             if not stat.S_ISREG(status.st_mode):
-                raise ConfigurationError([Fault(path, "a file is wanted, and this is none")])
+                raise ConfigurationError([ConfigError(path, "a file is wanted, and this is none")])
             if status.st_size > most:
                 raise ConfigurationError(
-                    [Fault(path, f"a file of {most} bytes at most is wanted, not of {status.st_size}")]
+                    [ConfigError(path, f"a file of {most} bytes at most is wanted, not of {status.st_size}")]
                 )
             raw = file.read(most + 1)
     except (OSError, ValueError) as error:
-        raise ConfigurationError([Fault(path, getattr(error, "strerror", None) or str(error))]) from None
+        raise ConfigurationError(
+            [ConfigError(path, getattr(error, "strerror", None) or str(error))]
+        ) from None
     if not raw.strip():
-        raise ConfigurationError([Fault(path, "the file is empty")])
+        raise ConfigurationError([ConfigError(path, "the file is empty")])
     return raw
 
 
@@ -90,7 +92,7 @@
         return raw.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         line = raw.count(b"\n", 0, error.start) + 1
-        raise ConfigurationError([Fault(path, f"byte {error.start} is not UTF-8", line)]) from None
+        raise ConfigurationError([ConfigError(path, f"byte {error.start} is not UTF-8", line)]) from None
 
 
 def parse_json(path: str, text: str) -> object:
@@ -110,83 +112,86 @@
     try:
         raw = json.loads(text, object_pairs_hook=pairs, parse_constant=constant)
     except json.JSONDecodeError as error:
-        raise ConfigurationError([Fault(path, f"no JSON: {error.msg}", error.lineno)]) from None
+        raise ConfigurationError([ConfigError(path, f"no JSON: {error.msg}", error.lineno)]) from None
     except RecursionError:
-        raise ConfigurationError([Fault(path, "nested too deeply")]) from None
+        raise ConfigurationError([ConfigError(path, "nested too deeply")]) from None
     except ValueError as error:
-        raise ConfigurationError([Fault(path, f"no JSON: {error}")]) from None
+        raise ConfigurationError([ConfigError(path, f"no JSON: {error}")]) from None
     if twice:
         raise ConfigurationError(
-            [Fault(path, f"the key {name!r} stands twice in one object") for name in dict.fromkeys(twice)]
+            [
+                ConfigError(path, f"the key {name!r} stands twice in one object")
+                for name in dict.fromkeys(twice)
+            ]
         )
     return raw
 
 
 def parse_toml(path: str, text: str) -> object:
     if any(QUOTED_ADDRESS.sub("", line).count(".") > KEY_MOST for line in text.split("\n")):
-        raise ConfigurationError([Fault(path, "nested too deeply")])
+        raise ConfigurationError([ConfigError(path, "nested too deeply")])
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ConfigurationError([Fault(path, f"no TOML: {error}")]) from None
+        raise ConfigurationError([ConfigError(path, f"no TOML: {error}")]) from None
     except RecursionError:
-        raise ConfigurationError([Fault(path, "nested too deeply")]) from None
+        raise ConfigurationError([ConfigError(path, "nested too deeply")]) from None
     except ValueError as error:  # a number with too many digits, a date that is none
-        raise ConfigurationError([Fault(path, f"no TOML: {error}")]) from None
+        raise ConfigurationError([ConfigError(path, f"no TOML: {error}")]) from None
 
 
-def load(path: str, form: Form | None = None, environment: Mapping[str, str] | None = None) -> Found:
+def load(path: str, form: Form | None = None, environment: Mapping[str, str] | None = None) -> LoadedFile:
     """Read a file in its form; ConfigurationError tells every fault at once.
 
     For the platform's JSON, `environment` fills in what the file leaves out."""
     form = form or form_of(path)
-    text = decode(path, read_bytes(path, TOML_MOST if form is Form.OWN else JSON_MOST))
-    if form is Form.OWN:
-        reader = Reader(OWN, strict=True)
+    text = decode(path, read_bytes(path, MAX_TOML_BYTES if form is Form.TOML else MAX_JSON_BYTES))
+    if form is Form.TOML:
+        reader = Reader(TOML_UNITS, strict=True)
         installation = reader.read(parse_toml(path, text))
-        faults = reader.faults
+        errors = reader.errors
     else:
         raw = parse_json(path, text)
         if isinstance(raw, dict):
-            told = {
+            given = {
                 key: (environment or {})[word]
                 for key, word in VARIABLES.items()
                 if word in (environment or {})
             }
-            raw = told | {key: value for key, value in raw.items() if value is not None}
-        installation, faults, reader = read_platform(raw)
-    if form is Form.OWN and installation is not None:  # the platform's is taken as it is
-        faults = faults + mixed(installation, own=True) + doubts(installation)
-    if faults:
-        raise ConfigurationError(faults, text)
-    return Found(path, form, text, installation, reader)
+            raw = given | {key: value for key, value in raw.items() if value is not None}
+        installation, errors, reader = read_platform(raw)
+    if form is Form.TOML and installation is not None:  # the platform's is taken as it is
+        errors = errors + conflicts(installation, own=True) + doubts(installation)
+    if errors:
+        raise ConfigurationError(errors, text)
+    return LoadedFile(path, form, text, installation, reader)
 
 
-def located(faults: list[Fault], text: str, form: Form) -> list[Fault]:
+def with_lines(errors: list[ConfigError], text: str, form: Form) -> list[ConfigError]:
     """The faults with the lines where they stand, if the library that finds them is at hand."""
-    if not faults or not 0 < len(text) <= LINES_MOST:
-        return faults
+    if not errors or not 0 < len(text) <= LINES_MOST:
+        return errors
     try:
-        from limelatch.configuration.places import lines_of
+        from limelatch.configuration.line_numbers import lines_of
     except ImportError:  # the platform's build does without it
-        return faults
+        return errors
     try:
-        lines = lines_of(text, form is Form.OWN)
+        lines = lines_of(text, form is Form.TOML)
     except RecursionError:
-        return faults
-    found = [each if each.line else replace(each, line=line_for(each.path, lines)) for each in faults]
+        return errors
+    found = [each if each.line else replace(each, line=line_for(each.path, lines)) for each in errors]
     return sorted(found, key=lambda each: each.line)
 
 
-def fault_line(path: str, fault: Fault) -> str:
+def error_line(path: str, fault: ConfigError) -> str:
     """A fault as compilers print theirs: file, line, key, what is wanted."""
     place = f"{path}:{fault.line}" if fault.line else path
     return f"{place}: {fault.wanted}" if fault.path == path else f"{place}: {fault.path}: {fault.wanted}"
 
 
-def fault_lines(error: ConfigurationError, path: str, form: Form) -> list[str]:
+def error_lines(error: ConfigurationError, path: str, form: Form) -> list[str]:
     """All faults of a file, a line each, by their lines."""
-    return [fault_line(path, fault) for fault in located(error.faults, error.text, form)]
+    return [error_line(path, fault) for fault in with_lines(error.errors, error.text, form)]
 
 
 def line_for(path: str, lines: Mapping[str, int]) -> int:
@@ -196,9 +201,9 @@
     return lines.get(path, 0)
 
 
-def told_path(environment: Mapping[str, str]) -> str:
+def configured_path(environment: Mapping[str, str]) -> str:
     """The file that $RELAY_CONFIG names."""
     path = environment.get("RELAY_CONFIG")
     if not path:
-        raise ConfigurationError([Fault("RELAY_CONFIG", "the path of a file is wanted")])
+        raise ConfigurationError([ConfigError("RELAY_CONFIG", "the path of a file is wanted")])
     return path
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -6,23 +6,25 @@
 from dataclasses import dataclass, replace
 
 from limelatch import interface as li
-from limelatch.configuration.faults import ConfigurationError
+from limelatch.configuration.errors import ConfigurationError
 from limelatch.configuration.model import (
-    Falls,
+    RevenueDecay,
     Installation,
-    Known,
+    RepeatScope,
     Log,
     Membership,
-    News,
+    ListDelivery,
     Product,
-    Rates,
+    RateQuality,
 )
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.membership.timing import Timing
 
 SEED_BYTES = 8
-SOCKETS_LEAST = 64  # a relay of so few descriptors still has some for every party
-OWN = 20  # descriptors for output, pipes, ledger, ports, catalog, platform, and files that are passing
+MIN_SOCKETS = 64  # a relay of so few descriptors still has some for every party
+RESERVED_DESCRIPTORS = (
+    20  # descriptors for output, pipes, ledger, ports, catalog, platform, and files that are passing
+)
 
 
 @dataclass(frozen=True)
@@ -46,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Shares:
+class DescriptorShares:
     """Of the descriptors, what each party may hold. A connection that was told to end holds its own until the
     reactor has gone round: `closing` is for those of hosts, and operators' count twice.
 
@@ -56,22 +58,22 @@
     closing: int
     operators: int
     clients: int  # that are served
-    clients_most: int  # with those on their way out
+    max_clients: int  # with those on their way out
 
     @classmethod
-    def of(cls, sockets: int) -> Shares:
+    def of(cls, sockets: int) -> DescriptorShares:
         clients, operators = sockets // 2, max(1, min(16, sockets // 64))
-        left = sockets - clients - 2 * operators - OWN
+        left = sockets - clients - 2 * operators - RESERVED_DESCRIPTORS
         hosts = min(sockets // 4, left * 6 // 10)
         closing = min(sockets // 16, (left - hosts) // 2)
         return cls(hosts, closing, operators, clients, clients + left - hosts - closing)
 
     @classmethod
-    def of_two(cls, sockets: int) -> Shares:
+    def during_upgrade(cls, sockets: int) -> DescriptorShares:
         """Of one of two processes of a relay, which share its descriptors in an upgrade.
 
         A relay of fewer than twice SOCKETS_LEAST can't keep both within them."""
-        return cls.of(max(SOCKETS_LEAST, sockets // 2))
+        return cls.of(max(MIN_SOCKETS, sockets // 2))
 
 
 @dataclass(frozen=True)
@@ -91,29 +93,29 @@
 
     name: str
     listen: Address
-    operator: Address | None  # the operators' door; none: no door
-    discovery: Address
-    state: str
+    operator_address: Address | None  # the operators' door; none: no door
+    catalog_address: Address
+    state_dir: str
     log: Log
     settings: li.PolicySettings
     names: Names
-    known: dict
-    disk_bytes: int
-    memory_bytes: int
+    known_hosts: dict
+    max_disk_bytes: int
+    max_memory_bytes: int
     sockets: int
-    shares: Shares
-    client_bytes: int  # of commands that are not whole yet, of all clients together
-    client_command: int  # for a client's first command, and for the rest of a begun one
-    client_idle: int  # between a client's commands
-    connect_wait: int  # a connection to a host must be up by then
-    probe_wait: int
-    stop_least: int  # from SIGTERM to the exit at the earliest, since clients still come
-    stop_wait: int  # and at the latest
-    notice_wait: int  # for a notice's answer, then it is sent again
-    list_wait: int  # for the first list at the start, then the known one serves
-    silence: int  # of the watch, then it is opened anew
-    reconnect_wait: int
-    told: Installation  # what it was made from
+    shares: DescriptorShares
+    max_client_bytes: int  # of commands that are not whole yet, of all clients together
+    client_command_timeout: int  # for a client's first command, and for the rest of a begun one
+    client_idle_timeout: int  # between a client's commands
+    connect_timeout: int  # a connection to a host must be up by then
+    probe_timeout: int
+    min_stop_time: int  # from SIGTERM to the exit at the earliest, since clients still come
+    max_stop_time: int  # and at the latest
+    notice_timeout: int  # for a notice's answer, then it is sent again
+    list_timeout: int  # for the first list at the start, then the known one serves
+    watch_timeout: int  # of the watch, then it is opened anew
+    reconnect_delay: int
+    given: Installation  # what it was made from
     membership: MembershipPlan | None = None
 
 
@@ -122,16 +124,16 @@
     return Address(host, int(port))
 
 
-def product_of(row: Product, falls: Falls) -> li.Product:
+def product_of(row: Product, falls: RevenueDecay) -> li.Product:
     return li.Product(
         effect=row.effect,
         sla_time=row.sla_time,
         validity_period=row.validity_period,
         revenue=row.revenue,
         late_share=row.late_share,
-        by_halves=falls is Falls.HALVES,
+        by_halves=falls is RevenueDecay.HALVES,
         retry_window=row.repeat_window,
-        retry_anywhere=row.repeat_known is Known.DESTINATION,
+        retry_anywhere=row.repeat_known is RepeatScope.DESTINATION,
         in_order=row.in_order,
     )
 
@@ -149,8 +151,8 @@
         products=[product_of(row, installation.revenue.falls) for row in installation.products],
         kinds=[li.HostKind(row.texts_per_call, row.routes_apart) for row in installation.kinds],
         zone_fees=[row.fee for row in installation.floors],
-        rates_listed=installation.catalog.rates is not Rates.NONE,
-        list_asked=installation.catalog.news is News.ASKED,
+        rates_listed=installation.catalog.rates is not RateQuality.NONE,
+        list_asked=installation.catalog.news is ListDelivery.ASKED,
         ask_within=installation.catalog.ask_within,
         cold_share=rules.cold_share,
         cold_time=rules.cold_time,
@@ -165,9 +167,9 @@
     """The terms of an instance that is told nothing but the platform's settings."""
     anywhere = "0.0.0.0:0"
     raw = {"listen": anywhere, "discovery": anywhere, "state": ".", "settings": settings}
-    installation, faults, _ = read_platform(raw)
+    installation, errors, _ = read_platform(raw)
     if installation is None:
-        raise ConfigurationError(faults)
+        raise ConfigurationError(errors)
     return terms_of(installation, seed)
 
 
@@ -203,28 +205,28 @@
     return RelayPlan(
         name=relay.name,
         listen=address_of(relay.listen),
-        operator=address_of(relay.operator) if relay.operator else None,
-        discovery=address_of(catalog.address),
-        state=relay.state,
+        operator_address=address_of(relay.operator) if relay.operator else None,
+        catalog_address=address_of(catalog.address),
+        state_dir=relay.state,
         log=installation.log,
         settings=replace(terms_of(installation, seed), hosts_on_demand=True),
         names=names_of(installation),
-        known=installation.known,
-        disk_bytes=limits.disk,
-        memory_bytes=limits.memory,
+        known_hosts=installation.known,
+        max_disk_bytes=limits.disk,
+        max_memory_bytes=limits.memory,
         sockets=limits.sockets,
-        shares=Shares.of(limits.sockets),
-        client_bytes=limits.memory // 8,
-        client_command=installation.clients.command_wait,
-        client_idle=installation.clients.idle_wait,
-        connect_wait=installation.hosts.connect_wait,
-        probe_wait=installation.hosts.probe_wait,
-        stop_least=installation.stop.least,
-        stop_wait=installation.stop.most,
-        notice_wait=catalog.notice_wait,
-        list_wait=catalog.list_wait,
-        silence=catalog.silence,
-        reconnect_wait=catalog.reconnect_wait,
-        told=installation,
+        shares=DescriptorShares.of(limits.sockets),
+        max_client_bytes=limits.memory // 8,
+        client_command_timeout=installation.clients.command_wait,
+        client_idle_timeout=installation.clients.idle_wait,
+        connect_timeout=installation.hosts.connect_wait,
+        probe_timeout=installation.hosts.probe_wait,
+        min_stop_time=installation.stop.least,
+        max_stop_time=installation.stop.most,
+        notice_timeout=catalog.notice_wait,
+        list_timeout=catalog.list_wait,
+        watch_timeout=catalog.silence,
+        reconnect_delay=catalog.reconnect_wait,
+        given=installation,
         membership=membership_of(installation.membership),
     )
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -44,7 +44,7 @@
     Rules,
     Stop,
 )
-from limelatch.configuration.platform import write_platform
+from limelatch.configuration.platform_form import write_platform
 from limelatch.interface import MS, SECOND, Listing
 from limelatch.lab import record as rec
 from limelatch.lab.membership.forwarder import DatagramNetwork
@@ -541,12 +541,12 @@
 
     def owed(self) -> int:
         """Texts that the relays' ledgers still hold, as far as they can be read beside them."""
-        from limelatch.relay.inspection import NoLedger, look
+        from limelatch.relay.inspection import NoLedger, inspect_ledger
 
         found = 0
         for relay in self.relays:
             with contextlib.suppress(NoLedger):
-                found += len(look(str(relay.state)).entries)
+                found += len(inspect_ledger(str(relay.state)).entries)
         return found
 
     async def _hear_load(self) -> None:
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -13,9 +13,9 @@
 from zope.interface import implementer
 
 from limelatch.interface import MS, SECOND
-from limelatch.logs import HeldDown, logger, say
-from limelatch.relay.ending import Ending
-from limelatch.relay.lines import RingLines, waits
+from limelatch.logs import LimitedLog, logger, log_event
+from limelatch.relay.end_reason import EndReason
+from limelatch.relay.line_receiver import RingLines, waits
 from limelatch.relay.slots import Slots
 
 log = logger("clients")
@@ -26,9 +26,9 @@
 LOOK_MOST = SECOND // 2  # between two looks at a connection's silence
 CROWD_PART = 4  # a crowded listener closes those between commands so many times sooner
 BACKLOG = 128  # connections that wait to be accepted
-ACCEPTS_MOST = 32  # in one turn of the reactor: calls, the list and due times have theirs in between
-UNREAD_MOST = 16  # connections found with a request unread, for one that needs room; then the port waits
-ROOM_LOOK = SECOND // 100  # between two looks for room while the port waits
+MAX_ACCEPTS_PER_TURN = 32  # in one turn of the reactor: calls, the list and due times have theirs in between
+MAX_UNREAD_CHECKS = 16  # connections found with an unread request before the search for room gives up
+FULL_TABLE_CHECK_INTERVAL = SECOND // 100  # between two looks for room while the port waits
 OPEN_MOST = 1 << 20  # where nobody says how many there may be
 BAD_MOST = 8  # bad commands on one connection, then it is closed
 ARGUMENTS_MOST, SKIP_MOST, REPLY_MOST = 16, 1024 * 1024, 256
@@ -42,42 +42,42 @@
 
 
 @dataclass(slots=True)
-class Handed:
+class Submission:
     """A text as a client hands it in: the wire's words, the span of its validity in tenths of a ms."""
 
     id: bytes
-    order: bytes
+    key: bytes
     product: bytes
     customer: bytes
     destination: int
     valid_for: int
-    mark: bytes
+    idempotency_key: bytes
     body: bytes
 
 
-def read_submit(arguments: list[bytes]) -> Handed:
+def read_submit(arguments: list[bytes]) -> Submission:
     """SUBMIT ORDER-KEY ID NAMES BODY."""
     if len(arguments) != 5:
         raise BadCommand("SUBMIT takes a key, an id, a list of names and values, and a body")
-    _, order, text, names, body = arguments
+    _, key, text, names, body = arguments
     if len(body) > BODY_MOST:
         raise BadCommand(f"a body holds {BODY_MOST} bytes at most")
-    if not WORD.match(text) or not WORD.match(order):
+    if not WORD.match(text) or not WORD.match(key):
         raise BadCommand("the key and the id take 1 to 64 letters and digits")
     values = dict(pair.partition(b"=")[::2] for pair in names.split(b","))
-    mark, dest, span = values.get(b"k", b""), values.get(b"dest", b""), values.get(b"d", b"")
-    if mark and not WORD.match(mark):
+    idempotency_key, dest, span = values.get(b"k", b""), values.get(b"dest", b""), values.get(b"d", b"")
+    if idempotency_key and not WORD.match(idempotency_key):
         raise BadCommand("k takes 1 to 64 letters and digits")
     if not SIZE.match(dest) or not re.fullmatch(rb"-?[0-9]{1,9}(\.[0-9]{1,6})?", span):
         raise BadCommand("dest and d are wanted as numbers")
-    return Handed(
+    return Submission(
         text,
-        b"" if not order.strip(b"0") else order,
+        b"" if not key.strip(b"0") else key,
         values.get(b"c", b""),
         values.get(b"t", b""),
         int(dest),
         int(float(span) * MS),
-        mark,
+        idempotency_key,
         body,
     )
 
@@ -104,7 +104,7 @@
         self.listener.count_open(1)
         self.number = self.listener.connections.take(self)
         if self.number is None:
-            self.end(Ending.CROWDED)
+            self.end(EndReason.NO_SLOT)
         else:
             self.listener.heard(self)
             self.deadline = self.listener.driver.deadlines.after(LOOK_MOST, self._look)
@@ -115,8 +115,8 @@
         """Until when this connection may stay as it is: the first command and a begun one have to come."""
         plan = self.listener.driver.plan
         if self.asked and self.between_requests():
-            return self.heard_at + plan.client_idle // (CROWD_PART if self.listener.crowded else 1)
-        return self.begun_at + plan.client_command
+            return self.heard_at + plan.client_idle_timeout // (CROWD_PART if self.listener.crowded else 1)
+        return self.begun_at + plan.client_command_timeout
 
     def _look(self) -> None:
         """Guards against connections that say nothing, or half a command, and hold a descriptor for good."""
@@ -125,31 +125,31 @@
         if now >= due and not self.waiting and not comes:
             if not self.between_requests():
                 self.reply("-ERR the command did not come whole in its time")
-            self.end(Ending.SILENT)
+            self.end(EndReason.ANSWER_TIMEOUT)
         else:
             self.deadline = self.listener.driver.deadlines.at(
                 min(max(due, now + SECOND // 10), now + LOOK_MOST), self._look
             )
 
-    def end(self, ending: Ending) -> None:
-        if self.ending is not None:
+    def end(self, end_reason: EndReason) -> None:
+        if self.end_reason is not None:
             return
         if self.between_requests():
-            self.close(ending, finish_writing=True)
+            self.close(end_reason, finish_writing=True)
         else:
-            self._close_lingering(ending)
+            self._close_lingering(end_reason)
         if self.deadline is not None:
             self.deadline.cancel()
         self.deadline = self.listener.driver.deadlines.after(  # if it reads no more
             LINGER, self.transport.abortConnection
         )
 
-    def _close_lingering(self, ending: Ending) -> None:
+    def _close_lingering(self, end_reason: EndReason) -> None:
         """Close for writing, and read past what still comes until the client closes as well.
 
         Guards against a close over unread bytes: it resets the connection, and the last answer may be lost
         with it."""
-        self.ending, self.lingers = ending, True
+        self.end_reason, self.lingers = end_reason, True
         self.outflow.finish()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
@@ -168,7 +168,7 @@
         """Between requests, and none has arrived that is not read yet.
 
         Guards against closing under a request: the peer is reset, and may lose its last answer with it."""
-        return self.ending is None and self.between_requests() and not waits(self.transport)
+        return self.end_reason is None and self.between_requests() and not waits(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
         if self.lingers:
@@ -212,7 +212,7 @@
 
     def _refuse_all(self, why: str) -> None:
         self.reply(f"-ERR Protocol error: {why}")
-        self.end(Ending.GARBLED)
+        self.end(EndReason.MALFORMED)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.skip:
@@ -237,9 +237,9 @@
             if self.too_large:
                 raise BadCommand(f"a body holds {BODY_MOST} bytes at most")
             if name == b"SUBMIT":
-                handed = read_submit(arguments)
+                submission = read_submit(arguments)
                 self.waiting = True
-                self.listener.driver.handed_in(handed, self)
+                self.listener.driver.submission_received(submission, self)
             elif name == b"PING":
                 self.reply(
                     "-ERR stopping"
@@ -250,15 +250,15 @@
                 )
             elif name == b"QUIT":
                 self.reply("+OK")
-                self.end(Ending.CLOSED_BY_PEER)
+                self.end(EndReason.CLOSED_BY_PEER)
             else:
                 raise BadCommand(f"unknown command {name[:20].decode(errors='replace')!r}")
         except BadCommand as error:
             self.waiting, self.bad = False, self.bad + 1
-            self.listener.held_down("command-bad", why=error, peer=self.transport.getPeer().host)
+            self.listener.limited_log("command-bad", why=error, peer=self.transport.getPeer().host)
             self.reply(f"-ERR {error}")
             if self.bad >= BAD_MOST:
-                self.end(Ending.GARBLED)
+                self.end(EndReason.MALFORMED)
 
     def reply(self, line: str) -> None:
         self.send(line.encode() + b"\r\n")
@@ -269,7 +269,7 @@
         self.reply(line)
         self.pump()
         if (self.listener.stopping or self.listener.closing) and self.at_rest():
-            self.end(Ending.STOPPING)
+            self.end(EndReason.STOPPING)
         elif self.all_said:
             self.readConnectionLost()
 
@@ -279,16 +279,18 @@
         if self.lingers:
             self.transport.loseConnection()
         elif not self.waiting:
-            self.end(Ending.CLOSED_BY_PEER)
+            self.end(EndReason.CLOSED_BY_PEER)
 
     def writeConnectionLost(self) -> None:
-        self.end(Ending.CLOSED_BY_PEER)
+        self.end(EndReason.CLOSED_BY_PEER)
 
     def connectionLost(self, reason) -> None:
         self.listener.count_open(-1)
-        self.ending = self.ending or Ending.CLOSED_BY_PEER
-        if self.ending in (Ending.GARBLED, Ending.CROWDED, Ending.SILENT):
-            self.listener.held_down("client-ended", why=self.ending.value, peer=self.transport.getPeer().host)
+        self.end_reason = self.end_reason or EndReason.CLOSED_BY_PEER
+        if self.end_reason in (EndReason.MALFORMED, EndReason.NO_SLOT, EndReason.ANSWER_TIMEOUT):
+            self.listener.limited_log(
+                "client-ended", why=self.end_reason.value, peer=self.transport.getPeer().host
+            )
         if self.deadline is not None:
             self.deadline.cancel()
         self.listener.held -= self.held
@@ -297,7 +299,7 @@
             self.listener.drop(self)
         self.listener.release()
         if self.waiting:
-            self.listener.driver.client_gone(self)
+            self.listener.driver.client_disconnected(self)
 
 
 class Listener(ServerFactory):
@@ -313,7 +315,7 @@
         self.stopping, self.port, self._held = False, None, False
         self.paused = self.closing = False  # PING says no; connections close between requests
         self._grace = self._room_look = None
-        self.held, self.held_down = 0, HeldDown(log, driver.clock)
+        self.held, self.limited_log = 0, LimitedLog(log, driver.clock)
 
     def buildProtocol(self, address) -> Client | None:
         """None closes the connection at once, unread.
@@ -321,7 +323,7 @@
         Guards against a burst in one turn of the reactor: those that make room are closed only after it, and
         the descriptors of all others would be gone meanwhile."""
         if self.open >= self.open_most:
-            self.held_down("client-ended", why=Ending.CROWDED.value, peer=address.host)
+            self.limited_log("client-ended", why=EndReason.NO_SLOT.value, peer=address.host)
             return None
         return Client(self)
 
@@ -340,19 +342,19 @@
         self._measured, free = False, self.open_most - self.open
         if self.port is None:
             return
-        self.port.numberAccepts = max(1, min(ACCEPTS_MOST, free))
+        self.port.numberAccepts = max(1, min(MAX_ACCEPTS_PER_TURN, free))
         if free <= 0 and not self._held:
             self._held = True
             self.port.stopReading()
 
-    def listen(self, reactor, host: str, port: int, beside: bool = False) -> None:
-        """Shared with SO_REUSEPORT, so that a new version can serve beside this one during an upgrade.
+    def listen(self, reactor, host: str, port: int, is_standby: bool = False) -> None:
+        """Listen with SO_REUSEPORT, so that a new version can serve on the same port during an upgrade.
 
-        Only a process `beside` the one that holds its folder joins a port in use; any other is refused, as
-        it would share the clients of another relay."""
+        Only a standby process (`is_standby`) joins a port in use; any other is refused, because it would
+        share the clients of another relay. Raises CannotListenError."""
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as shared:
-                if not beside:
+                if not is_standby:
                     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as alone:
                         alone.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                         alone.bind((host, port))
@@ -371,7 +373,7 @@
 
         Guards against half-sent bodies on many connections, which together outgrow the memory. One whose text
         awaits its answer stays: a refusal would pass for that answer."""
-        held = len(client.inbound) + client.size if client.ending is None else 0
+        held = len(client.inbound) + client.size if client.end_reason is None else 0
         self.held, client.held = self.held + held - client.held, held
         while self.held > self.bytes_most:
             partial = [each for each in self.connections if each.held and not each.waiting]
@@ -380,7 +382,7 @@
             largest = max(partial, key=lambda each: each.held)
             self.held, largest.held = self.held - largest.held, 0
             largest.reply("-BUSY")
-            largest.end(Ending.CROWDED)
+            largest.end(EndReason.NO_SLOT)
 
     @property
     def crowded(self) -> bool:
@@ -402,7 +404,7 @@
         """The table is full: close the connection silent for longest; hold the port if none is at rest."""
         silent = self._longest_silent(newest)
         if silent is not None:
-            silent.end(Ending.CROWDED)
+            silent.end(EndReason.NO_SLOT)
             self.drop(silent)
             self.release()
         elif self.port is not None:
@@ -410,13 +412,13 @@
                 self._held = True
                 self.port.stopReading()
             if self._room_look is None:
-                self._room_look = self.driver.deadlines.after(ROOM_LOOK, self._look_for_room)
+                self._room_look = self.driver.deadlines.after(FULL_TABLE_CHECK_INTERVAL, self._look_for_room)
 
-    def bound(self, most: int, open_most: int) -> None:
+    def set_limits(self, most: int, open_most: int) -> None:
         """Hold so many connections from now on; of those beyond it the ones at rest end, the others later."""
         self.connections.size, self.open_most = most, open_most
         while len(self.connections) > most and (silent := self._longest_silent(None)) is not None:
-            silent.end(Ending.CROWDED)
+            silent.end(EndReason.NO_SLOT)
             self.drop(silent)
         if self.connections.full:
             self.make_room()
@@ -432,13 +434,13 @@
         asked, until nothing but that was done."""
         unread, found = [], None
         for each in self._by_silence:
-            if each is newest or each.waiting or each.ending is not None:
+            if each is newest or each.waiting or each.end_reason is not None:
                 continue
             if not waits(each.transport):
                 found = each
                 break
             unread.append(each)
-            if len(unread) == UNREAD_MOST:
+            if len(unread) == MAX_UNREAD_CHECKS:
                 break
         for each in unread:  # they have said something, and are read in the reactor's next turn
             self._by_silence.move_to_end(each)
@@ -464,7 +466,7 @@
             self._close_port()
         self._close_resting()
 
-    def comes(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Whether a request is not answered, not even read, comes just now, or may come on a connection just
         made."""
         now = self.driver.clock.now()
@@ -476,14 +478,14 @@
             or not each.between_requests()
             and each.heard_at > now - LOOK_MOST
             for each in self.connections
-            if each.ending is None
+            if each.end_reason is None
         )
 
-    def last_words(self) -> None:
+    def stop_reading(self) -> None:
         """Nothing more is read; what is answered is still written."""
         self._close_port()
         for each in self.connections:
-            if each.ending is None:
+            if each.end_reason is None:
                 each.transport.pauseProducing()
 
     def _close_port(self) -> None:
@@ -494,13 +496,13 @@
     def _close_resting(self) -> None:
         for client in self.connections:
             if client.at_rest():
-                client.end(Ending.STOPPING)
+                client.end(EndReason.STOPPING)
 
     def pause(self) -> None:
         """A drain: PING says no at once; after a grace no connection stays, so that none is held idle."""
         if not self.paused:
             self.paused = True
-            say(log, "paused", owed=len(self.driver.owed))
+            log_event(log, "paused", owed=len(self.driver.accepted))
             self._grace = self.driver.deadlines.after(PAUSE_GRACE, self._close_all)
 
     def _close_all(self) -> None:
@@ -510,7 +512,7 @@
     def resume(self) -> None:
         if self.paused:
             self.paused = self.closing = False
-            say(log, "resumed", owed=len(self.driver.owed))
+            log_event(log, "resumed", owed=len(self.driver.accepted))
             if self._grace is not None:
                 self._grace.cancel()
                 self._grace = None
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,7 +16,7 @@
 from conftest import WAIT_TIMEOUT
 
 from limelatch.configuration import ConfigurationError
-from limelatch.configuration.model import Falls
+from limelatch.configuration.model import RevenueDecay
 from limelatch.interface import SECOND
 from limelatch.lab import record as rec
 from limelatch.lab.experiments import Plan, run_one, seeds_of, with_value
@@ -105,7 +105,7 @@
 def test_what_is_wrong_with_a_scenario_is_named(more, path):
     with pytest.raises(ConfigurationError) as error:
         parse("short", SHORT + more)
-    assert path in [each.path for each in error.value.faults]
+    assert path in [each.path for each in error.value.errors]
 
 
 def test_scenarios_that_are_like_each_other_in_a_circle_are_a_fault(tmp_path):
@@ -377,8 +377,8 @@
 def test_what_a_late_text_is_worth():
     product = ProductKeys(name="x", sla_time=10, validity_period=30, late_share=0.4)
     took = np.array([-1, 0, 10, 20, 30, 31])
-    assert worth(product, Falls.LINE, took).tolist() == pytest.approx([0, 1, 1, 0.7, 0.4, 0])
-    assert worth(product, Falls.HALVES, took).tolist() == pytest.approx([0, 1, 1, 0.5, 0.4, 0])
+    assert worth(product, RevenueDecay.LINE, took).tolist() == pytest.approx([0, 1, 1, 0.7, 0.4, 0])
+    assert worth(product, RevenueDecay.HALVES, took).tolist() == pytest.approx([0, 1, 1, 0.5, 0.4, 0])
 
 
 def test_a_comparison_says_better_worse_or_nothing():
@@ -497,7 +497,7 @@
 
 
 def test_settings_of_the_platform_for_a_scenario_are_good(tmp_path):
-    from limelatch.configuration.platform import read_platform, write_platform
+    from limelatch.configuration.platform_form import read_platform, write_platform
     from limelatch.lab.stages.sockets import installation_of
 
     made = installation_of(load("limit-cut"), 1, 0, "127.0.0.1:1", "127.0.0.1:2", "s")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,46 +13,46 @@
 
 from limelatch.client.wire import HandedText
 from limelatch.configuration import bench_terms, plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import SECOND, Effect, Listing, Result
-from limelatch.logs import HeldDown
+from limelatch.logs import LimitedLog
 from limelatch.relay.catalog import BadList, Catalog
 from limelatch.relay.clients import BadCommand, read_submit
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.ending import RESULT_OF_ENDING, Ending
+from limelatch.relay.end_reason import RESULT_BY_END_REASON, EndReason
 from limelatch.relay.hosts import (
     Call,
     Connection,
-    Outcome,
-    Parcel,
     HostPool,
+    Outcome,
+    OutgoingText,
     read_outcomes,
-    told_wait,
+    read_retry_after,
     write_call,
 )
-from limelatch.relay.http import Answer, HttpCaller
+from limelatch.relay.http import HttpClientProtocol, Response
 from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
-from limelatch.relay.records import LATER, Kind, record
-from limelatch.relay.ring import Ring, RingFull
+from limelatch.relay.records import STATE_RESERVE, RecordKind, encode_record
+from limelatch.relay.ring_buffer import Ring, RingFull
 from limelatch.relay.slots import Slots
 
 GOOD = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "s", "settings": SETTINGS}
 NAMES = plan_of(read_platform(GOOD)[0]).names
 
 
-class Caller(HttpCaller):
+class Caller(HttpClientProtocol):
     """Keeps what a peer's bytes became."""
 
     def __init__(self):
         super().__init__(1024, 256)
         self.got = []
         self.makeConnection(Wire())
-        self.ask(b"GET / HTTP/1.1\r\n\r\n")
+        self.send_request(b"GET / HTTP/1.1\r\n\r\n")
 
-    def answered(self, answer, body):
-        self.got.append((answer.status, body, answer.keeps))
+    def response_received(self, response, body):
+        self.got.append((response.status, body, response.keep_alive))
 
-    def ended(self, ending):
+    def connection_ended(self, ending):
         self.got.append(ending)
 
 
@@ -78,7 +78,7 @@
 
 
 def take(ledger, text, body=b"body", key="k1"):
-    ledger.taken(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
+    ledger.record_accepted(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
 
 
 def again(ledger):
@@ -115,11 +115,11 @@
 
 
 def test_warnings_that_outsiders_cause_are_held_down_and_counted(deadlines, caplog):
-    held_down = HeldDown(logging.getLogger("x"), deadlines[1])
+    limited_log = LimitedLog(logging.getLogger("x"), deadlines[1])
     for _ in range(9):
-        held_down("command-bad")
+        limited_log("command-bad")
     deadlines[1].advance(1)
-    held_down("command-bad")
+    limited_log("command-bad")
     assert [each.pairs for each in caplog.records] == [{}] * 5 + [{"left_out": 4}]
 
 
@@ -165,33 +165,46 @@
 def test_the_ledger_tells_what_is_owed_in_the_order_it_was_taken(ledger):
     for text in (b"a", b"b", b"c", b"d"):
         take(ledger, text, b"body of " + text)
-    ledger.going(b"a", 5, 1)
-    ledger.going(b"b", 6, 0)
-    ledger.ended(b"b", ran=True)
-    ledger.going(b"b", 7, 2)
-    ledger.ended(b"b", ran=False)
-    ledger.owed(b"c", {"result": "dead"})
-    ledger.over(b"d")
+    ledger.record_submit(b"a", 5, 1)
+    ledger.record_submit(b"b", 6, 0)
+    ledger.record_submit_end(b"b", ran=True)
+    ledger.record_submit(b"b", 7, 2)
+    ledger.record_submit_end(b"b", ran=False)
+    ledger.record_notice(b"c", {"result": "dead"})
+    ledger.record_finished(b"d")
     a, b, c = again(ledger).entries.values()
-    assert (a.id, a.body, a.submits, a.out, a.ran_at, a.ran_zone) == (b"a", b"body of a", 1, True, 5, 1)
-    assert (b.submits, b.out, b.ran_at, b.ran_zone) == (2, False, 6, 0)
-    assert (c.notice, c.pairs["key"]) == ({"result": "dead"}, "k1")
+    assert (a.id, a.body, a.submit_count, a.in_flight, a.first_run_at, a.first_run_zone) == (
+        b"a",
+        b"body of a",
+        1,
+        True,
+        5,
+        1,
+    )
+    assert (b.submit_count, b.in_flight, b.first_run_at, b.first_run_zone) == (2, False, 6, 0)
+    assert (c.notice, c.fields["key"]) == ({"result": "dead"}, "k1")
 
 
 def test_a_new_file_keeps_each_text_s_state_in_the_room_that_is_kept_free_for_it(ledger):
     """Every submit once kept its records, with room for 2 KB a text: others were refused untaken."""
     take(ledger, b"a" * 64)
     for at in range(40):
-        ledger.going(b"a" * 64, at, 1)
-        ledger.ended(b"a" * 64, ran=at > 2)
-    ledger.going(b"a" * 64, 99, 2)
+        ledger.record_submit(b"a" * 64, at, 1)
+        ledger.record_submit_end(b"a" * 64, ran=at > 2)
+    ledger.record_submit(b"a" * 64, 99, 2)
     before = ledger.entries[b"a" * 64]
     ledger.compact()
-    after, taken = again(ledger).entries[b"a" * 64], len(before.taken)
-    assert (after.submits, after.out, after.ran, after.ran_at, after.ran_zone) == (41, True, True, 3, 1)
-    ledger.owed(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
+    after, taken = again(ledger).entries[b"a" * 64], len(before.accepted_record)
+    assert (
+        after.submit_count,
+        after.in_flight,
+        after.may_have_run,
+        after.first_run_at,
+        after.first_run_zone,
+    ) == (41, True, True, 3, 1)
+    ledger.record_notice(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
     ledger.compact()
-    assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= LATER
+    assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= STATE_RESERVE
     while ledger.has_room(10):
         take(ledger, b"t%d" % len(ledger.entries), b"x" * 10)
     assert len(ledger.entries) > 60 and ledger.size <= 100_000
@@ -199,20 +212,20 @@
 
 def test_a_submit_that_never_ran_is_forgotten(ledger):
     take(ledger, b"a")
-    ledger.going(b"a", 5, 1)
-    ledger.ended(b"a", ran=False)
-    assert again(ledger).entries[b"a"].ran_at is None
+    ledger.record_submit(b"a", 5, 1)
+    ledger.record_submit_end(b"a", ran=False)
+    assert again(ledger).entries[b"a"].first_run_at is None
 
 
 def test_a_folder_is_one_relays_and_its_successors_until_they_end(ledger):
     folder = ledger.path.removesuffix("/ledger")
     beside = Ledger(folder, 100_000, 10_000_000)  # an upgrade's new process, in the seat
-    assert beside.beside and ledger.successor()
+    assert beside.is_standby and ledger.has_successor()
     with pytest.raises(FolderInUse):
         Ledger(folder, 100_000, 10_000_000)
     assert beside.take_over() is None  # the first still holds the folder
     ledger.close()
-    assert beside.take_over() == [] and not beside.beside
+    assert beside.take_over() == [] and not beside.is_standby
     beside.close()
     Ledger(folder, 100_000, 10_000_000).close()
 
@@ -221,7 +234,7 @@
     take(ledger, b"a")
     before = ledger.size
     with open(ledger.path, "ab") as file:
-        file.write(record(Kind.STATE, b"a", {"tries": 3}))
+        file.write(encode_record(RecordKind.STATE, b"a", {"tries": 3}))
     with pytest.raises(ForeignLedger):
         again(ledger)
     assert os.path.getsize(ledger.path) > before
@@ -235,7 +248,7 @@
     with open(ledger.path, "r+b") as file:
         file.truncate(ledger.size - cut)
     torn = again(ledger)
-    assert list(torn.entries) == [b"a"] and torn.size == kept and torn.cut > 0
+    assert list(torn.entries) == [b"a"] and torn.size == kept and torn.cut_bytes > 0
     take(torn, b"c")
     assert list(again(torn).entries) == [b"a", b"c"]
 
@@ -260,7 +273,7 @@
     for number in range(300):
         text = b"t%d" % number
         take(ledger, text, b"x" * 900)
-        ledger.over(text)
+        ledger.record_finished(text)
     assert len(most) > 2 and max(most) <= 100_000 and ledger.size <= 100_000
     take(ledger, b"last")
     assert list(again(ledger).entries) == [b"stays", b"last"]
@@ -270,14 +283,14 @@
     assert ledger.has_room(30_000)
     take(ledger, b"a", b"x" * 30_000)
     assert not ledger.has_room(30_000)
-    ledger.over(b"a")
+    ledger.record_finished(b"a")
     assert ledger.has_room(30_000)
 
 
 def test_every_ending_means_something_to_the_module():
-    assert set(RESULT_OF_ENDING) == set(Ending)
-    assert RESULT_OF_ENDING[Ending.CUT_SHORT] is Result.CONNECT
-    assert RESULT_OF_ENDING[Ending.BROKEN] is Result.RESET
+    assert set(RESULT_BY_END_REASON) == set(EndReason)
+    assert RESULT_BY_END_REASON[EndReason.REQUEST_INCOMPLETE] is Result.CONNECT
+    assert RESULT_BY_END_REASON[EndReason.CONNECTION_LOST] is Result.RESET
 
 
 @pytest.mark.parametrize(
@@ -321,7 +334,7 @@
     caller = Caller()
     for at in range(0, len(raw), 1000):
         caller.dataReceived(raw[at : at + 1000])
-    assert caller.ending is Ending.GARBLED and caller.transport.disconnecting
+    assert caller.end_reason is EndReason.MALFORMED and caller.transport.disconnecting
 
 
 def test_a_choked_transport_holds_back_ring_and_source():
@@ -335,10 +348,10 @@
 
 
 def outcomes(status, body=b"", texts=(b"a",), **headers):
-    call = Call(b"s-1", [Parcel(text, b"", b"", 0, 0) for text in texts], 0)
+    call = Call(b"s-1", [OutgoingText(text, b"", b"", 0, 0) for text in texts], 0)
     call.batched = len(texts) > 1
     told = {name.replace("_", "-").encode(): value for name, value in headers.items()}
-    return read_outcomes(call, Answer(status, told), body)
+    return read_outcomes(call, Response(status, told), body)
 
 
 @pytest.mark.parametrize(
@@ -376,8 +389,8 @@
 )
 def test_a_new_connection_that_is_turned_away_and_closed_met_a_full_table(idle, keeps, headers, result):
     """Full tables once passed for used-up limits: paces were cut where much of a limit was left."""
-    call = Call(b"s-1", [Parcel(b"a", b"", b"", 0, 0)], 0, idle=idle)
-    assert read_outcomes(call, Answer(503, headers, keeps), b"")[0].result is result
+    call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, idle_time=idle)
+    assert read_outcomes(call, Response(503, headers, keeps), b"")[0].result is result
 
 
 def test_a_batch_answer_says_how_each_text_fared():
@@ -393,9 +406,9 @@
 
 
 def test_a_batch_of_which_one_text_is_left_is_still_answered_as_a_batch():
-    call = Call(b"s-1", [Parcel(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other's validity ended
+    call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other's validity ended
     body = b'[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]'
-    assert read_outcomes(call, Answer(200), body) == [Outcome(Result.FULL)]
+    assert read_outcomes(call, Response(200), body) == [Outcome(Result.FULL)]
 
 
 class Ears:
@@ -407,21 +420,21 @@
     def may_send(self, now, text, host):
         return self.goes
 
-    def going(self, call, parcel):
+    def start_submit(self, call, outgoing):
         return True
 
-    def ended(self, call, parcel, outcome):
-        self.ends.append((parcel.text, outcome.result))
-        self.over += [parcel.text] if outcome.over else []
+    def submit_ended(self, call, outgoing, outcome):
+        self.ends.append((outgoing.text, outcome.result))
+        self.over += [outgoing.text] if outcome.finished else []
 
 
-def call_out(deadlines, driver, *parcels):
+def call_out(deadlines, driver, *texts):
     """A connection that has just come up for a call with these texts."""
     deadlines, reactor = deadlines
     pool = HostPool(reactor, deadlines, reactor, driver, 4, SECOND, SECOND)
-    pool.addresses[b"s-1"], pool.calls_out = "127.0.0.1:80", 1
-    call = Call(b"s-1", list(parcels), 0)
-    call.deadline = deadlines.at(min(each.due for each in parcels), lambda: pool._out_of_time(call))
+    pool.addresses[b"s-1"], pool.calls_in_flight = "127.0.0.1:80", 1
+    call = Call(b"s-1", list(texts), 0)
+    call.deadline = deadlines.at(min(each.due_at for each in texts), lambda: pool._out_of_time(call))
     call.connection = Connection(pool, b"s-1", call)
     call.connection.number = pool.connections.take(call.connection)
     call.connection.deadline = deadlines.at(SECOND, None)
@@ -431,28 +444,33 @@
 
 def test_a_text_held_back_as_the_connection_comes_up_writes_nothing(deadlines):
     driver = Ears(goes=False)
-    pool, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", 9 * SECOND, SECOND))
+    pool, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
     assert driver.ends == [(b"a", Result.NOT_SENT)] and connection.transport.value() == b""
-    assert pool.idle[b"s-1"] == [connection] and pool.calls_out == 0
+    assert pool.idle[b"s-1"] == [connection] and pool.calls_in_flight == 0
     deadlines[1].advance(1)
-    assert connection.ending is Ending.IDLE
+    assert connection.end_reason is EndReason.IDLE
 
 
 def test_a_batch_is_given_up_whole_when_the_time_of_one_text_is_over(deadlines):
     driver = Ears()
     pool, connection = call_out(
-        deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0), Parcel(b"b", b"", b"y", 3 * SECOND, 0)
+        deadlines,
+        driver,
+        OutgoingText(b"a", b"", b"x", SECOND, 0),
+        OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     assert connection.transport.value().startswith(b"POST /v1/messages:batch HTTP/1.1\r\n")
     deadlines[1].advance(1)
-    assert connection.ending is Ending.SILENT and driver.ends == []  # no text ends while its submit is out
+    assert (
+        connection.end_reason is EndReason.ANSWER_TIMEOUT and driver.ends == []
+    )  # no text ends while its submit is out
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_out == 0
+    assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_in_flight == 0
 
 
 def test_a_first_line_of_200_delivers_though_the_connection_breaks(deadlines):
     driver = Ears()
-    _, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0))
+    _, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Le")
     connection.connectionLost(None)
     assert driver.ends == [(b"a", Result.MALFORMED)] and driver.over == [b"a"]
@@ -462,10 +480,13 @@
     """The next text of its key would go out beside it."""
     driver = Ears()
     _, connection = call_out(
-        deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0), Parcel(b"b", b"", b"y", 3 * SECOND, 0)
+        deadlines,
+        driver,
+        OutgoingText(b"a", b"", b"x", SECOND, 0),
+        OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     deadlines[1].advance(1)
-    assert connection.ending is Ending.SILENT and driver.ends == []
+    assert connection.end_reason is EndReason.ANSWER_TIMEOUT and driver.ends == []
 
 
 @pytest.mark.parametrize(
@@ -473,7 +494,7 @@
 )
 def test_of_a_spoilt_answer_only_a_first_line_of_200_is_true(deadlines, line, over):
     driver = Ears()
-    _, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0))
+    _, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 " + line + b"\r\nContent-Length: 3000000000\r\n\r\nxx")
     connection.connectionLost(None)
     assert driver.ends == [(b"a", Result.MALFORMED)] and driver.over == over
@@ -482,7 +503,7 @@
 @pytest.mark.parametrize("raw, later", [(b"no more", b""), (b"", b"HTTP/1.1 200 OK\r\n\r\n"), (b"", b"")])
 def test_a_connection_with_more_than_its_answer_is_never_used_again(deadlines, raw, later):
     driver = Ears()
-    pool, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, SECOND))
+    pool, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, SECOND))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" + raw)
     assert driver.ends == [(b"a", Result.DELIVERED)] and (connection in pool.idle[b"s-1"]) != bool(raw)
     connection.transport.peer.sendall(later)  # not read yet
@@ -491,10 +512,10 @@
 
 @pytest.mark.parametrize("address, kept", [("127.0.0.1:80", True), ("127.0.0.1:81", False), (None, False)])
 def test_a_connection_in_use_while_its_host_moves_is_not_kept_for_it(deadlines, address, kept):
-    pool, connection = call_out(deadlines, Ears(), Parcel(b"a", b"", b"x", 9 * SECOND, SECOND))
-    pool.reach(b"s-1", address)
+    pool, connection = call_out(deadlines, Ears(), OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
+    pool.set_address(b"s-1", address)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.ending is None) == kept
+    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.end_reason is None) == kept
 
 
 @pytest.mark.parametrize("valid_for", [7_200_000, 0.5, 24_000, 999_999.125])
@@ -510,16 +531,21 @@
 
 
 def test_a_told_wait_is_rounded_up_and_a_date_is_none():
-    assert told_wait({b"retry-after": b"0.00001"}) == 1
-    assert told_wait({b"retry-after": b"Tue, 01 Dec 2026 12:00:00 GMT"}) == 0
+    assert read_retry_after({b"retry-after": b"0.00001"}) == 1
+    assert read_retry_after({b"retry-after": b"Tue, 01 Dec 2026 12:00:00 GMT"}) == 0
 
 
 def test_submit_names_what_it_hands_in():
     names = b"c=notice,t=acme,d=80.5,k=5c,dest=7,r=1"
-    handed = read_submit([b"SUBMIT", b"0000", b"9b1f", names, b"\r\n\0"])
-    assert (handed.id, handed.order, handed.destination, handed.valid_for) == (b"9b1f", b"", 7, 805)
-    assert (handed.mark, handed.body) == (b"5c", b"\r\n\0")
-    assert (handed.product, handed.customer) == (b"notice", b"acme")
+    submission = read_submit([b"SUBMIT", b"0000", b"9b1f", names, b"\r\n\0"])
+    assert (submission.id, submission.key, submission.destination, submission.valid_for) == (
+        b"9b1f",
+        b"",
+        7,
+        805,
+    )
+    assert (submission.idempotency_key, submission.body) == (b"5c", b"\r\n\0")
+    assert (submission.product, submission.customer) == (b"notice", b"acme")
     with pytest.raises(BadCommand):
         read_submit([b"SUBMIT", b"0", b"a\r\nX-Evil: 1", b"d=1,dest=7", b""])
 
@@ -538,11 +564,16 @@
     deadlines, _ = deadlines
     rows, told = [ROW, ROW | {"name": "s-2", "type": "unheard of"}], []
     catalog = Catalog(None, deadlines, None, NAMES, 9, 9, lambda *news: told.append(news))
-    catalog.known({"index": 4, "snapshot": True, "endpoints": rows})
+    catalog.load_known_list({"index": 4, "snapshot": True, "endpoints": rows})
     ((entries, whole),) = told
-    assert (catalog.index, whole, len(entries), str(catalog.reached(b"s-1"))) == (4, True, 1, "127.0.0.1:80")
+    assert (catalog.index, whole, len(entries), str(catalog.host_address(b"s-1"))) == (
+        4,
+        True,
+        1,
+        "127.0.0.1:80",
+    )
     assert (entries[0].zone, entries[0].kind, entries[0].listing) == (1, 2, Listing.DRAINING)
-    assert catalog.entries(3) == entries and catalog.reached(b"s-2") is None
+    assert catalog.entries(3) == entries and catalog.host_address(b"s-2") is None
 
 
 @pytest.mark.parametrize(
@@ -558,8 +589,8 @@
     deadlines, _ = deadlines
     catalog = Catalog(None, deadlines, None, NAMES, 9, 9, lambda entries, whole: None)
     with pytest.raises(BadList):
-        catalog.known(raw)
-    assert catalog.index is None and not catalog.directory.rows(3) and not catalog.holds_a_list
+        catalog.load_known_list(raw)
+    assert catalog.index is None and not catalog.directory.rows(3) and not catalog.has_list
 
 
 def test_settings_get_defaults_and_unknown_effects_never_run_twice():
@@ -606,6 +637,6 @@
 )
 def test_a_start_is_one_call_for_the_list_where_the_one_held_has_a_version(known, asked):
     catalog = Catalog(None, None, None, NAMES, 9, 9, lambda entries, whole: None)
-    catalog.known(known)
+    catalog.load_known_list(known)
     (watch := catalog.buildProtocol(None)).makeConnection(Wire())
     assert watch.transport.value().split(b"\r\n")[0] == asked
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -9,11 +9,11 @@
 from test_parts import GOOD, Wire
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import MS, SECOND, Result
 from limelatch.policy import Policy
 from limelatch.relay.driver import Driver
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import EndReason
 
 
 class Loop(Running):
@@ -68,7 +68,7 @@
         }
         for name, kind, group in (("s-1", "single", 1), ("s-5", "batching", 2))
     ]
-    driver.catalog.known({"index": 1, "snapshot": True, "endpoints": rows})
+    driver.catalog.load_known_list({"index": 1, "snapshot": True, "endpoints": rows})
     yield driver
     driver.ledger.close()
 
@@ -83,7 +83,7 @@
     """The connection on which these texts are out, and their call."""
     hand_in(driver, *texts, **more)
     loop.turn()
-    assert len(loop.lines) == 1 and len(loop.lines[0].call.parcels) == len(texts)
+    assert len(loop.lines) == 1 and len(loop.lines[0].call.texts) == len(texts)
     return loop.lines[0], loop.lines[0].call
 
 
@@ -116,7 +116,7 @@
     """At three-products a 200 read 0.8 ms after a text's end, before its time-out was called, passed for the
     delivery at the relay alone: the bench counted neither that nor any other end."""
     line, call = call_out(driver, loop, *texts, dest=dest, product=product)
-    end = min(each.due for each in call.parcels)
+    end = min(each.due_at for each in call.texts)
     if first == "answer in time":
         loop.pass_to(end - 1)
         line.dataReceived(answer(*texts))
@@ -136,10 +136,10 @@
     settle(line, loop)
     loop.pass_to(end + 200 * MS)
     loop.turn()
-    assert len(loop.lines) == 1 and driver.pool.calls_out == 0  # and none is sent a second time
-    notices = {text: words["result"] for text, words in driver.notifier.owed.items()}
+    assert len(loop.lines) == 1 and driver.pool.calls_in_flight == 0  # and none is sent a second time
+    notices = {text: words["result"] for text, words in driver.notifier.pending.items()}
     if first == "answer in time":
-        assert not driver.owed and not notices
+        assert not driver.accepted and not notices
     else:
         assert notices == {text.encode(): word for text in texts}
 
@@ -161,7 +161,7 @@
 ):
     """None: the connection breaks instead."""
     line, call = call_out(driver, loop, *texts, dest=dest, product="charge")
-    end, raw = min(each.due for each in call.parcels), answer(*texts)
+    end, raw = min(each.due_at for each in call.texts), answer(*texts)
     loop.pass_to(end + line_at)
     line.dataReceived(raw[:17])
     if rest_at is None:
@@ -170,9 +170,9 @@
         loop.pass_to(end + rest_at)
         line.dataReceived(raw[17:])
     settle(line, loop)
-    assert (not driver.owed) == delivered
+    assert (not driver.accepted) == delivered
     dead = {} if delivered else {text.encode(): {"result": "dead"} for text in texts}
-    assert driver.notifier.owed == dead
+    assert driver.notifier.pending == dead
 
 
 def test_an_interim_line_in_time_proves_no_delivery(driver, loop):
@@ -182,7 +182,7 @@
     loop.pass_to(call.deadline.when)
     line.dataReceived(answer("t1"))
     settle(line, loop)
-    assert driver.notifier.owed == {b"t1": {"result": "dead"}}
+    assert driver.notifier.pending == {b"t1": {"result": "dead"}}
 
 
 @pytest.mark.parametrize("texts, dest", [ALONE, BATCH])
@@ -193,13 +193,13 @@
     """The others go out again, which a host that did deliver them answers as delivered."""
     line, call = call_out(driver, loop, *texts, dest=dest, product=product, d=14_000)
     loop.pass_to(call.deadline.when)
-    assert call.deadline.when < min(driver.owed[text.encode()].text.valid_until for text in texts)
+    assert call.deadline.when < min(driver.accepted[text.encode()].text.valid_until for text in texts)
     line.dataReceived(answer(*texts))
     settle(line, loop)
-    assert set(driver.notifier.owed) == (set() if again else {text.encode() for text in texts})
-    assert set(driver.owed) == {text.encode() for text in texts}
+    assert set(driver.notifier.pending) == (set() if again else {text.encode() for text in texts})
+    assert set(driver.accepted) == {text.encode() for text in texts}
     if again:
-        assert {held.first_run_at for held in driver.policy.texts.values()} == {call.sent}
+        assert {held.first_run_at for held in driver.policy.texts.values()} == {call.sent_at}
 
 
 def test_a_wait_that_is_told_too_late_for_the_text_is_heeded_all_the_same(driver, loop):
@@ -220,7 +220,7 @@
         answer(*texts, state=word) if word == "over" else b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"
     )
     settle(line, loop)
-    assert set(driver.notifier.owed) == {text.encode() for text in texts}
+    assert set(driver.notifier.pending) == {text.encode() for text in texts}
 
 
 @pytest.mark.parametrize("texts, dest", [ALONE, BATCH])
@@ -228,20 +228,20 @@
     driver, loop, monkeypatch, texts, dest
 ):
     """Between the decision and the call stand the ledger's writes; each takes 0.7 ms here."""
-    taken = driver.ledger.taken
+    taken = driver.ledger.record_accepted
 
     def slowly(*words, **more):
         loop.pass_to(loop.now() + 7)
         return taken(*words, **more)
 
-    monkeypatch.setattr(driver.ledger, "taken", slowly)
+    monkeypatch.setattr(driver.ledger, "record_accepted", slowly)
     line, call = call_out(driver, loop, *texts, dest=dest)
-    ends = [driver.owed[text.encode()].text.valid_until for text in texts]
-    assert call.deadline.when == min(ends) and [each.due for each in call.parcels] == ends
-    assert line.ending is None
+    ends = [driver.accepted[text.encode()].text.valid_until for text in texts]
+    assert call.deadline.when == min(ends) and [each.due_at for each in call.texts] == ends
+    assert line.end_reason is None
     loop.pass_to(min(ends))
     loop.turn()
-    assert line.ending is Ending.SILENT
+    assert line.end_reason is EndReason.ANSWER_TIMEOUT
 
 
 # Paces on a wall's clock.
--- a/tests/test_terms_cold.py
+++ b/tests/test_terms_cold.py
@@ -273,7 +273,7 @@
     due = once.time_until_credit()
     for at in range(NOW, NOW + due // 2, 10 * MS):
         looked.update_pace(at, 60)
-    looked.update_pace(NOW + due // 2, 60), once.refill(NOW + due // 2, 60)
+    looked.update_pace(NOW + due // 2, 60), once.update_pace(NOW + due // 2, 60)
     assert looked.credit == pytest.approx(once.credit, abs=0.03)
     once.update_pace(NOW + due, 60)
     assert once.credit == pytest.approx(1.0, abs=0.05) and 10 * SECOND < due < 1.2 / 0.06 * SECOND
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -16,20 +16,22 @@
 from test_parts import GOOD, Wire
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.plan import OWN, SOCKETS_LEAST, Shares
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.plan import RESERVED_DESCRIPTORS, MIN_SOCKETS, DescriptorShares
+from limelatch.configuration.platform_form import read_platform
 from limelatch.relay.clients import Listener
-from limelatch.relay.door import Door
+from limelatch.relay.operator_server import OperatorServer
 
 TOLD_WITHIN = 6.0  # seconds after which a change counts as told
 TRIES = 8  # at discovery that are refused while clients crowd the relay
 
 
 def test_the_shares_of_all_parties_fit_into_the_descriptors():
-    for sockets in (*range(SOCKETS_LEAST, 2000), 4096, 1 << 20):
-        shares = Shares.of(sockets)
-        taken = shares.clients_most + shares.hosts + shares.closing + 2 * shares.operators + OWN
-        assert taken <= sockets and shares.clients == sockets // 2 < shares.clients_most
+    for sockets in (*range(MIN_SOCKETS, 2000), 4096, 1 << 20):
+        shares = DescriptorShares.of(sockets)
+        taken = (
+            shares.max_clients + shares.hosts + shares.closing + 2 * shares.operators + RESERVED_DESCRIPTORS
+        )
+        assert taken <= sockets and shares.clients == sockets // 2 < shares.max_clients
         assert shares.hosts >= 6 and shares.closing >= 2 and shares.operators >= 1
         assert sockets < 400 or shares.hosts == sockets // 4
 
@@ -41,23 +43,23 @@
         if (client := listener.buildProtocol(Peer)) is not None:
             client.makeConnection(Wire())
             made.append(client)
-    assert len(made) == listener.open == 14 and sum(each.ending is None for each in made) == 9
+    assert len(made) == listener.open == 14 and sum(each.end_reason is None for each in made) == 9
     for each in made:
-        if each.ending is not None:
+        if each.end_reason is not None:
             each.connectionLost(None)
     assert listener.open == 9 and listener.buildProtocol(Peer) is not None
 
 
 def test_a_burst_at_the_operators_door_takes_no_more_either():
-    door, made = Door(Doorstep(Running()), None, 2), []
+    operator_server, made = OperatorServer(Doorstep(Running()), None, 2), []
     for _ in range(100):
-        if (caller := door.buildProtocol(Peer)) is not None:
+        if (caller := operator_server.buildProtocol(Peer)) is not None:
             caller.makeConnection(Wire())
             made.append(caller)
-    assert len(made) == door.open == 4
+    assert len(made) == operator_server.open == 4
     for each in made[:2]:
         each.connectionLost(None)
-    assert door.open == 2 and door.buildProtocol(Peer) is not None
+    assert operator_server.open == 2 and operator_server.buildProtocol(Peer) is not None
 
 
 class Peer:
@@ -243,7 +245,7 @@
 
 
 def test_a_relay_with_too_few_descriptors_says_so_and_ends(tmp_path):
-    program = Tight(tmp_path, Place(), SOCKETS_LEAST - 1, 1024)
+    program = Tight(tmp_path, Place(), MIN_SOCKETS - 1, 1024)
     program.launch()
     try:
         assert program.process.wait(WAIT_TIMEOUT) == 2
@@ -254,4 +256,8 @@
 
 def test_shares_are_those_of_the_configuration(tmp_path):
     raw = GOOD | {"state": str(tmp_path), "limits": {"sockets": 1024}}
-    assert plan_of(read_platform(raw)[0]).shares == Shares.of(1024) == Shares(256, 64, 16, 512, 652)
+    assert (
+        plan_of(read_platform(raw)[0]).shares
+        == DescriptorShares.of(1024)
+        == DescriptorShares(256, 64, 16, 512, 652)
+    )
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -14,7 +14,7 @@
 from test_parts import GOOD
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.storage_gate import RETRY_AFTER
 from limelatch.interface import MS, Result
 from limelatch.relay.driver import Driver
@@ -56,10 +56,10 @@
         self.driver = driver = Driver(plan, self.clock, self.clock)
         self.out, self.ended = [], {}
         driver.pool.send = self.send
-        driver.notifier.notice = lambda text, words: self.ended.setdefault(text, words["result"])
+        driver.notifier.add_notice = lambda text, words: self.ended.setdefault(text, words["result"])
         driver.start()
         driver.ready = True
-        driver.catalog.known(
+        driver.catalog.load_known_list(
             {
                 "index": 1,
                 "snapshot": True,
@@ -76,48 +76,48 @@
                 ],
             }
         )
-        driver.catalog.fresh = True
+        driver.catalog.is_fresh = True
         driver.turn()
         return self
 
-    def send(self, host, parcels):
+    def send(self, host, texts):
         """The host begins each text as it is sent."""
-        call = Call(host, parcels, self.clock.now())
+        call = Call(host, texts, self.clock.now())
         self.clock.rightNow += self.late / S
         now = self.clock.now()
-        for each in parcels:
+        for each in texts:
             if not self.driver.may_send(now, each.text, host):
-                self.driver.ended(call, each, Outcome(Result.NOT_SENT))
-        for each in [one for one in parcels if self.driver.may_send(now, one.text, host)]:
-            assert self.driver.going(call, each)
+                self.driver.submit_ended(call, each, Outcome(Result.NOT_SENT))
+        for each in [one for one in texts if self.driver.may_send(now, one.text, host)]:
+            assert self.driver.start_submit(call, each)
             self.sent.append((now, each.text, host))
             self.out.append((call, each))
-            known = self.ran.get((each.mark, host))
-            if not known or not each.mark or now - known >= WINDOW:
-                self.ran[each.mark, host] = now
+            known = self.ran.get((each.idempotency_key, host))
+            if not known or not each.idempotency_key or now - known >= WINDOW:
+                self.ran[each.idempotency_key, host] = now
                 self.effects[each.text] += 1
 
     def hand_in(self, text, product):
         client = SimpleNamespace(answers=[])
         client.answer = client.answers.append
-        handed = SimpleNamespace(
+        submission = SimpleNamespace(
             id=text,
             destination=1,
             product=product,
             customer=b"acme",
             valid_for=8 * S,
-            order=b"",
-            mark=b"m-" + text,
+            key=b"",
+            idempotency_key=b"m-" + text,
             body=b"x",
         )
-        self.driver.handed_in(handed, client)
+        self.driver.submission_received(submission, client)
         self.driver.turn()
         assert client.answers == ["+OK"]
 
     def answered(self, result):
         """All calls that are out get this answer."""
-        for call, parcel in self.out:
-            self.driver.ended(call, parcel, Outcome(result, result is Result.DELIVERED))
+        for call, outgoing in self.out:
+            self.driver.submit_ended(call, outgoing, Outcome(result, result is Result.DELIVERED))
         self.out = []
 
     def killed(self, restart, **more):
@@ -149,7 +149,7 @@
     assert life.ended == {b"c": "dead"} | ({} if repeated else {b"n": "dead", b"y": "bounced"})
     assert all(life.effects[text] == 1 for text in (b"n", b"y", b"c"))
     life.answered(Result.DELIVERED)
-    assert set(life.driver.owed) == set(life.ended)  # nothing is lost, and nothing else owed
+    assert set(life.driver.accepted) == set(life.ended)  # nothing is lost, and nothing else owed
 
 
 @pytest.mark.parametrize("late", [S // 2, 7 * S // 10])
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -11,11 +11,10 @@
 from test_crossings import Running, take
 from test_key_order import Process
 
-from limelatch.configuration.plan import OWN, Shares
+from limelatch.configuration.plan import RESERVED_DESCRIPTORS, DescriptorShares
 from limelatch.relay.directory import Directory
-from limelatch.relay.list_copy import FILE as LIST
-from limelatch.relay.list_copy import FORM, ListCopy
-from limelatch.relay.ledger import BLOCK, FILE, NEW_FILE, SEAT, Ledger
+from limelatch.relay.list_copy import COPY_FILE, COPY_FORM, ListCopy
+from limelatch.relay.ledger import BLOCK, FILE, NEW_FILE, STANDBY_DIR, Ledger
 
 DISK = 300_000
 BODY = b"b" * 1000
@@ -23,7 +22,10 @@
 
 def folder_bytes(folder):
     """As the platform counts: every file in whole blocks."""
-    files = [os.path.join(folder, *name) for name in ((FILE,), (NEW_FILE,), (SEAT, FILE), (SEAT, NEW_FILE))]
+    files = [
+        os.path.join(folder, *name)
+        for name in ((FILE,), (NEW_FILE,), (STANDBY_DIR, FILE), (STANDBY_DIR, NEW_FILE))
+    ]
     sizes = [os.path.getsize(path) for path in files if os.path.exists(path)]
     return sum(-(-size // BLOCK) * BLOCK for size in sizes)
 
@@ -38,12 +40,12 @@
         text = b"%s%d" % (names, number)
         if not one.ledger.has_room(len(BODY)):
             return
-        one.handover.look()
-        one.ledger.taken(
+        one.handover.poll()
+        one.ledger.record_accepted(
             text, BODY, key="", mark="m", dest=1, product="notice", customer="", until=9, at=number
         )
         if number % 8:
-            one.ledger.over(text)
+            one.ledger.record_finished(text)
         assert folder_bytes(one.ledger.folder) <= DISK
 
 
@@ -60,7 +62,7 @@
     held = len(old.ledger.entries) + len(new.ledger.entries)
     old.ledger.close()
     clock.advance(0.2)
-    assert len(new.ledger.entries) == held and not new.ledger.beside
+    assert len(new.ledger.entries) == held and not new.ledger.is_standby
     assert folder_bytes(tmp_path) <= DISK
     new.ledger.close()
 
@@ -69,14 +71,16 @@
     clock = Running()
     old = process(tmp_path, clock)
     directory = Directory(10)
-    with open(tmp_path / LIST, "wb") as file:
+    with open(tmp_path / COPY_FILE, "wb") as file:
         rows = list(directory.lines())
-        head = json.dumps({"form": FORM, "catalog": "a:1", "index": 3, "more": "x" * 3000}).encode() + b"\n"
+        head = (
+            json.dumps({"form": COPY_FORM, "catalog": "a:1", "index": 3, "more": "x" * 3000}).encode() + b"\n"
+        )
         file.write(head + b"".join(rows) + json.dumps({"rows": 0, "crc": 0}).encode() + b"\n")
     new = process(tmp_path, clock)
-    whole = new.ledger.disk
+    whole = new.ledger.disk_limit
     assert ListCopy(str(tmp_path), new.handover, new.ledger).read() is not None
-    assert whole - new.ledger.disk >= 6000
+    assert whole - new.ledger.disk_limit >= 6000
     old.ledger.close()
     new.ledger.close()
 
@@ -86,13 +90,13 @@
     old = process(tmp_path, clock)
     fill(old, b"old", 50)
     new = process(tmp_path, clock)
-    new.handover.look()
-    beside = new.ledger.sibling_needs
+    new.handover.poll()
+    beside = new.ledger.sibling_bytes
     for text in list(old.ledger.entries):
-        old.ledger.over(text)
+        old.ledger.record_finished(text)
     old.ledger.close()
     clock.advance(0.2)
-    assert beside > 0 == new.ledger.sibling_needs
+    assert beside > 0 == new.ledger.sibling_bytes
     new.ledger.close()
 
 
@@ -104,7 +108,7 @@
     ledger.compact = lambda: made.append(ledger.size) or compact()
     for number in range(6000):
         take(ledger, b"t%d" % number)
-        ledger.over(b"t%d" % number)
+        ledger.record_finished(b"t%d" % number)
         assert ledger.size <= DISK // 2 + BLOCK
     assert 2 <= len(made) <= 10
     made.clear()
@@ -155,7 +159,9 @@
         for _ in range(4):
             clients += crowd(new, SOCKETS // 4)
             most = max(most, descriptors(new))
-        assert most > OWN + Shares.of_two(SOCKETS).clients  # all of them are its own again
+        assert (
+            most > RESERVED_DESCRIPTORS + DescriptorShares.during_upgrade(SOCKETS).clients
+        )  # all of them are its own again
     finally:
         new.kill()
         for client in clients:
