--- a/limelatch/benchlink/__init__.py
+++ b/limelatch/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire before the decision module: codec, names and units, and nothing else."""
+"""Adapter from the bench's binary protocol to the decision module: codec, names and units, no decisions."""
--- a/limelatch/benchlink/__main__.py
+++ b/limelatch/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Runs relays on the bench's wire: reads batches, tells each relay its events, writes the actions."""
+"""Runs decision modules for the bench: reads frames of events from stdin, writes their actions to stdout."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from limelatch.policy import Policy
 
 
-class Relay:
-    """One instance of the module and the report fields that its site uses."""
+class BenchRelay:
+    """One decision module, and the names of the report fields in its settings."""
 
     def __init__(self, seed: int, settings: dict, now: int) -> None:
         stats = settings.get("stats") or {}
@@ -19,66 +19,69 @@
         self.policy = Policy(bench_terms(seed, settings), now)
 
 
-class Link:
-    """The relays of this process and the tables that their lists refer to."""
+class BenchLink:
+    """The relays of this process, and the host tables that their lists refer to."""
 
     def __init__(self) -> None:
-        self.relays: dict[int, Relay] = {}
+        self.relays: dict[int, BenchRelay] = {}
         self.tables: dict[int, list[li.HostEntry]] = {}
 
-    def answer(self, clock: float, records: list[wire.Record]) -> list[bytes]:
-        """Tell the events in order, then gather the actions of each relay that had one."""
+    def handle_frame(self, clock: float, records: list[wire.Record]) -> list[bytes]:
+        """Pass the events of a frame to their relays, in order; return the actions of those relays.
+
+        `clock` is in milliseconds. A relay whose module raises gets a fault record, and its later events in
+        the frame are skipped."""
         now, touched, faults = to_units(clock), {}, []
         for event in records:
-            if event.code == wire.TABLE:
+            if event.code == wire.EVENT_HOST_TABLE:
                 page, entries = wire.read_table(event.body)
                 self.tables[page] = entries
                 continue
-            number = wire.relay_of(event.body)
+            number = wire.read_relay(event.body)
             if number in touched and touched[number] is None:
                 continue
             touched[number] = number
             try:
-                self.tell(number, event, now)
+                self.deliver_event(number, event, now)
             except wire.MalformedFrame:
                 raise
-            except Exception as error:  # a failure of the module is named on the wire, whatever it is
-                faults.append(wire.words(wire.FAULT, number, f"{type(error).__name__}: {error}"))
+            except Exception as error:  # reported to the bench, whatever it is
+                faults.append(wire.encode_line(wire.ACTION_FAULT, number, f"{type(error).__name__}: {error}"))
                 touched[number] = None
-        return faults + self.gather(now, [n for n, alive in touched.items() if alive is not None])
+        return faults + self.collect_actions(now, [n for n, alive in touched.items() if alive is not None])
 
-    def tell(self, number: int, event: wire.Record, now: int) -> None:
-        """Hand one event to its relay."""
-        if event.code == wire.START:
+    def deliver_event(self, number: int, event: wire.Record, now: int) -> None:
+        """Pass one event to its relay; events of unknown relays are ignored."""
+        if event.code == wire.EVENT_START:
             _, seed, settings = wire.read_start(event.body)
-            self.relays[number] = Relay(seed, settings, now)
+            self.relays[number] = BenchRelay(seed, settings, now)
             return
-        if event.code == wire.HALT:
+        if event.code == wire.EVENT_STOP:
             self.relays.pop(number, None)
             return
         relay = self.relays.get(number)
         if relay is None:
             return
         policy = relay.policy
-        if event.code == wire.INCOMING_CODE:
+        if event.code == wire.EVENT_TEXT:
             policy.text_accepted(now, wire.read_text(event.body))
-        elif event.code == wire.OUTCOME_CODE:
+        elif event.code == wire.EVENT_OUTCOME:
             policy.submit_ended(now, wire.read_outcome(event.body, relay.fields))
-        elif event.code == wire.STATUS_BACK:
+        elif event.code == wire.EVENT_PROBE_OUTCOME:
             wire.read_probe(event.body, relay.fields)  # the module sends no probes
-        elif event.code == wire.CLIENT_LEFT:
+        elif event.code == wire.EVENT_CLIENT_LEFT:
             policy.text_finished(now, wire.read_text_id(event.body))
-        elif event.code == wire.ENDPOINTS:
+        elif event.code == wire.EVENT_HOST_LIST:
             mode, page = wire.read_endpoints(event.body)
-            if mode == wire.FAILED:
+            if mode == wire.LIST_FAILED:
                 policy.list_failed(now)
             elif page not in self.tables:
-                raise wire.MalformedFrame(f"a list names table {page}, which was never sent")
+                raise wire.MalformedFrame(f"a host list names table {page}, which was never sent")
             else:
-                policy.hosts_listed(now, self.tables[page], whole=mode != wire.DELTA)
+                policy.hosts_listed(now, self.tables[page], whole=mode != wire.LIST_CHANGES)
 
-    def gather(self, now: int, numbers: list[int]) -> list[bytes]:
-        """The actions of the relays that had an event."""
+    def collect_actions(self, now: int, numbers: list[int]) -> list[bytes]:
+        """Have each of these relays decide, and encode its actions."""
         records = []
         for number in numbers:
             relay = self.relays.get(number)
@@ -86,20 +89,22 @@
                 continue
             try:
                 for action in relay.policy.decide(now):
-                    records.append(wire.write_action(number, action))
+                    records.append(wire.encode_action(number, action))
                     if isinstance(action, li.Nack | li.Undeliverable):
-                        relay.policy.text_finished(now, action.text)  # the bench hears an answer at once
-            except Exception as error:  # as above
-                records.append(wire.words(wire.FAULT, number, f"{type(error).__name__}: {error}"))
+                        relay.policy.text_finished(now, action.text)  # the bench takes an answer at once
+            except Exception as error:  # as in `handle_frame`
+                records.append(
+                    wire.encode_line(wire.ACTION_FAULT, number, f"{type(error).__name__}: {error}")
+                )
         return records
 
 
 def main() -> int:
-    """Serve until the input ends."""
-    link, source, sink = Link(), sys.stdin.buffer, sys.stdout.buffer
+    """Serve until the input ends. Exit code 1 after a malformed frame."""
+    link, source, sink = BenchLink(), sys.stdin.buffer, sys.stdout.buffer
     try:
         while (frame := wire.read_frame(source)) is not None:
-            sink.write(wire.write_frame(link.answer(*frame)))
+            sink.write(wire.encode_reply(link.handle_frame(*frame)))
             sink.flush()
     except wire.MalformedFrame as error:
         print(f"limelatch.benchlink: malformed frame: {error}", file=sys.stderr)
