--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -21,11 +21,11 @@
     HostEntry,
     HostKind,
     Listing,
+    PolicySettings,
     Product,
     Result,
     Submit,
     SubmitReport,
-    PolicySettings,
     Text,
 )
 from limelatch.lab.machine.faults import Faults, build
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,42 +1,43 @@
-"""What stands beside the design: health, pacing, order of held texts, room."""
+"""Health, pace, trials and warm-up, idle connections, the order of waiting texts, and memory."""
 
-from conftest import CHARGE, HOST, NOTICE, NOW, REPORT, ROUTE, OTHER_HOST, S
+from conftest import CHARGE, HOST, NOTICE, NOW, OTHER_HOST, REPORT, ROUTE, S
 
 from limelatch.interface import CloseIdle, Listing, LogLine, Nack, Result, Submit, Text, Wake
 from limelatch.policy import (
-    SHORT_CALL_TIMEOUT,
+    CALL_TIMEOUT,
+    MAX_STALE_SHARE_ONCE_ONLY,
     OUTAGE_CUT_COUNT,
     OUTAGE_FAILURE_SHARE,
-    MAX_STALE_SHARE_ONCE_ONLY,
-    CALL_TIMEOUT,
     OUTAGE_RETRY_AFTER,
+    SHORT_CALL_TIMEOUT,
     Call,
 )
 
 
-def sick(relay, cause=Result.CONNECT):
+def host_in_outage(relay, cause=Result.CONNECT):
+    """Put the host into an outage by one failed submit; its text doesn't go again."""
     text = relay.take(REPORT)
     relay.out(text, cause)
     relay.pending(text).due_at = NOW + 100 * S
     return relay.host()
 
 
-def test_a_failure_without_a_delivery_lately_makes_a_host_sick_and_it_gets_one_trial(relay):
-    host = sick(relay)
+def test_a_failure_without_a_recent_delivery_is_an_outage_and_the_host_gets_one_trial(relay):
+    host = host_in_outage(relay)
     assert host.in_outage and "sick: connect" in relay.decide(LogLine)[0].line
     texts = {relay.take(REPORT) for _ in range(3)}
     assert relay.sent(NOW) == {}
     assert len(texts & set(relay.sent(host.route.next_trial_at))) == 1
 
 
-def test_a_trial_that_works_starts_the_warm_up(relay):
-    host = sick(relay)
+def test_a_delivered_trial_starts_the_warm_up(relay):
+    host = host_in_outage(relay)
     relay.out(relay.take(REPORT), Result.DELIVERED, host.route.next_trial_at, finished=True)
     assert not host.in_outage and host.recovered_at is not None
 
 
-def test_one_silent_time_out_makes_a_host_sick_and_a_trial_takes_one_text(relay):
-    """Trials once carried five texts each into hosts that hung."""
+def test_one_timeout_is_an_outage_and_a_trial_carries_one_text(relay):
+    """Guards against trials that carry a whole batch into a host that hangs."""
     relay.list(HOST, kind=1)
     relay.host().kind = 1
     relay.out(relay.take(REPORT, now=NOW), Result.TIMEOUT)
@@ -46,14 +47,14 @@
     assert len(relay.sent(relay.host().route.next_trial_at)) == 1
 
 
-def test_a_once_only_text_is_no_trial_while_another_can_be(relay):
-    host = sick(relay)
+def test_a_once_only_text_is_no_trial_while_another_text_can_be(relay):
+    host = host_in_outage(relay)
     relay.take(CHARGE)
     text = relay.take(REPORT, now=NOW + 1)
     assert relay.sent(host.route.next_trial_at) == {text: HOST}
 
 
-def test_an_overdue_call_holds_back_further_texts(relay):
+def test_an_overdue_call_delays_further_texts(relay):
     relay.out(relay.take(REPORT))
     relay.take(REPORT)
     assert len(relay.sent(NOW + 2 * S)) == 1  # one more once the first is overdue
@@ -61,8 +62,8 @@
     assert relay.sent(NOW + 2 * S + 1) == {}
 
 
-def test_time_outs_are_short_only_for_repeatable_texts_while_slots_are_scarce(relay):
-    """Lost answers once held all slots while healthy hosts stood idle."""
+def test_while_slots_are_scarce_timeouts_are_short_but_for_once_only_texts(relay):
+    """Guards against lost answers that occupy all slots while healthy hosts are idle."""
     relay.host().route.duration_count, relay.host().route.usual_duration = 10, 3000
     notice, charge = relay.pending(relay.take(REPORT)), relay.pending(relay.take(CHARGE))
     notice.call = charge.call = Call(relay.host(), NOW)
@@ -71,8 +72,10 @@
     assert (relay.policy._timeout(notice), relay.policy._timeout(charge)) == (12_000, SHORT_CALL_TIMEOUT)
 
 
-def test_kept_connections_are_given_up_while_many_of_them_are_reset(relay):
-    """Hosts that close after an answer once had a tenth of all calls reset, and were taken for sick."""
+def test_no_connections_are_kept_while_many_of_them_are_reset(relay):
+    """Guards against taking a host that closes after each answer for one in an outage.
+
+    A tenth of the calls to such hosts was reset."""
     relay.out(relay.take(REPORT), Result.DELIVERED, idle_time=0, finished=True)
     now = NOW + S
     for _ in range(2):
@@ -84,13 +87,13 @@
     assert [type(each) for each in actions[:2]] == [CloseIdle, Submit] and actions[1].idle_limit <= 0
     for action in actions[1::2]:
         relay.end(action.text, Result.DELIVERED, now, finished=True, idle_time=0)
-    for _ in range(80):  # calls on new connections: it fades
+    for _ in range(80):  # calls on new connections: the share falls
         relay.out(relay.take(REPORT, now=now), Result.DELIVERED, now, finished=True, idle_time=0)
     assert relay.policy.stale_share[0] < MAX_STALE_SHARE_ONCE_ONLY
 
 
-def test_a_time_out_leaves_a_referenced_text_time_for_the_repeat(relay):
-    """Lost answers once cost the text: 9 s of its window of 10 s were over before it could go again."""
+def test_a_timeout_leaves_a_referenced_text_time_for_a_repeat(relay):
+    """Guards against a lost answer whose timeout uses up 9 s of a retry window of 10 s."""
     relay.host().route.duration_count, relay.host().route.usual_duration = 10, 1000
     text = relay.take(NOTICE)
     assert relay.decide(Submit)[0].timeout == 10 * S // 4
@@ -101,8 +104,8 @@
     assert relay.policy._timeout(slow) == 8 * 5000
 
 
-def test_a_time_out_beside_deliveries_weighs_less_than_silence(relay):
-    """A host of whose answers a third was lost once counted as down, and all its texts waited for trials."""
+def test_a_timeout_between_deliveries_weighs_less_than_silence(relay):
+    """Guards against taking a host that loses a third of its answers for one in an outage."""
     first, second = relay.take(REPORT), relay.take(REPORT)
     relay.decide()
     relay.end(first, Result.DELIVERED, NOW + S, finished=True)
@@ -110,32 +113,33 @@
     assert 0 < relay.host().failure_share < 0.2 and not relay.host().in_outage
 
 
-def test_a_reset_after_idleness_is_a_dead_connection_and_no_outage(relay):
-    """A path that drops idle connections once looked like an outage of every host."""
+def test_a_reset_of_an_idle_connection_is_no_outage(relay):
+    """Guards against taking a network path that drops idle connections for an outage of every host."""
     relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     relay.out(relay.take(REPORT), Result.RESET, NOW + 2 * S, took=100)
     assert relay.host().failure_share == 0.0 and relay.policy.max_idle_by_kind[0] < 2 * S
 
 
 def test_connections_are_kept_longer_only_where_no_connect_failed_for_as_long(fleet_relay):
-    """Kept for 6 s at most, nine of ten calls once paid for a new connection; kept for longer from the start,
-    relays killed together filled all tables in their first seconds."""
+    """Guards against two failures.
+
+    With connections kept for 6 s at most, nine of ten calls needed a new one. Kept for longer from the start,
+    they filled all connection tables in the first seconds after many relays had been killed together."""
     fleet_relay.list(OTHER_HOST, dest=2)
     for now, closed in ((NOW, [CloseIdle(OTHER_HOST)]), (NOW + 9 * S, [])):
         fleet_relay.out(fleet_relay.take(REPORT, dest=2, now=now), Result.DELIVERED, now, finished=True)
         assert fleet_relay.decide(CloseIdle, now) == closed
     text = fleet_relay.take(REPORT, now=now)
-    fleet_relay.out(text, Result.CONNECT, now)  # no delivery lately: half a sign of an outage
+    fleet_relay.out(text, Result.CONNECT, now)  # no recent delivery: half the weight of an outage
     assert 0 < fleet_relay.host().failure_share < OUTAGE_FAILURE_SHARE and not fleet_relay.host().in_outage
     assert fleet_relay.decide(CloseIdle, now) == [CloseIdle(OTHER_HOST), CloseIdle(HOST)]
-    fleet_relay.out(
-        text, Result.CONNECT, fleet_relay.pending(text).due_at
-    )  # the second is no table of this relay's making
+    # The second failed connect is not explained by this relay's own idle connections.
+    fleet_relay.out(text, Result.CONNECT, fleet_relay.pending(text).due_at)
     assert fleet_relay.host().in_outage and fleet_relay.policy.max_idle_by_kind[0] < S
 
 
-def test_one_product_failing_at_one_host_is_no_outage_and_goes_to_the_other(fleet_relay):
-    """An endpoint that left one product unanswered once passed for a hung destination at each relay."""
+def test_one_product_that_fails_at_one_host_is_no_outage_and_goes_to_the_other_host(fleet_relay):
+    """Guards against taking a host that does not answer one product for a destination that hangs."""
     fleet_relay.list(HOST, OTHER_HOST)
     fleet_relay.policy.products_by_kind[0] = {CHARGE, REPORT}
     first = fleet_relay.take(REPORT)
@@ -152,8 +156,8 @@
     assert fleet_relay.host(good).in_outage and fleet_relay.host(bad).in_outage
 
 
-def test_of_two_hosts_drawn_the_one_with_an_idle_connection_is_taken(relay):
-    """Calls spread over hosts at random once paid for a new connection each, beside an idle one."""
+def test_of_two_drawn_hosts_the_one_with_an_idle_connection_is_chosen(relay):
+    """Guards against calls that open a new connection while another host has an idle one."""
     relay.list(HOST, OTHER_HOST)
     kept = relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     for at in range(1, 6):
@@ -162,14 +166,16 @@
     assert relay.out(relay.take(REPORT), now=NOW + 6 * S) != kept
 
 
-def test_no_connection_while_others_go_through_is_a_full_table(relay):
+def test_a_failed_connect_between_deliveries_is_a_full_table_and_no_failure(relay):
     relay.out(relay.take(REPORT), Result.DELIVERED, finished=True)
     relay.out(relay.take(REPORT), Result.CONNECT, NOW + S)
     assert relay.host().failure_share == 0.0
 
 
-def test_a_refusal_cuts_the_pace_to_the_relays_own_rate(relay):
-    """A pace of the whole limit at hundreds of relays once took many refusals to matter; limits collapsed."""
+def test_a_refusal_cuts_the_pace_to_the_relay_s_own_rate(relay):
+    """Guards against a pace of the whole limit at each of hundreds of relays.
+
+    It took many refusals to come down, which used up the limit for all."""
     route = relay.host().route
     relay.policy.settings.relays = 200
     route.learn_limit(20.0, 200)
@@ -177,8 +183,8 @@
     assert 0.04 <= route.pace < 0.2
 
 
-def test_a_long_told_wait_is_an_outage_unless_the_limit_is_used_up(relay):
-    """Told waits of many relays reach far at a small limit and once looked like an outage."""
+def test_a_long_retry_after_is_an_outage_unless_the_limit_is_used_up(relay):
+    """At a small limit the waits for many relays are long. Guards against taking them for an outage."""
     relay.out(relay.take(REPORT), Result.FULL, retry_after=OUTAGE_RETRY_AFTER + 1, limit_left=0.0)
     assert not relay.host().in_outage
     relay.list(OTHER_HOST, dest=2)
@@ -186,16 +192,18 @@
     assert relay.host(OTHER_HOST).in_outage
 
 
-def test_a_route_falls_sick_as_one_but_for_hosts_that_delivered_lately(relay):
-    """Each relay once found out host by host that a whole destination was down."""
+def test_an_outage_covers_the_route_but_for_hosts_with_a_recent_delivery(relay):
+    """Guards against finding out host by host that a whole destination is down."""
     relay.list(OTHER_HOST, ROUTE)
     relay.host(ROUTE).last_success_at = NOW
     relay.policy._record_failure(NOW, relay.host(), "connect", 1.0)
     assert [relay.host(name).in_outage for name in (HOST, OTHER_HOST, ROUTE)] == [True, True, False]
 
 
-def test_the_parts_of_the_relays_that_know_add_up_to_what_is_safe(relay):
-    """A part of limit / relays from nothing once kept hundreds of relays silent through the cold time."""
+def test_the_parts_of_the_relays_that_know_of_an_outage_add_up_to_what_is_safe(relay):
+    """Guards against a part of limit / relays with no credit at the start.
+
+    It kept hundreds of relays silent through all of the warm-up."""
     policy, route = relay.policy, relay.host().route
     policy.settings.relays, route.limit, route.outage_since = 200, 4.0, NOW
     assert (
@@ -207,8 +215,8 @@
     assert 0.0 <= relay.host().warm_up_credit < 1.0 and relay.host().recovered_at == NOW
 
 
-def test_a_tick_looks_only_at_destinations_with_texts_waiting(relay):
-    """Every tick once visited each destination of the list."""
+def test_a_decision_looks_only_at_destinations_with_waiting_texts(relay):
+    """Guards against a decision that takes time for each destination of the list."""
     relay.list(OTHER_HOST, dest=2)
     relay.host(OTHER_HOST).in_outage, relay.host(OTHER_HOST).route.next_trial_at = True, NOW + S
     relay.take(REPORT, dest=2)
@@ -217,14 +225,14 @@
 
 
 def test_trials_are_spaced_by_the_limit(relay):
-    """Trials of several relays once used up a small limit for good, as refused calls counted."""
+    """Refused calls count. Guards against trials of several relays that keep a small limit used up."""
     host = relay.host()
     host.route.learn_limit(3.0, 3)
     relay.policy._schedule_trial(NOW, host.route)
     assert host.route.next_trial_at - NOW >= S
 
 
-def test_pace_is_spent_and_comes_back(relay):
+def test_credit_is_spent_and_comes_back_with_the_pace(relay):
     route = relay.host().route
     route.learn_limit(5.0, 3)
     route.credit, route.credit_updated_at = 0.0, NOW
@@ -240,7 +248,7 @@
     assert relay.sent() == {fresh: HOST} and late in relay.policy.texts
 
 
-def test_a_nearly_full_relay_nacks_what_is_least_at_stake(relay):
+def test_a_nearly_full_relay_nacks_the_text_with_the_least_at_stake(relay):
     relay.host().in_outage, relay.host().route.next_trial_at = True, NOW + 4 * S
     late = relay.take(REPORT, valid=5 * S)
     for _ in range(46):
@@ -248,16 +256,16 @@
     assert relay.decide(Nack) == [Nack(late, 2 * S)]
 
 
-def test_a_host_new_in_an_outage_of_its_route_is_taken_as_sick(relay):
-    """Replaced hosts of a shut destination were once taken as sound by all relays, and pushed over."""
+def test_a_host_listed_during_an_outage_of_its_route_is_in_the_outage_too(relay):
+    """Guards against overloading the new hosts of a destination that refuses all calls."""
     relay.policy._record_failure(NOW, relay.host(), "refused", 1.0)
     relay.list(HOST, listing=Listing.GONE)
     relay.list(OTHER_HOST)
     assert relay.host(OTHER_HOST).in_outage
 
 
-def test_cuts_in_a_row_without_a_delivery_are_an_outage(relay):
-    """The even part of a shut destination is more than it bears when it returns."""
+def test_many_cuts_of_the_pace_without_a_delivery_are_an_outage(relay):
+    """This relay's even part of the limit is more than such a destination bears when it returns."""
     route = relay.host().route
     route.learn_limit(20.0, 3)
     for step in range(OUTAGE_CUT_COUNT):
@@ -265,24 +273,26 @@
     assert relay.host().in_outage
 
 
-def test_few_free_slots_shorten_time_outs_of_unknown_destinations(relay):
-    """Calls lost at hosts that no relay knew well once held the few slots of each for 9 s."""
+def test_scarce_slots_shorten_timeouts_at_hosts_of_unknown_duration(relay):
+    """Guards against lost calls that occupy the few slots of a relay for 9 s."""
     notice = relay.pending(relay.take(REPORT))
     notice.call = Call(relay.host(), NOW)
     relay.policy.slots_used = 8
     assert relay.policy._timeout(notice) == SHORT_CALL_TIMEOUT
 
 
-def test_told_room_raises_the_pace(relay):
-    """Paces once cut did not come back while the told limit had room."""
+def test_a_report_that_the_limit_has_room_raises_the_pace(relay):
+    """Guards against a pace that stays low after a cut although the limit has room."""
     route = relay.host().route
     route.limit, route.pace, route.credit_updated_at = 10.0, 1.0, NOW
     relay.out(relay.take(REPORT), Result.DELIVERED, limit_left=0.5, finished=True)
     assert 1.5 <= route.pace < 1.6
 
 
-def test_a_cut_pace_grows_slower_before_a_delivery(relay):
-    """Paces that grew by the clock while all was refused once pushed over a destination as it came back."""
+def test_after_cuts_the_pace_grows_slower_until_a_delivery(relay):
+    """Guards against a pace that grows by time while all calls are refused.
+
+    It overloaded the destination as it came back."""
     route = relay.host().route
     grown = []
     for cuts in (0, 2):
@@ -292,8 +302,8 @@
     assert grown[1] < grown[0] / 2
 
 
-def test_a_refusal_where_no_limit_is_known_paces_the_route_until_deliveries_lift_it(fleet_relay):
-    """Hundreds of relays once kept a limit used up by being refused, and knew two calls a second at most."""
+def test_without_a_known_limit_a_refusal_sets_a_pace_until_deliveries_lift_it(fleet_relay):
+    """Guards against hundreds of relays that keep an unknown limit used up by refused calls."""
     fleet_relay.out(fleet_relay.take(REPORT), Result.FULL)
     route, now = fleet_relay.host().route, NOW + 8 * S
     assert 0 < route.pace < 0.2 and fleet_relay.sent(now) == {} and route.total_rate(200) == 2
@@ -308,37 +318,37 @@
     assert route.pace > 1.0
 
 
-def test_a_time_out_on_a_kept_connection_is_half_a_sign_of_an_outage(fleet_relay):
-    """Paths that drop idle connections in silence once made sound destinations pass for hung."""
-    for now, sick in ((NOW + 4 * S, False), (NOW + 14 * S, True)):
+def test_a_timeout_on_a_kept_connection_weighs_half(fleet_relay):
+    """Guards against taking a path that silently drops idle connections for a destination that hangs."""
+    for now, in_outage in ((NOW + 4 * S, False), (NOW + 14 * S, True)):
         fleet_relay.host().has_idle_connection, fleet_relay.host().last_used_at = True, now - 4 * S
         text = fleet_relay.take(REPORT, now=now)
         fleet_relay.out(text, Result.TIMEOUT, now, finished=True)
         assert (
-            fleet_relay.host().in_outage is sick
+            fleet_relay.host().in_outage is in_outage
             and fleet_relay.policy.stale_share[0] > MAX_STALE_SHARE_ONCE_ONLY
         )
 
 
-def test_a_text_handed_in_again_paces_a_route_that_this_relay_does_not_know(fleet_relay):
-    """Texts nacked at one relay once kept a limit used up by way of others, which sent them on at once."""
+def test_a_resubmitted_text_sets_a_pace_on_a_route_that_this_relay_does_not_know(fleet_relay):
+    """Guards against texts nacked at one relay that use up the limit through others, which send at once."""
     fleet_relay.policy.text_accepted(NOW, Text(1, 1, REPORT, NOW + 40 * S, resubmitted=True))
     assert fleet_relay.sent() == {} and fleet_relay.sent(NOW + 20 * S) == {1: HOST}
 
 
-def test_one_of_many_relays_starts_at_its_even_part_and_follows_the_limit_told(fleet_relay, relay):
-    """Forty relays that each started at the whole limit once used it up by refusals, all day."""
+def test_in_a_large_fleet_a_relay_starts_at_its_even_part_and_follows_the_reported_limit(fleet_relay, relay):
+    """Guards against forty relays that each start at the whole limit and use it up by refusals."""
     for bench, room in ((fleet_relay, (0.1, 0.11)), (relay, (20.0, 20.0))):
         route = bench.host().route
         route.credit_updated_at = NOW
         route.learn_limit(20.0, bench.policy.settings.relays)
         bench.out(bench.take(REPORT), Result.DELIVERED, limit_left=1.0, finished=True)
         assert room[0] <= route.pace <= room[1]
-    fleet_relay.host().route.learn_limit(10.0, 200)  # once only refusals told each, late and alone
+    fleet_relay.host().route.learn_limit(10.0, 200)  # a lower limit counts at once, without a refusal
     assert 0.05 <= fleet_relay.host().route.pace < 0.06
 
 
-def test_one_of_many_relays_saves_up_calls_for_texts_that_come_together(fleet_relay):
+def test_in_a_large_fleet_a_relay_saves_up_calls_for_texts_that_come_together(fleet_relay):
     (route := fleet_relay.host().route).learn_limit(20.0, 200)
     route.credit_updated_at = NOW
     fleet_relay.policy._advance_host(NOW + 60 * S, fleet_relay.host())
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,49 +1,49 @@
-"""The design's path: bucket, waits, window, caps."""
+"""The basic path of a text: token bucket, backoff, window of calls, limits on slots."""
 
-from conftest import HOST, NOW, REPORT, OTHER_HOST, S
+from conftest import HOST, NOW, OTHER_HOST, REPORT, S
 
 from limelatch.interface import Nack, Result, Submit
-from limelatch.policy import BACKOFF_BASE, MAX_BACKOFF, TOKEN_PRICE, TOKEN_BUCKET_SIZE
+from limelatch.policy import BACKOFF_BASE, MAX_BACKOFF, TOKEN_BUCKET_SIZE, TOKEN_PRICE
 
 
 def test_a_repeat_takes_a_token_and_a_delivery_gives_a_tenth(relay):
-    dest, text = relay.host().destination, relay.take(REPORT)
+    destination, text = relay.host().destination, relay.take(REPORT)
     relay.out(text, Result.FULL)
-    assert dest.tokens == TOKEN_BUCKET_SIZE - TOKEN_PRICE
+    assert destination.tokens == TOKEN_BUCKET_SIZE - TOKEN_PRICE
     relay.out(text, Result.DELIVERED, NOW + 15 * S, finished=True)
-    assert dest.tokens == TOKEN_BUCKET_SIZE - TOKEN_PRICE + 1
+    assert destination.tokens == TOKEN_BUCKET_SIZE - TOKEN_PRICE + 1
 
 
-def test_without_a_token_the_answer_comes_at_once(relay):
+def test_without_a_token_the_final_answer_comes_at_once(relay):
     relay.host().destination.tokens = TOKEN_PRICE - 1
     text = relay.take(REPORT)
     relay.out(text, Result.FULL)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
 
 
-def test_submits_stop_at_the_told_most(relay):
+def test_submits_stop_at_the_configured_maximum(relay):
     text = relay.take(REPORT)
     relay.pending(text).submit_count = 3
     relay.out(text, Result.CONNECT)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
 
 
-def test_waits_are_jittered_under_a_doubling_capped_ceiling(relay):
-    waits = [[relay.policy._backoff(n) for _ in range(200)] for n in (1, 2, 20)]
+def test_the_backoff_is_random_below_a_doubling_and_limited_bound(relay):
+    delays = [[relay.policy._backoff(n) for _ in range(200)] for n in (1, 2, 20)]
     assert [
-        max(w) <= ceiling
-        for w, ceiling in zip(waits, (BACKOFF_BASE, 2 * BACKOFF_BASE, MAX_BACKOFF), strict=True)
+        max(drawn) <= bound
+        for drawn, bound in zip(delays, (BACKOFF_BASE, 2 * BACKOFF_BASE, MAX_BACKOFF), strict=True)
     ] == [True] * 3
-    assert max(waits[0]) < max(waits[1]) < max(waits[2]) and min(waits[2]) < BACKOFF_BASE
+    assert max(delays[0]) < max(delays[1]) < max(delays[2]) and min(delays[2]) < BACKOFF_BASE
 
 
-def test_a_wait_that_ends_too_late_is_not_waited(relay):
+def test_a_backoff_that_ends_after_the_deadline_is_not_waited_for(relay):
     text = relay.take(REPORT, valid=3000)
     relay.out(text, Result.CONNECT)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
 
 
-def test_the_window_grows_by_one_and_halves_once_for_calls_out_together(relay):
+def test_the_window_grows_by_one_and_halves_once_for_calls_in_flight_together(relay):
     route = relay.host().route
     assert route.window == 4
     texts = [relay.take(REPORT) for _ in range(3)]
@@ -55,27 +55,27 @@
     assert route.window == 2
 
 
-def test_the_window_halves_when_the_median_is_twice_the_usual(relay):
+def test_the_window_halves_when_the_median_duration_is_twice_the_usual(relay):
     route = relay.host().route
     route.usual_duration, route.duration_count = 1000, 50
     slow = [route.record_duration(2500) for _ in range(7)]
     assert slow == [False] * 6 + [True]
 
 
-def test_one_slow_call_halves_nothing(relay):
+def test_one_slow_call_does_not_halve_the_window(relay):
     route = relay.host().route
     route.usual_duration, route.duration_count = 1000, 50
     assert not any(route.record_duration(took) for took in (900, 900, 900, 900, 900, 900, 30_000))
 
 
-def test_three_quarters_of_the_slots_when_healthy_half_otherwise(relay):
+def test_a_destination_gets_three_quarters_of_the_slots_when_healthy_else_half(relay):
     host = relay.host()
     assert relay.policy._max_window(host) == 6
     host.in_outage = True
     assert relay.policy._max_window(host) == 4
 
 
-def test_slots_are_never_passed(relay):
+def test_no_more_calls_than_slots_are_in_flight(relay):
     relay.list(OTHER_HOST, dest=2)
     for dest in (1, 2):
         relay.host(HOST if dest == 1 else OTHER_HOST).route.window = 6
@@ -84,7 +84,7 @@
     assert len(relay.decide(Submit)) == 8
 
 
-def test_texts_share_a_call_up_to_the_kind_of_destination(relay):
+def test_a_call_carries_as_many_texts_as_its_kind_of_host_takes(relay):
     relay.list(OTHER_HOST, dest=3, kind=1)
     for _ in range(7):
         relay.take(REPORT, dest=3)
--- a/tests/test_terms_cold.py
+++ b/tests/test_terms_cold.py
@@ -22,11 +22,11 @@
     HostEntry,
     HostKind,
     Listing,
+    PolicySettings,
     Product,
     Result,
     Submit,
     SubmitReport,
-    PolicySettings,
     Text,
     Wake,
 )
