--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -1,4 +1,4 @@
-"""Whose turn it is in a key, for two processes of one relay, and how each learns of the other."""
+"""The order of texts of a key over two processes of one relay, and how each process follows the other."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 KEY, NOW = b"k", 1000 * S
 
 
-def order_of(*places):
+def order_of(*texts):
     order = KeyOrder()
-    for place in places:
-        order.add(KEY, place)
+    for text in texts:
+        order.add(KEY, text)
     return order
 
 
@@ -33,9 +33,9 @@
     return order.block_reason(now, KEY, text)
 
 
-def test_texts_of_a_process_go_as_they_were_handed_in_whenever_they_are_told():
+def test_texts_of_a_process_go_in_the_order_they_were_received_whenever_they_are_added():
     order = order_of(QueuedText(b"b", 5), QueuedText(b"c", 5), QueuedText(b"a", 3))
-    assert [place.text for place in order.queues[KEY]] == [b"a", b"b", b"c"]
+    assert [queued.text for queued in order.queues[KEY]] == [b"a", b"b", b"c"]
     assert block_reason(order, b"a") is None and block_reason(order, b"b") is BlockReason.QUEUE
     order.remove(KEY, b"a")
     assert block_reason(order, b"b") is None
@@ -44,7 +44,7 @@
     assert order.queues == {}
 
 
-def test_a_text_that_has_begun_keeps_the_turn_before_one_handed_in_earlier():
+def test_a_started_text_stays_before_one_received_earlier():
     order = order_of(QueuedText(b"b", 5))
     order.mark_started(KEY, b"b")
     order.add(KEY, QueuedText(b"a", 3))
@@ -62,7 +62,7 @@
         (QueuedText(b"b", 5), QueuedText(b"a", 5), False),
     ],
 )
-def test_of_two_processes_one_alone_has_the_turn(own, other, goes):
+def test_only_one_of_two_processes_may_send(own, other, goes):
     here, there = order_of(own), order_of(other)
     here.set_sibling_texts([(KEY, other)])
     there.set_sibling_texts([(KEY, own)])
@@ -70,7 +70,7 @@
     assert block_reason(there, other.text) is (BlockReason.SIBLING if goes else None)
 
 
-def test_a_rest_binds_all_texts_but_the_one_that_caused_it_and_the_longest_holds():
+def test_a_cooldown_binds_all_texts_but_the_one_that_caused_it_and_the_longest_counts():
     order = order_of(QueuedText(b"a", 1), QueuedText(b"b", 2))
     order.start_cooldown(KEY, b"a", NOW + 5)
     order.start_cooldown(KEY, b"x", NOW + 3)
@@ -87,12 +87,12 @@
 
 
 @given(STEPS)
-def test_no_two_processes_ever_have_a_text_of_a_key_out_together(steps):
-    """Any order of events; a text's stamp may be drawn long before its record is written (`stamp`)."""
-    orders, drawn, held = [KeyOrder(), KeyOrder()], [[], []], [{}, {}]
+def test_two_processes_never_have_texts_of_a_key_in_flight_together(steps):
+    """In any order of events; the time of a text may be drawn long before its record is written ("stamp")."""
+    orders, drawn, unfinished = [KeyOrder(), KeyOrder()], [[], []], [{}, {}]
     numbers = count(1)
     for step, me in steps:
-        order, mine, theirs = orders[me], held[me], held[1 - me]
+        order, mine, theirs = orders[me], unfinished[me], unfinished[1 - me]
         if step == "stamp":
             drawn[me].append(next(numbers))
         elif step == "take":
@@ -100,23 +100,23 @@
             mine[b"%d" % stamp] = QueuedText(b"%d" % stamp, stamp)
             order.add(KEY, mine[b"%d" % stamp])
         elif step == "claim":
-            order.set_sibling_texts([(KEY, place) for place in theirs.values()])
+            order.set_sibling_texts([(KEY, queued) for queued in theirs.values()])
             for text in list(mine):
                 if block_reason(order, text) is None:
                     order.mark_started(KEY, text)
         else:
-            begun = next((text for text, place in mine.items() if place.started), None)
-            if begun is not None:
-                del mine[begun]
-                order.remove(KEY, begun)
-        assert sum(place.started for side in held for place in side.values()) <= 1
+            started = next((text for text, queued in mine.items() if queued.started), None)
+            if started is not None:
+                del mine[started]
+                order.remove(KEY, started)
+        assert sum(queued.started for side in unfinished for queued in side.values()) <= 1
 
 
-# How a process follows its sibling's ledger.
+# Following the sibling's ledger.
 
 
-def test_a_follower_reads_on_after_compactions_between_two_looks(tmp_path):
-    """An inode's number that is used again must not pass for the file read before."""
+def test_a_follower_reads_on_after_compactions_between_two_polls(tmp_path):
+    """Guards against taking a new file with a reused inode number for the file that was read before."""
     ledger, follower = ledger_in(tmp_path), LedgerFollower()
     take(ledger, b"a")
     assert list(follower.poll(ledger.path).entries) == [b"a"]
@@ -132,7 +132,7 @@
     follower.close()
 
 
-def test_a_follower_bears_a_torn_record_an_emptied_file_and_none(tmp_path):
+def test_a_follower_copes_with_a_torn_record_an_emptied_file_and_no_file(tmp_path):
     ledger, follower = ledger_in(tmp_path), LedgerFollower()
     take(ledger, b"a")
     take(ledger, b"b")
@@ -150,7 +150,7 @@
 
 
 class Process:
-    """One process of a relay at a hand-over: its ledger and its order of keys, without sockets."""
+    """One process of a relay during a handover: its ledger and its order of keys, without sockets."""
 
     def __init__(self, folder, clock, disk=100_000):
         self.clock, self.order, self.adopted, self.shares = clock, KeyOrder(), [], []
@@ -191,15 +191,15 @@
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_a_claim_looks_at_the_sibling_once_more(pair, first):
-    """What the sibling took after this process's last look counts, as does what it has just sent."""
+def test_a_claim_polls_the_sibling_once_more(pair, first):
+    """Texts that the sibling accepted or sent after this process's last poll count."""
     one, other = pair[first], pair[1 - first]
     one.handover.poll()
     other.handover.poll()
     other.take(b"b", 9)
     one.take(b"a", 5)
     assert other.claim(b"b") is BlockReason.SIBLING and one.claim(b"a") is None
-    other.take(b"c", 3)  # drawn before, written after the other one's submit has gone
+    other.take(b"c", 3)  # received before, recorded after the other process has sent
     assert other.claim(b"c") is BlockReason.SIBLING
     one.ledger.record_submit_end(b"a", True, 0, 50)
     one.ledger.record_finished(b"a")
@@ -208,8 +208,8 @@
     assert other.claim(b"c") is None
 
 
-def test_a_claim_is_refused_while_the_sibling_is_at_one(pair):
-    """It may be stopped there: nobody waits for it longer than a few tries."""
+def test_a_claim_is_refused_while_the_sibling_holds_the_claim_lock(pair):
+    """The sibling may be suspended in it; this process tries a few times and gives up."""
     one, other = pair
     one.take(b"a", 5)
     with Sibling(other.ledger).claiming() as held:
@@ -217,8 +217,8 @@
     assert one.claim(b"a") is None
 
 
-def test_texts_of_an_earlier_version_count_by_this_one_s_settings(pair):
-    """Its records have no time and do not say whether their product is in order."""
+def test_texts_recorded_by_an_earlier_version_are_ordered_by_this_process_s_settings(pair):
+    """Their records have no time and don't say whether the product is in order."""
     old, new = pair
     take(old.ledger, b"a", key="k", product="charge")
     take(old.ledger, b"b", key="x", product="notice")
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("dies", [0, 1])
-def test_what_a_dead_process_leaves_is_adopted_with_its_rests(pair, dies):
+def test_texts_of_a_dead_process_are_adopted_with_the_cooldowns_of_their_keys(pair, dies):
     dead, left = pair[dies], pair[1 - dies]
     dead.take(b"a", 5)
     assert dead.claim(b"a") is None
@@ -236,11 +236,11 @@
     dead.ledger.record_finished(b"a")
     dead.take(b"b", 6)
     left.take(b"c", 4)
-    left.clock.advance(0.3)  # it has seen that there are two
+    left.clock.advance(0.3)  # by now it has seen that there are two processes
     dead.ledger.close()
     left.clock.advance(1.1)
     assert left.adopted == [b"b"] and not left.ledger.is_standby
-    assert left.shares == [True, False]  # half of the descriptors, then all
+    assert left.shares == [True, False]  # half of the descriptors, then all of them
     assert left.claim(b"c") is BlockReason.COOLDOWN and left.claim(b"b") is BlockReason.QUEUE
     left.clock.advance(5)
     assert left.claim(b"c") is None
@@ -257,7 +257,7 @@
     return again
 
 
-def test_a_process_without_a_sibling_holds_no_lock_and_no_descriptor_more(tmp_path):
+def test_a_process_without_a_sibling_holds_no_lock_and_no_further_descriptor(tmp_path):
     process = Process(tmp_path, Running())
     before = len(os.listdir("/proc/self/fd"))
     process.take(b"a", 5)
@@ -267,7 +267,7 @@
     process.ledger.close()
 
 
-def test_the_other_process_s_waits_are_heard(pair):
+def test_the_other_process_s_host_waits_are_read_until_they_end(pair):
     old, new = pair
     old.ledger.record_retry_after(b"h", 70, 0)
     new.handover.poll()
@@ -278,8 +278,8 @@
     assert SIBLING_POLL_INTERVAL < S
 
 
-def test_an_id_that_the_other_process_holds_is_known(pair):
-    """A client that lost its connection as the old process died hands the text in again, and hears +OK."""
+def test_an_id_that_the_other_process_has_accepted_is_known(pair):
+    """A client whose connection broke as the old process died submits the text again and gets +OK."""
     old, new = pair
     old.take(b"a", 5)
     assert new.handover.holds(b"a") and not new.handover.holds(b"b")
@@ -287,8 +287,8 @@
     assert not new.handover.holds(b"a")
 
 
-def test_waits_rests_and_how_hosts_were_outlast_a_compaction(pair):
-    """The other process may find the new file in the place of the one that it has not read to its end."""
+def test_host_waits_cooldowns_and_host_health_outlast_a_compaction(pair):
+    """The other process may find the new file in place of one that it has not read to its end."""
     old, new = pair
     new.handover.poll()
     old.take(b"a", 5)
@@ -309,7 +309,7 @@
     again.close()
 
 
-def test_how_hosts_were_is_heard_and_outlasts_the_other_process(pair):
+def test_host_health_is_read_and_outlasts_the_other_process(pair):
     old, new = pair
     old.ledger.record_health(b"h", Health.OUTAGE, 7)
     old.ledger.record_health(b"h", Health.WARMING, 9)
