--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests share: a relay whose state a test sets directly, and stand-ins for the program's peers."""
+"""Shared fixtures: a decision module that a test drives directly, and the relay's process with stub peers."""
 
 import http.server
 import json
@@ -33,39 +33,50 @@
 
 pytest_plugins = ["known_red"]
 
-S = 10_000
+S = 10_000  # one second in the units of limelatch.interface
 NOW = 1_000 * S
-NOTICE, CHARGE, REPORT = 0, 1, 2
-HOST, OTHER_HOST, ROUTE = b"hosta1", b"hostb1", b"route1"
+# Products of the fixture `policy_settings`.
+NOTICE = 0  # referenced
+CHARGE = 1  # once-only, in order
+REPORT = 2  # resendable
+# Names of hosts.
+HOST = b"hosta1"
+OTHER_HOST = b"hostb1"
+ROUTE = b"route1"
 
 
 class PolicyHarness:
-    """One relay and short ways to act on it."""
+    """A decision module and short ways to pass it events; times are in the units of limelatch.interface."""
 
     def __init__(self, policy):
         self.policy, self.next_id = policy, 100
 
     def take(self, product=NOTICE, now=NOW, key=0, valid=24 * S, dest=1, customer=0):
+        """Have a client submit a text; return its id."""
         self.next_id += 1
         self.policy.text_accepted(now, Text(self.next_id, dest, product, now + valid, customer, key))
         return self.next_id
 
     def end(self, text, result, now=NOW, host=HOST, took=1000, **more):
+        """End the text's submit with this result."""
         self.policy.submit_ended(now, SubmitReport(text, host, result, took, **more))
 
     def decide(self, kind=None, now=NOW):
+        """The actions of a decision, only those of the type `kind` if it is given."""
         actions = self.policy.decide(now)
-        return [a for a in actions if kind is None or isinstance(a, kind)]
+        return [action for action in actions if kind is None or isinstance(action, kind)]
 
     def sent(self, now=NOW):
+        """The texts that a decision sends, each with its host."""
         return {action.text: action.host for action in self.decide(Submit, now)}
 
     def list(self, *hosts, dest=1, now=NOW, listing=Listing.READY, zone=0, kind=0, rate=0.0, whole=False):
+        """Pass these hosts as lines of the host list."""
         entries = [HostEntry(host, dest, zone, kind, rate, listing) for host in hosts]
         self.policy.hosts_listed(now, entries, whole)
 
     def out(self, text, result=None, now=NOW, **more):
-        """Send the text, and end its submit if a result is given."""
+        """Send the text, end its submit if a result is given, and return the host."""
         host = self.sent(now)[text]
         if result is not None:
             self.end(text, result, now, host=host, **more)
@@ -105,26 +116,26 @@
 
 @pytest.fixture
 def relay(policy_settings):
-    bench = PolicyHarness(Policy(policy_settings, NOW))
-    bench.list(HOST)
-    return bench
+    harness = PolicyHarness(Policy(policy_settings, NOW))
+    harness.list(HOST)
+    return harness
 
 
 @pytest.fixture
 def fleet_relay(policy_settings):
-    """One of hundreds of relays, whose list is asked for."""
-    bench = PolicyHarness(
+    """One relay of a fleet of 200, whose host list comes on request."""
+    harness = PolicyHarness(
         Policy(replace(policy_settings, relays=200, list_asked=True, ask_within=10 * S), NOW)
     )
-    bench.list(HOST)
-    return bench
+    harness.list(HOST)
+    return harness
 
 
 FAILURES = (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET)
 
-# What follows is for tests that start the program: stand-ins on sockets and a client of the relay.
+# For tests that start the relay's process: stub servers on sockets and a client of the relay.
 
-WAIT_TIMEOUT = 10  # seconds after which something awaited is missing
+WAIT_TIMEOUT = 10  # seconds after which a test gives up waiting
 SETTINGS = {
     "classes": [
         {"name": "notice", "effect": "token", "group": "zone", "dedupWindow": 10000, "deadline": 24000},
@@ -142,7 +153,9 @@
 
 
 class HttpStub(http.server.ThreadingHTTPServer):
-    """A stand-in for whoever the relay speaks HTTP to: each request goes to `asked`, `reply` answers it."""
+    """An HTTP server in place of a peer of the relay.
+
+    Puts each request into `requests` and answers with what `reply` returns for it; None: no answer."""
 
     daemon_threads = True
 
@@ -153,6 +166,7 @@
         threading.Thread(target=self.serve_forever, args=(0.02,), daemon=True).start()
 
     def next(self):
+        """The next request; queue.Empty after WAIT_TIMEOUT seconds."""
         return self.requests.get(timeout=WAIT_TIMEOUT)
 
     def handle_error(self, request, client_address):
@@ -160,6 +174,8 @@
 
 
 class HttpStubHandler(http.server.BaseHTTPRequestHandler):
+    """Passes each request to the stub server and sends its answer."""
+
     protocol_version, disable_nagle_algorithm = "HTTP/1.1", True
 
     def handle_any(self):
@@ -177,7 +193,7 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """One request to a stand-in."""
+    """One request to a stub server."""
 
     path: str
     headers: object
@@ -195,16 +211,18 @@
         self.handler.wfile.write(body)
 
     def hang(self):
+        """Leave the request without an answer until the stub is released."""
         self.handler.server.released.wait(WAIT_TIMEOUT)
         self.handler.close_connection = True
 
     def cut(self):
+        """Close the connection without an answer."""
         self.handler.close_connection = True
         self.handler.connection.shutdown(socket.SHUT_RDWR)
 
 
 class Agent(HttpStub):
-    """Discovery and platform: keeps the list, tells changes to whoever watches, takes notices."""
+    """Service discovery and platform: keeps the host list, sends changes to watches, takes notices."""
 
     def __init__(self):
         self.rows, self.index, self.watches, self.notices = {}, 1, queue.Queue(), queue.Queue()
@@ -239,20 +257,21 @@
         request.handler.send_header("Transfer-Encoding", "chunked")
         request.handler.end_headers()
         watch = request, int(request.path.rpartition("=")[2])
-        if watch[1] < self.index:  # as the protocol has it: the first object holds what changed since
+        if watch[1] < self.index:  # by the protocol the first object holds the changes since the index
             self.tell(watch)
-        self.watches.put(watch)  # from here on the test writes
+        self.watches.put(watch)  # from now on the test writes to it
         request.hang()
         return None
 
     def tell(self, watch, raw=None):
-        """Write what changed since the watch's index, or these bytes, to it."""
+        """Send the watch what changed since its index, or the bytes `raw`."""
         request, index = watch
         rows = [row for number, row in self.changes.items() if number > index]
         raw = self.page(rows, False) if raw is None else raw
         request.handler.wfile.write(b"%x\r\n%s\r\n" % (len(raw), raw))
 
     def notice(self):
+        """The next notice that the relay has reported; queue.Empty after WAIT_TIMEOUT seconds."""
         return self.notices.get(timeout=WAIT_TIMEOUT)
 
 
@@ -264,10 +283,12 @@
         self.lines, self.count = self.socket.makefile("rb"), 0
 
     def ask(self, *words):
+        """Send a command and return the first line of its reply."""
         self.write(*words)
         return self.lines.readline().strip().decode()
 
     def write(self, *words):
+        """Send a command as an array of bulk strings, without reading a reply."""
         words = [word if isinstance(word, bytes) else word.encode() for word in words]
         self.socket.sendall(b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words))
 
@@ -276,7 +297,7 @@
 
 
 class Program:
-    """The relay's process, started from its configuration."""
+    """The relay as a process, started from a configuration file."""
 
     def __init__(self, folder, agent, **more):
         self.address = "127.{}.{}.{}".format(*(1 + number % 254 for number in os.urandom(3)))
@@ -297,15 +318,16 @@
         } | more
         self.file.write_text(json.dumps(plan))
         self.process, self.environment = None, {}
-        self.log_lines = []  # every line of its log, over all its processes
+        self.log_lines = []  # of all processes that this object has started
 
     def start(self):
-        """Start it and wait until it says that it serves."""
+        """Start the process, wait until it logs that it serves, and return a client."""
         self.launch()
         self.wait_for_log("event=serving")
         return self.client()
 
     def launch(self):
+        """Start the process without waiting for it."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", "limelatch.relay"],
             stderr=subprocess.PIPE,
@@ -325,6 +347,7 @@
             self.log.put(line)
 
     def wait_for_log(self, words):
+        """Wait for a log line that contains `words` and return it; queue.Empty after WAIT_TIMEOUT seconds."""
         until = time.monotonic() + WAIT_TIMEOUT
         while words not in (line := self.log.get(timeout=max(0.0, until - time.monotonic()))):
             pass
@@ -335,11 +358,11 @@
         self.process.wait(WAIT_TIMEOUT)
 
     def configure_file(self, **more):
-        """Replace keys of the file; a process that is started reads them."""
+        """Replace keys of the configuration file, for processes started later."""
         self.file.write_text(json.dumps(json.loads(self.file.read_text()) | more))
 
     def configure(self, **more):
-        """Replace the file and have the program read it."""
+        """Replace keys of the configuration file and have the process read it."""
         self.configure_file(**more)
         self.process.send_signal(signal.SIGHUP)
 
@@ -349,7 +372,7 @@
 
 @pytest.fixture
 def interruptible():
-    """Processes that the test starts hear SIGINT, also where a shell has it ignored."""
+    """Processes that the test starts get SIGINT, also where the shell ignores it."""
     before = signal.signal(signal.SIGINT, signal.default_int_handler)
     yield
     signal.signal(signal.SIGINT, before)
@@ -363,12 +386,12 @@
     agent.shutdown()
 
 
-other_agent = agent  # another, at another address
+other_agent = agent  # a second one at another address
 
 
 @pytest.fixture
 def make_host():
-    """Makes stand-ins for hosts."""
+    """A function that starts a stub host."""
     made = []
 
     def make(reply=lambda request: (200,)):
@@ -383,7 +406,7 @@
 
 @pytest.fixture
 def make_program(tmp_path, agent):
-    """Makes the test's program, its configuration with these keys instead."""
+    """A function that makes a relay's `Program`; its keywords replace keys of the configuration."""
     made = []
 
     def make(**more):
@@ -398,13 +421,13 @@
 
 @pytest.fixture(scope="session")
 def faults_library(tmp_path_factory):
-    """The preloaded library of limelatch/lab/machine, compiled once."""
+    """The preloaded library of limelatch/lab/machine, compiled once a session."""
     return build(tmp_path_factory.mktemp("faults"))
 
 
 @pytest.fixture
 def faults(faults_library, tmp_path):
-    """The machine faults of the relay under test; what was done is printed where the test fails."""
+    """The machine faults of the relay under test; their record is printed where the test fails."""
     made = Faults(faults_library, tmp_path / "faults")
     yield made
     print("\n".join(made.record))
@@ -412,7 +435,7 @@
 
 @pytest.fixture
 def make_faulty_program(make_program, faults):
-    """Makes the test's program on a machine whose faults the test steers; its log is printed on failure."""
+    """Like `make_program`, with `faults` acting on the process; its log is printed where the test fails."""
     made = []
 
     def make(**more):
