--- a/limelatch/relay/__init__.py
+++ b/limelatch/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The relay on sockets: what stands between the decision module and clients, hosts, catalog and platform."""
+"""The relay's process: connects the decision module to clients, hosts, the catalog and the platform."""
--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -1,4 +1,4 @@
-"""One relay on sockets, as its configuration tells."""
+"""Runs one relay as its configuration says."""
 
 from __future__ import annotations
 
@@ -23,15 +23,20 @@
 from limelatch.relay.driver import Driver
 from limelatch.relay.reactor import reactor
 
-DONE, FAILED, BAD_USE = 0, 1, 2  # exit codes, the same for every command
-FOLDER_WAIT, FOLDER_PAUSE_SECONDS = 5 * SECOND, 0.05
-PASSING = frozenset(  # what a disk or a machine may say for a while
+# Exit codes, the same for every command.
+DONE = 0
+FAILED = 1
+BAD_USE = 2
+
+STATE_DIR_TIMEOUT = 5 * SECOND  # how long a start retries while the state directory fails
+STATE_DIR_RETRY_SECONDS = 0.05
+TRANSIENT_ERRORS = frozenset(  # of a disk or a machine, which may recover by itself
     {errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EINTR}
 )
 
 
-class Tie(Protocol):
-    """Standard input; its end is told."""
+class StandardInput(Protocol):
+    """Standard input; `ended` is called when it is closed."""
 
     def __init__(self, ended: Callable[[], None]) -> None:
         self.ended = ended
@@ -40,43 +45,48 @@
         self.ended()
 
 
-def within(plan: RelayPlan, most: int) -> RelayPlan:
-    """The plan within the descriptors that the process may hold.
+def limit_descriptors(plan: RelayPlan, limit: int) -> RelayPlan:
+    """The plan, reduced to the descriptors that the process may hold.
 
-    Guards against clients that get half of a configured number, and with it all that there are."""
-    if most == resource.RLIM_INFINITY or most >= plan.sockets:
+    Clients get a share of the configured number. Guards against a share that takes all descriptors of the
+    process. Raises OSError if the limit is too low for any relay."""
+    if limit == resource.RLIM_INFINITY or limit >= plan.sockets:
         return plan
-    if most < SOCKETS_LEAST:
-        raise OSError(errno.EMFILE, f"{SOCKETS_LEAST} descriptors are needed, the process may hold {most}")
-    logs.say(logs.logger("main"), "descriptors-few", sockets=plan.sockets, limit=most)
-    return replace(plan, sockets=most, shares=Shares.of(most))
+    if limit < SOCKETS_LEAST:
+        raise OSError(errno.EMFILE, f"{SOCKETS_LEAST} descriptors are needed, the process may hold {limit}")
+    logs.say(logs.logger("main"), "descriptors-few", sockets=plan.sockets, limit=limit)
+    return replace(plan, sockets=limit, shares=Shares.of(limit))
+
 
+def open_driver(plan: RelayPlan) -> Driver:
+    """Open the state directory and create the driver; transient errors are retried.
 
-def open_folder(plan: RelayPlan) -> Driver:
-    """The relay on its folder. OSError where the disk fails for longer than `FOLDER_WAIT`."""
-    until = monotonic_now() + FOLDER_WAIT
+    Raises OSError if the directory can't be opened within `STATE_DIR_TIMEOUT`."""
+    deadline = monotonic_now() + STATE_DIR_TIMEOUT
     while True:
         try:
             return Driver(plan, reactor, AnchorFile(plan.state).load_clock())
         except OSError as error:
-            if error.errno not in PASSING or monotonic_now() >= until:
+            if error.errno not in TRANSIENT_ERRORS or monotonic_now() >= deadline:
                 raise
-            time.sleep(FOLDER_PAUSE_SECONDS)
+            time.sleep(STATE_DIR_RETRY_SECONDS)
 
 
 def main(path: str | None = None, form: Form | None = None, tied: bool = False) -> int:
-    """Serve until SIGTERM; SIGHUP reads the configuration again: `path`, else what $RELAY_CONFIG names.
-
-    `tied`: the end of standard input is a SIGTERM too, so that a relay does not outlive whoever started
-    it."""
-    early: list[int] = []  # guards against a SIGHUP before the reactor runs, which would end the process
-    signal.signal(signal.SIGHUP, lambda number, frame: early.append(number))
+    """Serve until SIGTERM or SIGINT and return the exit code. SIGHUP reloads the configuration.
+
+    The configuration is the file `path`, or else the one that $RELAY_CONFIG names. `tied`: the end of
+    standard input stops the relay too, so that it does not outlive the process that started it."""
+    early_reloads: list[
+        int
+    ] = []  # guards against a SIGHUP before the reactor runs, which would end the process
+    signal.signal(signal.SIGHUP, lambda number, frame: early_reloads.append(number))
     try:
         plan = relay_plan(os.environ, path, form)
         logs.take_twisteds()
         logs.start(plan.log)
-        plan = within(plan, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        driver = open_folder(plan)
+        plan = limit_descriptors(plan, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        driver = open_driver(plan)
     except ConfigurationError as error:
         path = path or os.environ.get("RELAY_CONFIG") or "RELAY_CONFIG"
         for line in fault_lines(error, path, form or form_of(path)):
@@ -85,34 +95,34 @@
     except OSError as error:
         print(f"limelatch: {error}", file=sys.stderr)
         return BAD_USE
-    log, faults = logs.logger("main"), []
+    log, start_errors = logs.logger("main"), []
 
-    def configure() -> None:
+    def reload_configuration() -> None:
         try:
             driver.configured(retuned_plan(os.environ, path, form))
-        except ConfigurationError as error:  # the one in force stays, whole
+        except ConfigurationError as error:  # the configuration in force stays as it is
             logs.say(log, "not-configured", why="; ".join(str(fault) for fault in error.faults))
 
-    def begin() -> None:
-        signal.signal(signal.SIGHUP, lambda number, frame: reactor.callFromThread(configure))
+    def start() -> None:
+        signal.signal(signal.SIGHUP, lambda number, frame: reactor.callFromThread(reload_configuration))
         signal.signal(signal.SIGTERM, lambda number, frame: reactor.callFromThread(driver.stop))
         signal.signal(signal.SIGINT, lambda number, frame: reactor.callFromThread(driver.stop))
         if tied:
             from twisted.internet.stdio import StandardIO
 
-            StandardIO(Tie(driver.stop))
+            StandardIO(StandardInput(driver.stop))
         try:
             driver.start()
-            if early:
-                configure()
-        except Exception as error:  # a relay that can't start says why and ends
-            faults.append(error)
+            if early_reloads:
+                reload_configuration()
+        except Exception as error:  # a relay that can't start logs the reason and ends
+            start_errors.append(error)
             logs.say(log, "not-started", trace=True)
             reactor.stop()
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start)
     reactor.run(installSignalHandlers=True)
-    return FAILED if faults else BAD_USE if driver.failed else DONE
+    return FAILED if start_errors else BAD_USE if driver.failed else DONE
 
 
 if __name__ == "__main__":
--- a/limelatch/relay/anchor_file.py
+++ b/limelatch/relay/anchor_file.py
@@ -1,4 +1,4 @@
-"""The file `clock` of the folder that lasts, by which a new process goes on with the timeline of the last."""
+"""The file `clock` of the state directory, from which a new process resumes the previous one's timeline."""
 
 from __future__ import annotations
 
@@ -23,13 +23,15 @@
 
 
 class AnchorFile:
-    """Reads and keeps the anchor of one folder."""
+    """Reads and writes the anchor of one state directory."""
 
-    def __init__(self, folder: str) -> None:
-        self.path = os.path.join(folder, ANCHOR_FILE)
+    def __init__(self, state_dir: str) -> None:
+        self.path = os.path.join(state_dir, ANCHOR_FILE)
 
     def load_clock(self) -> Clock:
-        """The timeline that the folder's texts are on. Raises OSError where the file can't be read."""
+        """The clock that the times in this state directory refer to. Raises OSError where the read fails.
+
+        An anchor that is corrupt is logged, and the clock starts anew with earlier spans uncertain."""
         reading = ClockReading.read()
         try:
             with named("read", self.path), open(self.path, "rb") as file:
@@ -43,7 +45,7 @@
         return Clock(timeline, reading.boot)
 
     def save(self, clock: Clock) -> bool:
-        """Whether the anchor is in the folder as it is now."""
+        """Write the clock's current anchor; a failure is logged and returns false."""
         try:
             replace_whole(self.path, clock.anchor().encode())
         except OSError as error:
--- a/limelatch/relay/clock.py
+++ b/limelatch/relay/clock.py
@@ -1,10 +1,12 @@
-"""The relay's one clock: a timeline that runs with the machine's monotonic clock and outlasts the process.
+"""The relay's clock: a timeline that follows the machine's monotonic clock and continues across restarts.
 
-Every due time, age, window and wait of the relay is taken from it. What the ledger keeps of it (until when a
-text is valid, when its first submit went) reads the same after a restart, because the folder keeps an
-`Anchor`: how the timeline stood to the machine's clocks. See docs/design/clock.md.
+All deadlines, ages, windows and waits of the relay are taken from this clock. Times in the ledger (the end of
+a text's validity, the time of its first submit) keep their meaning after a restart, because the state
+directory holds an `Anchor`: the offset between the timeline and the machine's clocks. See
+docs/design/clock.md.
 
-Times are tenths of a millisecond. The timeline begins as the wall clock's Unix time and is not set with it.
+Times are in tenths of a millisecond. The timeline starts at the wall clock's Unix time and ignores later
+changes of the wall clock.
 """
 
 from __future__ import annotations
@@ -20,21 +22,21 @@
 
 NANOSECONDS_PER_UNIT = 1_000_000_000 // SECOND
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
-MAX_ANCHOR_BYTES = 512  # bytes of an anchor's file
+MAX_ANCHOR_BYTES = 512  # size limit when the anchor file is read
 
 
 def monotonic_now() -> int:
-    """The machine's monotonic clock."""
+    """The machine's monotonic clock, in tenths of a millisecond."""
     return time.monotonic_ns() // NANOSECONDS_PER_UNIT
 
 
 def wall_now() -> int:
-    """The machine's wall clock, since 1970."""
+    """The machine's wall clock, in tenths of a millisecond since the Unix epoch."""
     return time.time_ns() // NANOSECONDS_PER_UNIT
 
 
 def boot_id() -> str:
-    """What names this boot of the machine; empty where it does not tell."""
+    """The kernel's identifier of the current boot; empty if it can't be read."""
     try:
         with open(BOOT_ID_PATH, encoding="ascii") as file:
             return file.read(64).strip()
@@ -43,29 +45,29 @@
 
 
 class AnchorError(ValueError):
-    """An anchor's bytes can't be read; it says why."""
+    """The bytes of an anchor are invalid; the message gives the reason."""
 
 
 class Anchor(msgspec.Struct, frozen=True):
-    """How the timeline stood to the machine's clocks at one moment."""
+    """The offsets between the timeline and the machine's clocks at one moment."""
 
     boot: str
-    monotonic: int  # when it was taken
-    offset: int  # of the timeline from the monotonic clock of that boot
-    wall_ahead: int  # of the wall clock from the timeline
-    certain_from: int = 0  # spans that began earlier hold a time that nobody measured
+    monotonic: int  # the monotonic clock when the anchor was taken
+    offset: int  # the timeline minus the monotonic clock of that boot
+    wall_ahead: int  # the wall clock minus the timeline
+    certain_from: int = 0  # a span that began before this time includes time that no clock measured
 
     def encode(self) -> bytes:
-        """One line: the values and their checksum."""
+        """Encode the values as one line of JSON followed by its CRC-32."""
         values = msgspec.json.encode(self)
         return values + b" %d\n" % zlib.crc32(values)
 
     @classmethod
     def decode(cls, line: bytes) -> Anchor:
-        """What `encode` wrote; BadAnchor where it is torn or of another form."""
+        """Decode a line written by `encode`. Raises AnchorError if it is truncated or otherwise invalid."""
         values, _, checksum = line.rstrip(b"\n").rpartition(b" ")
         if not checksum.isdigit() or int(checksum) != zlib.crc32(values):
-            raise AnchorError("its checksum is another")
+            raise AnchorError("the checksum does not match")
         try:
             return msgspec.json.decode(values, type=cls)
         except msgspec.DecodeError as error:
@@ -73,17 +75,17 @@
 
 
 class Resumption(Enum):
-    """What a process knows of the time since the one before it."""
+    """How a process determined the time that has passed since the previous process."""
 
-    FIRST = "first"  # there was none, or it kept no anchor
-    SAME_BOOT = "same-boot"  # the monotonic clock tells
-    OTHER_BOOT = "other-boot"  # the wall clock tells, if nobody has set it
+    FIRST = "first"  # there is no anchor of a previous process
+    SAME_BOOT = "same-boot"  # by the monotonic clock
+    OTHER_BOOT = "other-boot"  # by the wall clock, which is right unless it was set in between
     UNKNOWN = "unknown"  # the anchor can't be read
 
 
 @dataclass(frozen=True)
 class ClockReading:
-    """One reading of a machine's clocks."""
+    """One reading of the machine's clocks."""
 
     boot: str
     monotonic: int
@@ -91,20 +93,25 @@
 
     @classmethod
     def read(cls) -> ClockReading:
+        """Read the clocks now."""
         return cls(boot_id(), monotonic_now(), wall_now())
 
 
 @dataclass(frozen=True)
 class Timeline:
-    """Where the timeline stands in a new process."""
+    """The timeline as a new process continues it."""
 
-    offset: int  # from the monotonic clock
+    offset: int  # the timeline minus the monotonic clock
     certain_from: int
     resumption: Resumption
 
 
 def resume_timeline(anchor: Anchor | None, reading: ClockReading) -> Timeline:
-    """The timeline of a process that found this anchor, or none."""
+    """The timeline of a process that found this anchor, or no anchor.
+
+    On the same boot it follows the monotonic clock. After a reboot it follows the wall clock, less what that
+    was ahead before, and never runs back.
+    """
     if anchor is None:
         return Timeline(reading.wall - reading.monotonic, 0, Resumption.FIRST)
     if anchor.boot and anchor.boot == reading.boot and anchor.monotonic <= reading.monotonic:
@@ -114,7 +121,8 @@
 
 
 def resume_after_bad_anchor(reading: ClockReading) -> Timeline:
-    """The timeline of a process that found an anchor it can't read."""
+    """The timeline of a process whose anchor can't be read: it starts at the wall clock, with earlier spans
+    uncertain."""
     return Timeline(reading.wall - reading.monotonic, reading.wall, Resumption.UNKNOWN)
 
 
@@ -126,23 +134,23 @@
         self._offset, self._boot = self._timeline.offset, boot
 
     def now(self) -> int:
-        """The timeline's time."""
+        """The current time of the timeline, in tenths of a millisecond."""
         return monotonic_now() + self._offset
 
     @property
     def certain_from(self) -> int:
-        """Spans that began before this hold a time that no clock has measured."""
+        """A span that began before this time includes time that no clock measured."""
         return self._timeline.certain_from
 
     @property
     def resumption(self) -> Resumption:
-        """How this process came by the timeline."""
+        """How this process resumed the timeline."""
         return self._timeline.resumption
 
     def wall_ahead(self) -> int:
-        """How far the machine's wall clock is ahead of the timeline."""
+        """How far the wall clock is ahead of the timeline, in tenths of a millisecond."""
         return wall_now() - self.now()
 
     def anchor(self) -> Anchor:
-        """What a later process needs to go on with this timeline."""
+        """The anchor by which a later process resumes this timeline."""
         return Anchor(self._boot, monotonic_now(), self._offset, self.wall_ahead(), self.certain_from)
--- a/limelatch/relay/closed_ports.py
+++ b/limelatch/relay/closed_ports.py
@@ -1,7 +1,7 @@
-"""Finds out whether the process behind a UDP address is gone: its kernel refuses what comes to a closed port.
+"""Detects that the process behind a UDP address is gone: the kernel refuses datagrams to a closed port.
 
-The port of a process that stands still is open, so that this tells one that is gone from one that is paused.
-Sockets of their own are used, since an error on the members' own one would pass for its end.
+The port of a paused process stays open, so this tells a process that has ended from one that is paused. Each
+check uses a connected socket of its own, because an error on the membership socket would look like its end.
 """
 
 from __future__ import annotations
@@ -10,49 +10,49 @@
 
 from limelatch.interface import MS
 
-ANSWER_WAIT = 500 * MS  # for a refusal
-ASKED_MOST = 4  # members at once, a descriptor each
+REFUSAL_TIMEOUT = 500 * MS
+MAX_CHECKS = 4  # members at once, each takes a descriptor
 
 Address = tuple[str, int]
 
 
 class ClosedPorts:
-    """Empty datagrams that are out, each from a connected socket."""
+    """The checks in progress: empty datagrams, each sent from a connected socket."""
 
     def __init__(self) -> None:
-        self._asked: dict[int, tuple[socket.socket, int]] = {}
+        self._checks: dict[int, tuple[socket.socket, int]] = {}
 
-    def ask(self, now: int, member: int, address: Address) -> None:
-        """Send an empty datagram; the member drops it unseen."""
-        if member in self._asked or len(self._asked) >= ASKED_MOST:
+    def check(self, now: int, member: int, address: Address) -> None:
+        """Send the member an empty datagram, which it ignores. Does nothing if MAX_CHECKS are in progress."""
+        if member in self._checks or len(self._checks) >= MAX_CHECKS:
             return
-        one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        one.setblocking(False)
-        self._asked[member] = one, now + ANSWER_WAIT
+        check_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        check_socket.setblocking(False)
+        self._checks[member] = check_socket, now + REFUSAL_TIMEOUT
         try:
-            one.connect(address)
-            one.send(b"")
-        except OSError:  # no way to it; nothing is told by that
+            check_socket.connect(address)
+            check_socket.send(b"")
+        except OSError:  # no route; says nothing about the process
             self._close(member)
 
     def refused(self, now: int) -> list[int]:
-        """Members whose port was closed."""
-        found = []
-        for member, (one, until) in list(self._asked.items()):
+        """The members whose port was found closed since the last call; also ends checks that timed out."""
+        refused = []
+        for member, (check_socket, until) in list(self._checks.items()):
             try:
-                one.recv(1)
+                check_socket.recv(1)
             except ConnectionRefusedError:
-                found.append(member)
+                refused.append(member)
             except OSError:
                 if now < until:
                     continue
             self._close(member)
-        return found
+        return refused
 
     def close(self) -> None:
-        """Ask no longer."""
-        for member in list(self._asked):
+        """End all checks."""
+        for member in list(self._checks):
             self._close(member)
 
     def _close(self, member: int) -> None:
-        self._asked.pop(member)[0].close()
+        self._checks.pop(member)[0].close()
--- a/limelatch/relay/datagrams.py
+++ b/limelatch/relay/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP sockets that bear a read which fails."""
+"""UDP sockets that survive a failed read."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 log = logger("membership")
 
 
-class ResilientDatagramPort(Resting, udp.Port):
-    """A UDP socket that outlives a read which fails; Twisted's own closes for good."""
+class RetryingDatagramPort(Resting, udp.Port):
+    """A UDP socket that pauses after a failed read and goes on; Twisted's own closes for good."""
 
     def __init__(self, *arguments, **more) -> None:
         super().__init__(*arguments, **more)
--- a/limelatch/relay/deadlines.py
+++ b/limelatch/relay/deadlines.py
@@ -1,4 +1,4 @@
-"""All due times of the relay, in one heap under one timer of the reactor."""
+"""All timers of the relay, in one heap driven by a single timer of the reactor."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 log = logger("deadlines")
 
-LATE_LEAST = SECOND // 2  # a due time met later than this is worth a line
+MIN_LOGGED_DELAY = SECOND // 2  # a timer that fires later than this is logged
 
 
 class Deadline:
-    """One due time; its call is made once, unless it is cancelled before."""
+    """One timer: its callback runs once, unless it is cancelled before."""
 
     __slots__ = ("when", "call", "owner")
 
@@ -23,13 +23,14 @@
         self.when, self.call, self.owner = when, call, owner
 
     def cancel(self) -> None:
+        """Cancel the callback; does nothing after it has run."""
         if self.call is not None:
             self.call = None
             self.owner.cancelled += 1
 
 
 class Deadlines:
-    """The heap; cancelled entries stay until they are due or are half of it."""
+    """The heap of timers. Cancelled entries stay until they are due or make up more than half of the heap."""
 
     def __init__(self, reactor, clock: Clock) -> None:
         self._reactor, self._clock, self.clock = reactor, clock, clock
@@ -39,6 +40,7 @@
         self.held_down = HeldDown(log, clock)
 
     def at(self, when: int, call: Callable[[], None]) -> Deadline:
+        """Run `call` at the time `when` of the relay's clock, in tenths of a millisecond."""
         deadline = Deadline(when, call, self)
         self._count += 1
         heapq.heappush(self._heap, (when, self._count, deadline))
@@ -46,6 +48,7 @@
         return deadline
 
     def after(self, wait: int, call: Callable[[], None]) -> Deadline:
+        """Run `call` after `wait` tenths of a millisecond."""
         return self.at(self._clock.now() + wait, call)
 
     def _arm(self) -> None:
@@ -64,9 +67,9 @@
         self._timer = self._reactor.callLater(max(0, when - self._clock.now()) / SECOND, self._fire)
 
     def _fire(self) -> None:
-        """Make the calls that are due; those that they add wait for the next turn of the reactor."""
+        """Run the callbacks that are due; those that they add wait for the reactor's next iteration."""
         self._running, due, now = True, [], self._clock.now()
-        if self._heap and now - self._heap[0][0] > LATE_LEAST:
+        if self._heap and now - self._heap[0][0] > MIN_LOGGED_DELAY:
             self.held_down("timer-late", by_ms=(now - self._heap[0][0]) // MS)
         while self._heap and self._heap[0][0] <= now:
             due.append(heapq.heappop(self._heap)[2])
@@ -77,7 +80,7 @@
                 continue
             try:
                 call()
-            except Exception:  # one call's fault must not take the others' due times with it
+            except Exception:  # an error in one callback must not stop the others
                 say(log, "fault", trace=True)
         self._running = False
         self._arm()
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -262,7 +262,7 @@
         )
         self.policy.terms = terms  # what it holds keeps the rows it came with
         self.catalog.move(plan.discovery)
-        self.notifier.move(plan.discovery)
+        self.notifier.change_address(plan.discovery)
         start_logs(plan.log)
         say(
             log,
--- a/limelatch/relay/end_reason.py
+++ b/limelatch/relay/end_reason.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection or a call can end, and what each means to the decision module."""
+"""Why connections and calls end, and the result that the decision module gets for each reason."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class EndReason(Enum):
-    """Why a connection is over."""
+    """Why a connection has ended. The values are written to the log."""
 
-    REFUSED = "refused"  # nobody listens there
-    CONNECT_TIMEOUT = "unreached"  # it did not come up in time
-    REQUEST_INCOMPLETE = "cut-short"  # it broke before the call's last byte was written
-    CONNECTION_LOST = "broken"  # it broke after that
+    REFUSED = "refused"  # the connection could not be opened
+    CONNECT_TIMEOUT = "unreached"  # the connection was not open in time
+    REQUEST_INCOMPLETE = "cut-short"  # lost before the last byte of the request was written
+    CONNECTION_LOST = "broken"  # lost after the whole request was written
     ANSWER_TIMEOUT = "silent"  # the relay stopped waiting for an answer
-    MALFORMED = "garbled"  # the peer sent what can't be read
-    NOT_SENT = "held-back"  # the call was not to go any more when the connection came up
+    MALFORMED = "garbled"  # the peer sent data that can't be parsed
+    NOT_SENT = "held-back"  # the call was no longer to be sent when the connection opened
     CLOSED_BY_PEER = "closed-by-peer"  # between requests
     IDLE = "idle"  # closed by the relay between requests
-    NO_SLOT = "crowded"  # all slots for connections are taken
+    NO_SLOT = "crowded"  # all connection slots are taken
     STOPPING = "stopping"  # the relay stops
     ADDRESS_CHANGED = "moved"  # the catalog or the platform has a new address
 
 
-# What becomes of a call that is out when its connection ends.
+# The result of a call that is in flight when its connection ends.
 RESULT_BY_END_REASON = {
     EndReason.REFUSED: Result.CONNECT,
     EndReason.CONNECT_TIMEOUT: Result.CONNECT,
@@ -40,7 +40,7 @@
     EndReason.ADDRESS_CHANGED: Result.CANCELLED,
 }
 
-# What a host's answer says; an answer not named here may have run.
+# The result of a host's answer, by HTTP status. After any other status the text may have run.
 RESULT_BY_STATUS = {
     200: Result.DELIVERED,
     429: Result.FULL,
@@ -50,6 +50,7 @@
     410: Result.MOOT,
     413: Result.MOOT,
 }
+# The result of one text of a batch, by the state in the host's answer.
 RESULT_BY_STATE = {
     "delivered": Result.DELIVERED,
     "failed": Result.ERROR,
@@ -57,4 +58,6 @@
     "over": Result.MOOT,
     "spent": Result.MOOT,
 }
-FINISHED_STATUSES, FINISHED_STATES = (200, 410), ("delivered", "over")
+# The answers by which the host has finished with a text.
+FINISHED_STATUSES = (200, 410)
+FINISHED_STATES = ("delivered", "over")
--- a/limelatch/relay/incarnation.py
+++ b/limelatch/relay/incarnation.py
@@ -1,4 +1,4 @@
-"""This relay's incarnation among the members, kept in the folder that lasts."""
+"""The incarnation of this relay as a member, kept in the state directory."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from limelatch.relay.whole_file import replace_whole
 
 log = logger("membership")
-FILE = "incarnation"
+INCARNATION_FILE = "incarnation"
 
 
 class IncarnationFile:
-    """One line, the number and its checksum; replaced whole. What can't be read counts as absent."""
+    """One line with the number and its CRC-32, replaced atomically. An unreadable file counts as absent."""
 
-    def __init__(self, folder: str) -> None:
-        self.path = os.path.join(folder, FILE)
+    def __init__(self, state_dir: str) -> None:
+        self.path = os.path.join(state_dir, INCARNATION_FILE)
 
     def read(self) -> int:
-        """The last incarnation, 0 where none is kept."""
+        """The last incarnation; 0 if none is stored or the file is invalid, which is logged."""
         try:
             with open(self.path, encoding="ascii") as file:
-                word, checksum = file.read(64).split()
-            if int(checksum) == zlib.crc32(word.encode()) and 1 <= int(word) < INCARNATION_MOST:
-                return int(word)
-            say(log, "incarnation-not-read", why="its checksum or its value is wrong")
+                number, checksum = file.read(64).split()
+            if int(checksum) == zlib.crc32(number.encode()) and 1 <= int(number) < INCARNATION_MOST:
+                return int(number)
+            say(log, "incarnation-not-read", why="the checksum or the value is wrong")
         except FileNotFoundError:
             pass
         except (OSError, ValueError) as error:
@@ -34,9 +34,9 @@
         return 0
 
     def write(self, incarnation: int) -> None:
-        """Keep it; where the disk refuses, the other members tell it at the next start."""
-        word = b"%d" % incarnation
+        """Store it; if that fails, the next start learns the incarnation from the other members."""
+        number = b"%d" % incarnation
         try:
-            replace_whole(self.path, b"%s %d\n" % (word, zlib.crc32(word)))
+            replace_whole(self.path, b"%s %d\n" % (number, zlib.crc32(number)))
         except OSError as error:
             say(log, "incarnation-not-written", why=error)
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -1,4 +1,4 @@
-"""What operators ask of a relay through its door; each answer is one line."""
+"""The operators' commands on a relay; each returns its one-line reply."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class Operations:
-    """Carries out the operators' calls on one relay's driver."""
+    """Carries out the operators' commands on the driver of one relay."""
 
     def __init__(self, driver, suspended: SuspendedHosts) -> None:
         self._driver, self.suspended = driver, suspended
 
     def members(self) -> str:
-        """What this relay holds of the others. DoorError where it does not watch them."""
+        """Summarize the states of all members. Raises OperatorError if membership is off."""
         if self._driver.peers is None:
             raise OperatorError("membership is off")
         return f"+OK {self._driver.peers.members().line()}"
 
     def status(self) -> str:
-        """Whether clients are served, and what the relay holds."""
+        """Report whether clients are served, with counts of texts and hosts."""
         driver = self._driver
         if driver.stopping:
             return "-ERR stopping"
@@ -33,34 +33,36 @@
         )
 
     def pause(self) -> str:
-        """Send clients away; what the relay holds goes on."""
+        """Turn clients away; work on accepted texts continues."""
         self._driver.listener.pause()
         return f"+OK paused owed={len(self._driver.owed)}"
 
     def resume(self) -> str:
-        """Take clients again."""
+        """Serve clients again."""
         self._driver.listener.resume()
         return "+OK serving" if self._driver.ready else "+OK starting"
 
     def knows(self, host: li.HostId) -> bool:
-        """Whether the list has told the host, or it is out."""
+        """Whether the host is in the catalog's list, or suspended."""
         return host in self.suspended.counts or self._driver.catalog.directory.find(host) is not None
 
     def suspend(self, host: li.HostId) -> str:
-        """The host counts as draining until RESTORE, whatever the catalog says."""
+        """Treat the host as draining until RESTORE, whatever the catalog says.
+
+        Raises OperatorError if the change can't be stored."""
         self.refresh_suspended()
         if self.suspended.suspend(host):
             self._driver.relist(host)
         return f"+OK {host.decode()} out, {self.suspended.counts[host]} calls"
 
     def restore(self, host: li.HostId) -> str:
-        """The catalog's own line of the host holds again."""
+        """End the suspension. Raises OperatorError if the change can't be stored."""
         self.refresh_suspended()
         if self.suspended.restore(host):
             self._driver.relist(host)
         return f"+OK {host.decode()} back"
 
     def refresh_suspended(self) -> None:
-        """What operators have told the other process of an upgrade binds this one."""
+        """Apply the changes that operators have made at the other process of an upgrade."""
         for host in self.suspended.refresh() if self._driver.handover.has_news else ():
             self._driver.relist(host)
--- a/limelatch/relay/operator_server.py
+++ b/limelatch/relay/operator_server.py
@@ -1,7 +1,8 @@
-"""The operators' door: one line a call, one line an answer that begins with `+OK` or `-ERR`.
+"""The operators' port: one line per command, one line per reply, which begins with `+OK` or `-ERR`.
 
-The calls are carried out by the driver, on the relay's one reactor: each is a few look-ups, so that an answer
-waits neither for clients nor for hosts."""
+Commands run on the relay's reactor. Each takes a few look-ups, so that a reply waits neither for clients nor
+for hosts.
+"""
 
 from __future__ import annotations
 
@@ -20,51 +21,52 @@
 
 log = logger("door")
 
-LINE_MOST = 256  # bytes of a call; the longest has an id of a host
-CALLERS_MOST = 16  # connections at once, fewer of few descriptors; the one silent for longest gives way
-SILENCE_MOST = 10 * SECOND  # of a caller that says nothing or half a call
-LOOK_EVERY = SECOND // 2
-FILE = "out"  # in the folder that lasts: the hosts out by hand
-OUT_MOST = 4096  # hosts out at once, as a bound on the file
-CALLS = {
+MAX_LINE_BYTES = 256  # the longest command has the id of a host
+MAX_CONNECTIONS = 16  # fewer where the process has few descriptors; the longest silent one makes room
+IDLE_TIMEOUT = 10 * SECOND  # of a connection that sends nothing, or part of a command
+IDLE_CHECK_INTERVAL = SECOND // 2
+SUSPENDED_FILE = "out"  # in the state directory
+MAX_SUSPENDED = 4096  # hosts; bounds the file
+COMMANDS = {
     b"STATUS": 0,
     b"SUSPEND": 1,
     b"RESTORE": 1,
     b"PAUSE": 0,
     b"RESUME": 0,
     b"MEMBERS": 0,
-}  # and their arguments
+}  # by name, with the count of arguments
 
 
 class SuspendedHosts:
-    """Hosts out by hand: how often each was suspended; kept in the folder so that they outlast the process.
+    """The hosts that operators have suspended, with the count of SUSPEND commands; kept in a file.
 
-    Two processes share the folder during an upgrade: the file is replaced whole, never written in place.
-    OSError where the file is there and the disk does not give it: no host that is out must be sent to."""
+    Two processes share the state directory during an upgrade, so the file is replaced atomically and never
+    written in place. Raises OSError if the file exists and can't be read: guards against texts sent to a
+    suspended host."""
 
-    def __init__(self, folder: str) -> None:
-        self.path = os.path.join(folder, FILE)
+    def __init__(self, state_dir: str) -> None:
+        self.path = os.path.join(state_dir, SUSPENDED_FILE)
         self._read_at = self._written_at()
         self.counts: dict[HostId, int] = self._read()
 
     def _read(self) -> dict[HostId, int]:
         try:
             with named("read", self.path), open(self.path, "rb") as file:
-                raw = file.read(OUT_MOST * 300)
-            told = json.loads(raw)
+                raw = file.read(MAX_SUSPENDED * 300)
+            stored = json.loads(raw)
             return {
                 host.encode(): int(count)
-                for host, count in told.items()
+                for host, count in stored.items()
                 if isinstance(host, str) and isinstance(count, int) and count > 0
             }
         except FileNotFoundError:
             pass
-        except (ValueError, AttributeError) as error:  # torn: written anew at the next call
+        except (ValueError, AttributeError) as error:  # corrupt: rewritten by the next command
             say(log, "out-not-read", why=error)
         return {}
 
     def _written_at(self) -> tuple[int, int] | None:
-        """What tells one file at the path from the next; None where there is none, or it can't be told."""
+        """The file's inode and modification time, which change with its content; None if there is no file."""
         try:
             status = os.stat(self.path)
         except OSError:
@@ -72,9 +74,9 @@
         return status.st_ino, status.st_mtime_ns
 
     def refresh(self) -> set[HostId]:
-        """Take in what the other process of an upgrade was told; the hosts that are out or back by it.
+        """Read the changes that the other process of an upgrade has made; returns the hosts that changed.
 
-        Where the file can't be read, what is held stays, and it is read at the next call."""
+        If the file can't be read, the known state stays, and the next call tries again."""
         written_at = self._written_at()
         if written_at == self._read_at:
             return set()
@@ -87,133 +89,143 @@
         return changed
 
     def as_listed(self, entry: HostEntry) -> HostEntry:
-        """The line as the module is to see it: a host out is draining."""
+        """The host's entry for the decision module: a suspended host counts as draining."""
         if entry.host in self.counts and entry.listing is Listing.READY:
             return replace(entry, listing=Listing.DRAINING)
         return entry
 
     def suspend(self, host: HostId) -> bool:
-        """Whether the host has gone out by this call. DoorError where the folder can't keep it."""
-        if host not in self.counts and len(self.counts) >= OUT_MOST:
-            raise OperatorError(f"{OUT_MOST} hosts are out already")
+        """Suspend the host; true if it was not suspended before.
+
+        Raises OperatorError if the change can't be stored."""
+        if host not in self.counts and len(self.counts) >= MAX_SUSPENDED:
+            raise OperatorError(f"{MAX_SUSPENDED} hosts are out already")
         count = self.counts.get(host, 0) + 1
-        self._keep(self.counts | {host: count})
+        self._store(self.counts | {host: count})
         return count == 1
 
     def restore(self, host: HostId) -> bool:
-        """Whether the host was out; one call undoes all. DoorError where the folder can't keep it."""
+        """End the suspension, however often it was asked for; true if there was one.
+
+        Raises OperatorError if the change can't be stored."""
         if host not in self.counts:
             return False
-        self._keep({each: count for each, count in self.counts.items() if each != host})
+        self._store({each: count for each, count in self.counts.items() if each != host})
         return True
 
-    def _keep(self, counts: dict[HostId, int]) -> None:
-        """First the folder, then in force: what a restart would not know is not answered as done."""
-        told = {host.decode(): count for host, count in sorted(counts.items())}
+    def _store(self, counts: dict[HostId, int]) -> None:
+        """Write the file before the change takes effect, so that no restart undoes a confirmed command."""
+        stored = {host.decode(): count for host, count in sorted(counts.items())}
         try:
-            replace_whole(self.path, json.dumps(told).encode())
+            replace_whole(self.path, json.dumps(stored).encode())
         except OSError as error:
             raise OperatorError(f"not done, the folder does not keep it: {error.strerror}") from None
         self._read_at, self.counts = self._written_at(), counts
 
 
 class OperatorError(Exception):
-    """A call that can't be carried out; the caller is told why and the connection stays."""
+    """A command failed; the message is sent to the operator and the connection stays open."""
 
 
 class OperatorConnection(LineReceiver):
     """One operator's connection."""
 
     delimiter = b"\n"
-    MAX_LENGTH = LINE_MOST
+    MAX_LENGTH = MAX_LINE_BYTES
 
-    def __init__(self, operator_server: OperatorServer) -> None:
-        self.operator_server, self.number, self.skipping = operator_server, None, False
-        self.heard_at = operator_server.driver.clock.now()
+    def __init__(self, server: OperatorServer) -> None:
+        self.server, self.number, self.skipping = server, None, False
+        self.last_received_at = server.driver.clock.now()
         self.deadline = None
 
     def connectionMade(self) -> None:
-        self.operator_server.open += 1
-        self.number = self.operator_server.callers.take(self)
+        self.server.open_count += 1
+        self.number = self.server.connections.take(self)
         if self.number is None:
-            self.operator_server.make_room()
-            self.number = self.operator_server.callers.take(self)
-        self.deadline = self.operator_server.driver.deadlines.after(LOOK_EVERY, self._look)
-
-    def _look(self) -> None:
-        """Guards against callers that say nothing, or half a call, and keep a descriptor for good."""
-        now = self.operator_server.driver.clock.now()
-        if now - self.heard_at >= SILENCE_MOST:
+            self.server.make_room()
+            self.number = self.server.connections.take(self)
+        self.deadline = self.server.driver.deadlines.after(IDLE_CHECK_INTERVAL, self._check_idle)
+
+    def _check_idle(self) -> None:
+        """Guards against connections that send nothing, or part of a command, and keep a descriptor."""
+        now = self.server.driver.clock.now()
+        if now - self.last_received_at >= IDLE_TIMEOUT:
             self.transport.abortConnection()
         else:
-            self.deadline = self.operator_server.driver.deadlines.after(LOOK_EVERY, self._look)
+            self.deadline = self.server.driver.deadlines.after(IDLE_CHECK_INTERVAL, self._check_idle)
 
     def dataReceived(self, data: bytes) -> None:
-        self.heard_at = self.operator_server.driver.clock.now()
+        self.last_received_at = self.server.driver.clock.now()
         super().dataReceived(data)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """The answer is an error; what is left of the line until its end is read past."""
+        """Reply with an error and skip the rest of the line."""
         self.skipping = b"\n" not in line
-        self._answer("-ERR a call holds 256 bytes at most")
+        self._reply("-ERR a call holds 256 bytes at most")
 
     def lineReceived(self, line: bytes) -> None:
         if self.skipping:
             self.skipping = False
             return
         try:
-            self._answer(self.operator_server.call(line.removesuffix(b"\r")))
+            self._reply(self.server.run_command(line.removesuffix(b"\r")))
         except OperatorError as error:
-            self.operator_server.held_down("call-bad", why=error, peer=self.transport.getPeer().host)
-            self._answer(f"-ERR {error}")
+            self.server.held_down("call-bad", why=error, peer=self.transport.getPeer().host)
+            self._reply(f"-ERR {error}")
 
-    def _answer(self, line: str) -> None:
+    def _reply(self, line: str) -> None:
         self.transport.write(line.encode() + b"\r\n")
 
     def connectionLost(self, reason) -> None:
-        self.operator_server.open -= 1
+        self.server.open_count -= 1
         if self.deadline is not None:
             self.deadline.cancel()
         if self.number is not None:
-            self.operator_server.callers.release(self.number)
+            self.server.connections.release(self.number)
 
 
 class OperatorServer(ServerFactory):
-    """Where operators call; `operations` does what they ask."""
+    """Accepts operators' connections; `operations` carries out their commands."""
 
     noisy = False
 
-    def __init__(self, driver, operations, most: int = CALLERS_MOST) -> None:
-        self.driver, self.operations, self.callers, self.port = driver, operations, Slots(most), None
-        self.open = 0  # connections, with those that were told to end
+    def __init__(self, driver, operations, max_connections: int = MAX_CONNECTIONS) -> None:
+        self.driver, self.operations, self.connections, self.port = (
+            driver,
+            operations,
+            Slots(max_connections),
+            None,
+        )
+        self.open_count = 0  # connections, including those that are being closed
         self.held_down = HeldDown(log, driver.clock)
 
     def buildProtocol(self, address) -> OperatorConnection | None:
-        return (
-            OperatorConnection(self) if self.open < 2 * self.callers.size else None
-        )  # else it is closed at once
+        # None: twisted closes the connection at once
+        return OperatorConnection(self) if self.open_count < 2 * self.connections.size else None
 
     def listen(self, reactor, host: str, port: int) -> None:
-        self.port = reactor.listenTCP(port, self, backlog=CALLERS_MOST, interface=host)
+        """Listen at the address. Raises twisted's CannotListenError if it is taken."""
+        self.port = reactor.listenTCP(port, self, backlog=MAX_CONNECTIONS, interface=host)
 
     def make_room(self) -> None:
-        silent = min(self.callers, key=lambda caller: caller.heard_at)
-        self.callers.release(silent.number)
+        """Close the connection that has been silent for longest."""
+        silent = min(self.connections, key=lambda connection: connection.last_received_at)
+        self.connections.release(silent.number)
         silent.number = None
         silent.transport.abortConnection()
 
-    def call(self, line: bytes) -> str:
-        """One call's answer; DoorError for one that can't be carried out."""
+    def run_command(self, line: bytes) -> str:
+        """Carry out one command and return the reply. Raises OperatorError if it is invalid or fails."""
         if not line.isascii() or any(byte < 32 and byte != 9 for byte in line):
             raise OperatorError("a call is a line of plain text")
         words = line.split()
         if not words:
-            raise OperatorError(f"a call is wanted: {', '.join(name.decode() for name in CALLS)}")
+            raise OperatorError(f"a call is wanted: {', '.join(name.decode() for name in COMMANDS)}")
         name, arguments = words[0].upper(), words[1:]
-        if name not in CALLS:
+        if name not in COMMANDS:
             raise OperatorError(f"unknown call {name[:20].decode()!r}")
-        if len(arguments) != CALLS[name]:
-            raise OperatorError(f"{name.decode()} takes {'an id of a host' if CALLS[name] else 'nothing'}")
+        if len(arguments) != COMMANDS[name]:
+            raise OperatorError(f"{name.decode()} takes {'an id of a host' if COMMANDS[name] else 'nothing'}")
         operations = self.operations
         if name == b"STATUS":
             return operations.status()
@@ -229,5 +241,6 @@
         return operations.suspend(host) if name == b"SUSPEND" else operations.restore(host)
 
     def stop(self) -> None:
+        """Stop listening; open connections stay."""
         if self.port is not None:
             self.port.stopListening()
--- a/limelatch/relay/peers.py
+++ b/limelatch/relay/peers.py
@@ -154,7 +154,7 @@
                 self.member.refused(now, number)
             self.member.tick(now)
             for number in self.member.doubtful():
-                self.closed_ports.ask(now, number, self.addresses[number])
+                self.closed_ports.check(now, number, self.addresses[number])
         finally:
             self._timer = None
             self._acted()
--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -1,4 +1,4 @@
-"""The platform: notices of texts that ended undelivered, repeated until they are answered."""
+"""Reports texts that ended undelivered to the platform; each notice is repeated until it is acknowledged."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 
 log = logger("platform")
 
-BODY_MOST, NOTICES_MOST = 4 * 1024, 200
+MAX_BODY_BYTES = 4 * 1024
+MAX_NOTICES = 200  # in one request
 
 
 class PlatformConnection(HttpCaller):
-    """The connection to the platform."""
+    """The HTTP connection to the platform."""
 
     def __init__(self, notifier: Notifier) -> None:
-        super().__init__(BODY_MOST, 32 * 1024)
+        super().__init__(MAX_BODY_BYTES, 32 * 1024)
         self.notifier = notifier
 
     def connectionMade(self) -> None:
@@ -29,16 +30,19 @@
         self.notifier.send()
 
     def answered(self, answer: Answer, body: bytes) -> None:
-        if not answer.keeps or self.inbound:  # what came behind would pass for the next request's answer
+        if not answer.keeps or self.inbound:  # extra bytes would be taken for the next answer
             self.close(EndReason.CLOSED_BY_PEER)
-        self.notifier.answered(answer.status)
+        self.notifier.response_received(answer.status)
 
     def ended(self, end_reason: EndReason) -> None:
         self.notifier.lost(self, end_reason)
 
 
 class Notifier(ClientFactory):
-    """Keeps the notices that are owed; one request is out at a time."""
+    """Holds the notices that the platform has not acknowledged and sends them, one request at a time.
+
+    `wait` limits the time for a connection and for an answer; `retry_interval` is the pause after a failure.
+    Both are in tenths of a millisecond. `on_acknowledged` is called with the id of each acknowledged text."""
 
     noisy = False
 
@@ -56,10 +60,10 @@
         self.pending: dict[bytes, dict] = {}
         self.in_flight: list[bytes] = []
         self.connection: PlatformConnection | None = None
-        self._connector, self._deadline, self._paused, self._losses = None, None, False, 0
+        self._connector, self._deadline, self._paused, self._loss_count = None, None, False, 0
 
-    def move(self, address: Address) -> None:
-        """Send notices to another address from now on; those that no one has answered go there again."""
+    def change_address(self, address: Address) -> None:
+        """Send notices to another address from now on, including those not yet acknowledged."""
         if address != self.address:
             self.address = address
             if self.connection is not None:
@@ -68,47 +72,49 @@
                 self._connector.stopConnecting()
 
     def add_notice(self, text: bytes, fields: dict) -> None:
+        """Report a text; `fields` are those of its row in the request, beside its id."""
         self.pending[text] = fields
         self.send()
 
     def send(self) -> None:
-        """Send all that is owed, unless a request is out or a pause runs."""
+        """Send pending notices, unless a request is in flight or the notifier is paused."""
         if not self.pending or self.in_flight or self._paused:
             return
         if self.connection is None:
             if self._connector is None:
                 address = self.address
                 self._connector = self.reactor.connectTCP(address.host, address.port, self, timeout=None)
-                self._deadline = self.deadlines.after(self.wait, self._too_long)
+                self._deadline = self.deadlines.after(self.wait, self._timed_out)
             return
         if not self.connection.connected or self.connection.end_reason is not None:
             return
-        self.in_flight = list(self.pending)[:NOTICES_MOST]
+        self.in_flight = list(self.pending)[:MAX_NOTICES]
         rows = [json.dumps({"ref": text.decode()} | self.pending[text]) + "\n" for text in self.in_flight]
         body = "".join(rows).encode()
         head = request_head(
             "POST", "/reports", str(self.address), len(body), [("Content-Type", "application/x-ndjson")]
         )
-        self._clear()
-        self._deadline = self.deadlines.after(self.wait, self._too_long)
+        self._cancel_deadline()
+        self._deadline = self.deadlines.after(self.wait, self._timed_out)
         self.connection.ask(head + body)
 
-    def _clear(self) -> None:
+    def _cancel_deadline(self) -> None:
         if self._deadline is not None:
             self._deadline.cancel()
             self._deadline = None
 
-    def _too_long(self) -> None:
+    def _timed_out(self) -> None:
         if self.connection is not None:
             self.connection.close(EndReason.ANSWER_TIMEOUT)
         elif self._connector is not None:
             self._connector.stopConnecting()
 
-    def answered(self, status: int) -> None:
-        self._clear()
+    def response_received(self, status: int) -> None:
+        """Handle the status of the platform's response: 204 acknowledges all notices of the request."""
+        self._cancel_deadline()
         in_flight, self.in_flight = self.in_flight, []
         if status == 204:
-            self._losses = 0
+            self._loss_count = 0
             for text in in_flight:
                 self.pending.pop(text, None)
                 self.on_acknowledged(text)
@@ -133,11 +139,14 @@
         self.lost(None, EndReason.REFUSED)
 
     def lost(self, connection: PlatformConnection | None, end_reason: EndReason) -> None:
-        self._clear()
+        """Handle the end of the connection: notices in flight stay pending and are sent again."""
+        self._cancel_deadline()
         self.connection = self._connector = None
         self.in_flight = []
         if end_reason not in (EndReason.CLOSED_BY_PEER, EndReason.ADDRESS_CHANGED) and self.reactor.running:
             say(log, "platform-lost", why=end_reason.value, owed=len(self.pending))
-        if self.pending and not self._paused:  # a kept connection may break under a request: again at once
-            self._pause(self.retry_interval if self._losses else 0)
-        self._losses += 1
+        if (
+            self.pending and not self._paused
+        ):  # a kept-alive connection may close under a request: retry at once
+            self._pause(self.retry_interval if self._loss_count else 0)
+        self._loss_count += 1
--- a/limelatch/relay/reactor.py
+++ b/limelatch/relay/reactor.py
@@ -1,8 +1,9 @@
-"""The reactor that the relay runs on: Twisted's epoll reactor on the monotonic clock, with patient sockets.
+"""The relay's reactor: Twisted's epoll reactor on the monotonic clock, with sockets that survive errors.
 
-Twisted's own reactors time their calls by the wall clock (`twisted.python.runtime`). Where that is stepped
-back, a call that was set before waits for the wall clock to come back to where it was, and with it all that
-the relay has to do.
+Twisted's own reactors schedule calls by the wall clock (`twisted.python.runtime`). When the wall clock is
+stepped back, a call that was scheduled before waits until the clock has caught up, and the relay stalls.
+
+Importing this module installs the reactor.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.main import installReactor
 
-from limelatch.relay.datagrams import ResilientDatagramPort
+from limelatch.relay.datagrams import RetryingDatagramPort
 from limelatch.relay.transport import PatientConnector, PatientPort
 
 
 class RelayReactor(EPollReactor):
-    """Due times and waits are spans of real time; its sockets are those of `transport`."""
+    """Times calls by the monotonic clock and creates the sockets of `transport` and `datagrams`."""
 
     seconds = staticmethod(time.monotonic)
 
@@ -31,8 +32,8 @@
         listening.startListening()
         return listening
 
-    def listenUDP(self, port, protocol, interface="", maxPacketSize=8192) -> ResilientDatagramPort:
-        listening = ResilientDatagramPort(port, protocol, interface, maxPacketSize, self)
+    def listenUDP(self, port, protocol, interface="", maxPacketSize=8192) -> RetryingDatagramPort:
+        listening = RetryingDatagramPort(port, protocol, interface, maxPacketSize, self)
         listening.startListening()
         return listening
 
--- a/limelatch/relay/wall_clock_monitor.py
+++ b/limelatch/relay/wall_clock_monitor.py
@@ -1,4 +1,4 @@
-"""Notices when the machine's wall clock is set: the log's times jump with it, the relay's spans do not."""
+"""Detects steps of the machine's wall clock: log timestamps jump with it, the relay's clock does not."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 log = logger("deadlines")
 
 CHECK_INTERVAL = SECOND
-MIN_STEP = SECOND // 10  # less is left until it adds up, as where the clock is slewed
+MIN_STEP = SECOND // 10  # smaller differences, as of a slewed clock, count once they add up to this
 
 
 class WallClockMonitor:
-    """Compares the wall clock with the timeline once a second, and keeps the folder's anchor true."""
+    """Compares the wall clock with the relay's clock once a second and keeps the saved anchor up to date."""
 
     def __init__(
         self, clock: Clock, deadlines: Deadlines, file: AnchorFile, owns_directory: Callable[[], bool]
     ) -> None:
-        """`owns_directory`: false while another process still writes the folder's files."""
+        """`owns_directory` returns false while another process still writes to the state directory."""
         self._clock, self._deadlines, self._file, self._owns_directory = (
             clock,
             deadlines,
@@ -32,7 +32,7 @@
         self._last_ahead, self._saved = clock.wall_ahead(), False
 
     def start(self) -> None:
-        """Keep the anchor, and look from now on."""
+        """Save the anchor and begin to check."""
         say(log, "clock-resumed", by=self._clock.resumption.value, ahead_ms=self._last_ahead // MS)
         self._save()
         self._deadlines.after(CHECK_INTERVAL, self._check)
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -14,7 +14,7 @@
 from limelatch.interface import MS, SECOND
 from limelatch.membership.messages import Drop, Fact, State
 from limelatch.membership.view import MEMBERS_MOST
-from limelatch.relay.closed_ports import ANSWER_WAIT, ASKED_MOST, ClosedPorts
+from limelatch.relay.closed_ports import REFUSAL_TIMEOUT, MAX_CHECKS, ClosedPorts
 from limelatch.relay.deadlines import Deadline
 from limelatch.relay.incarnation import IncarnationFile
 from limelatch.relay.peers import NOT_LISTENING, Peers, READ_MOST, READ_SPAN
@@ -136,8 +136,8 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as gone:
             gone.bind(("127.0.0.1", 0))
             closed = gone.getsockname()
-        ports.ask(0, 3, closed)
-        ports.ask(0, 4, silent.getsockname())
+        ports.check(0, 3, closed)
+        ports.check(0, 4, silent.getsockname())
         found = []
         for _ in range(100):
             found += ports.refused(1)
@@ -145,10 +145,10 @@
                 break
             threading.Event().wait(0.02)
         assert found == [3] and ports.refused(2) == []
-        for member in range(10, 10 + 2 * ASKED_MOST):
-            ports.ask(3, member, silent.getsockname())
-        assert len(ports._asked) == ASKED_MOST
-        assert ports.refused(ANSWER_WAIT + 3) == [] and not ports._asked
+        for member in range(10, 10 + 2 * MAX_CHECKS):
+            ports.check(3, member, silent.getsockname())
+        assert len(ports._checks) == MAX_CHECKS
+        assert ports.refused(REFUSAL_TIMEOUT + 3) == [] and not ports._checks
 
 
 class Moment:
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -54,10 +54,10 @@
         if (caller := operator_server.buildProtocol(Peer)) is not None:
             caller.makeConnection(Wire())
             made.append(caller)
-    assert len(made) == operator_server.open == 4
+    assert len(made) == operator_server.open_count == 4
     for each in made[:2]:
         each.connectionLost(None)
-    assert operator_server.open == 2 and operator_server.buildProtocol(Peer) is not None
+    assert operator_server.open_count == 2 and operator_server.buildProtocol(Peer) is not None
 
 
 class Peer:
