--- a/limelatch/relay/peers.py
+++ b/limelatch/relay/peers.py
@@ -1,6 +1,6 @@
-"""The relay's part among the members: the UDP socket, the timer and the log events of `limelatch.membership`.
+"""Connects `limelatch.membership` to the relay: its UDP socket, its timer and its log events.
 
-Nothing of it decides on a text, and none of its faults ends the relay.
+Membership has no influence on texts, and an error in it does not stop the relay.
 """
 
 from __future__ import annotations
@@ -31,15 +31,16 @@
 
 log = logger("membership")
 
-PACKET_MOST = DATAGRAM_MOST + 1  # what is read of a datagram, so that a longer one shows
-READ_SPAN, READ_MOST = 100 * MS, 200  # datagrams that are looked at in a span; the others are dropped unread
-NOT_LISTENING = "not-listening"  # in the place of an isolation; one word, as all values of the line are
-BIND_WAIT = SECOND  # until a socket that could not be bound is tried again
+MAX_READ_BYTES = DATAGRAM_MOST + 1  # one more than is valid, so that a longer datagram is recognized
+READ_INTERVAL = 100 * MS
+MAX_READS = 200  # datagrams in a READ_INTERVAL; the others are dropped unread
+NOT_LISTENING = "not-listening"  # reported as the isolation; one word, as all values of the line
+BIND_RETRY_INTERVAL = SECOND
 
 
 @dataclass(frozen=True)
 class MembershipSummary:
-    """What one relay holds of all: how many in each state, and the first that is not alive."""
+    """One relay's view of all members: the count in each state and the first member that is not alive."""
 
     counts: dict[str, int]
     incarnation: int
@@ -47,55 +48,55 @@
     first_not_alive: str
 
     def line(self) -> str:
-        """As the operators' interface answers it."""
+        """The reply to the operators' command MEMBERS, without `+OK`."""
         words = [f"{name}={count}" for name, count in self.counts.items()]
         words += [f"incarnation={self.incarnation}", f"isolated={self.isolated or 'no'}"]
         return " ".join(words + ([f"first={self.first_not_alive}"] if self.first_not_alive else []))
 
 
 class Peers(DatagramProtocol):
-    """One member of the fleet, behind a UDP socket."""
+    """This relay as a member: exchanges datagrams with the other members over one UDP socket."""
 
     def __init__(
         self, plan: MembershipPlan, reactor, deadlines: Deadlines, clock: Clock, state: str, seed: int
     ) -> None:
         self.plan, self.reactor, self.deadlines, self.clock = plan, reactor, deadlines, clock
         self.file, self.random = IncarnationFile(state), Random(seed)
-        self.addresses = [(each.host, each.port) for each in plan.peers]
+        self.addresses = [(peer.host, peer.port) for peer in plan.peers]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.held_down, self.closed_ports = HeldDown(log, clock), ClosedPorts()
         self.member: Member | None = None
         self.port = None
-        self._timer: Deadline | None = None
-        self._stored, self._read, self._read_until, self._ended = 0, 0, 0, False
+        self._timer: Deadline | None = None  # of the next tick
+        self._stored_incarnation, self._read_count, self._read_until, self._stopped = 0, 0, 0, False
 
     def start(self) -> None:
-        """Bind the socket and take part; where it can't be bound, try again, for the relay serves without."""
-        if self._ended:
+        """Bind the socket and join. If it can't be bound, try again later: the relay serves without it."""
+        if self._stopped:
             return
         listen = self.plan.listen
         try:
-            self.port = self.reactor.listenUDP(listen.port, self, listen.host, PACKET_MOST)
+            self.port = self.reactor.listenUDP(listen.port, self, listen.host, MAX_READ_BYTES)
         except (CannotListenError, OSError) as error:
             why = getattr(error, "socketError", error)
             self.held_down("membership-not-listening", listen=listen, why=why)
-            self.deadlines.after(BIND_WAIT, self.start)
+            self.deadlines.after(BIND_RETRY_INTERVAL, self.start)
             return
-        self._stored = self.file.read()
+        self._stored_incarnation = self.file.read()
         self.member = Member(
-            [str(each) for each in self.plan.peers],
+            [str(peer) for peer in self.plan.peers],
             self.plan.number,
-            self._stored + 1 if self._stored else 0,
+            self._stored_incarnation + 1 if self._stored_incarnation else 0,
             self.random,
             self.clock.now(),
             self.plan.timing,
             self.plan.zones,
         )
-        self._acted()
+        self._apply_results()
 
     def stop(self) -> None:
-        """A clean end: the others hear at once that this relay has left."""
-        self._ended = True
+        """Tell the other members that this relay leaves, and close the socket."""
+        self._stopped = True
         if self.member is not None:
             self.member.leave(self.clock.now())
             self._send()
@@ -105,7 +106,7 @@
             self.port.stopListening()
 
     def members(self) -> MembershipSummary:
-        """What is held of all of them now."""
+        """This relay's current view of all members."""
         if self.member is None:
             counts = {state.name.lower(): 0 for state in State} | {"unknown": len(self.addresses)}
             return MembershipSummary(counts, 0, NOT_LISTENING, "")
@@ -114,8 +115,10 @@
         counts["unknown"] = len(self.addresses) - sum(counts.values())
         isolation = self.member.hearing.isolation
         first = next((number for number in range(len(self.addresses)) if not view.is_alive(number)), None)
-        named = "" if first is None else f"{self.plan.peers[first]}:{self._state(first)}"
-        return MembershipSummary(counts, self.member.incarnation, isolation.value if isolation else "", named)
+        first_name = "" if first is None else f"{self.plan.peers[first]}:{self._state(first)}"
+        return MembershipSummary(
+            counts, self.member.incarnation, isolation.value if isolation else "", first_name
+        )
 
     def _state(self, number: int) -> str:
         view = self.member.view
@@ -124,24 +127,24 @@
     # Datagrams and the timer.
 
     def datagramReceived(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """Guards against a flood: what is beyond READ_MOST in a span is not looked at."""
-        if self.member is None or not datagram:  # an empty one asks whether this port is open
+        """Handle a datagram. Guards against floods: stops reading after MAX_READS in an interval."""
+        if self.member is None or not datagram:  # an empty one checks whether this port is open
             return
         now = self.clock.now()
         if now >= self._read_until:
-            self._read, self._read_until = 0, now + READ_SPAN
-        self._read += 1
-        if self._read > READ_MOST:
+            self._read_count, self._read_until = 0, now + READ_INTERVAL
+        self._read_count += 1
+        if self._read_count > MAX_READS:
             self.member.drops[Drop.FLOOD] += 1
             self.port.stopReading()
-            self.deadlines.at(self._read_until, self._read_on)
+            self.deadlines.at(self._read_until, self._resume_reading)
             return
         drop = self.member.received(now, datagram, self.numbers.get(address))
         if drop is not None:
             self.held_down("datagram-dropped", why=drop.value, peer=address[0])
-        self._acted()
+        self._apply_results()
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if self.member is not None:
             self.port.startReading()
 
@@ -157,10 +160,10 @@
                 self.closed_ports.check(now, number, self.addresses[number])
         finally:
             self._timer = None
-            self._acted()
+            self._apply_results()
 
-    def _acted(self) -> None:
-        """Send, log and keep what has come of the last call; one deadline stands for the next tick."""
+    def _apply_results(self) -> None:
+        """Send, log and store the results of the last step, and set the timer for the next tick."""
         self._send()
         due = self.member.due
         if self._timer is not None and self._timer.when == due:
@@ -171,16 +174,16 @@
 
     def _send(self) -> None:
         datagrams, events = self.member.take()
-        if self.member.incarnation > self._stored:
-            self._stored = self.member.incarnation
-            self.file.write(self._stored)
+        if self.member.incarnation > self._stored_incarnation:
+            self._stored_incarnation = self.member.incarnation
+            self.file.write(self._stored_incarnation)
         for event in events:
             self._log(event)
-        for each in datagrams:
+        for datagram in datagrams:
             try:
-                self.transport.write(each.data, self.addresses[each.to])
+                self.transport.write(datagram.data, self.addresses[datagram.to])
             except OSError as error:
-                self.held_down("datagram-not-sent", why=error, member=self.plan.peers[each.to])
+                self.held_down("datagram-not-sent", why=error, member=self.plan.peers[datagram.to])
 
     def _log(self, event: Event) -> None:
         if isinstance(event, MemberChanged):
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -1,4 +1,4 @@
-"""What the relay adds to the failure detector: its configuration, the folder's incarnation, closed ports."""
+"""The relay's side of membership: configuration, stored incarnation, closed ports, limits on datagrams."""
 
 import json
 import os
@@ -14,12 +14,12 @@
 from limelatch.interface import MS, SECOND
 from limelatch.membership.messages import Drop, Fact, State
 from limelatch.membership.view import MEMBERS_MOST
-from limelatch.relay.closed_ports import REFUSAL_TIMEOUT, MAX_CHECKS, ClosedPorts
+from limelatch.relay.closed_ports import MAX_CHECKS, REFUSAL_TIMEOUT, ClosedPorts
 from limelatch.relay.deadlines import Deadline
 from limelatch.relay.incarnation import IncarnationFile
-from limelatch.relay.peers import NOT_LISTENING, Peers, READ_MOST, READ_SPAN
+from limelatch.relay.peers import MAX_READS, NOT_LISTENING, READ_INTERVAL, Peers
 
-SMALL = """[relay]
+CONFIGURATION = """[relay]
 listen = "127.0.0.1:6379"
 state = "."
 [catalog]
@@ -35,24 +35,26 @@
 PEERS_LINE = 11
 
 
-def written(tmp_path, peers=PEERS, on="true", more=""):
+def load_configuration(tmp_path, peers=PEERS, on="true", more=""):
+    """The installation that a configuration with this membership section loads as."""
     path = tmp_path / "relay.toml"
-    path.write_text(SMALL.format(on=on, peers=json.dumps(peers)) + more)
+    path.write_text(CONFIGURATION.format(on=on, peers=json.dumps(peers)) + more)
     return load(str(path)).installation
 
 
-def faults_of(tmp_path, peers=PEERS, **more):
+def configuration_errors(tmp_path, peers=PEERS, **more):
+    """The errors of a configuration that does not load."""
     with pytest.raises(ConfigurationError) as error:
-        written(tmp_path, peers, **more)
+        load_configuration(tmp_path, peers, **more)
     return error.value.faults
 
 
-def test_a_relay_that_takes_part_knows_its_number_its_zones_and_its_spans(tmp_path):
+def test_a_member_s_plan_has_its_number_its_zones_and_its_timing(tmp_path):
     more = 'zones = ["west", "east", "west"]\npause = "2s"\nprobe_period = "250ms"\n'
-    plan = plan_of(written(tmp_path, more=more)).membership
+    plan = plan_of(load_configuration(tmp_path, more=more)).membership
     assert (plan.number, plan.zones) == (1, [1, 0, 1])
     assert (plan.timing.pause, plan.timing.period) == (2 * SECOND, 250 * MS)
-    moved = plan_of(written(tmp_path, more='address = "10.0.0.5:7946"\n')).membership
+    moved = plan_of(load_configuration(tmp_path, more='address = "10.0.0.5:7946"\n')).membership
     assert moved.number == 2 and str(moved.listen) == "10.0.0.4:7946"
 
 
@@ -68,11 +70,13 @@
         ([f"10.0.{number >> 8}.{number & 255}:7946" for number in range(2000)], "2000 found"),
     ],
 )
-def test_a_list_of_peers_that_can_not_be_is_named_with_its_line(tmp_path, peers, wanted):
-    faults = faults_of(tmp_path, peers)
+def test_an_invalid_list_of_peers_is_reported_with_its_key(tmp_path, peers, wanted):
+    faults = configuration_errors(tmp_path, peers)
     (fault,) = [each for each in faults if wanted in str(each)]
     assert fault.path == "membership.peers"
-    assert written(tmp_path, peers, on="false").membership.on is False  # what is off keeps nothing down
+    assert (
+        load_configuration(tmp_path, peers, on="false").membership.on is False
+    )  # not checked while membership is off
 
 
 @pytest.mark.parametrize(
@@ -85,24 +89,24 @@
         ('perod = "1s"\n', "membership.perod"),
     ],
 )
-def test_a_span_or_list_that_can_not_be_is_named(tmp_path, more, path):
-    assert path in [each.path for each in faults_of(tmp_path, more=more)]
+def test_an_invalid_key_or_value_is_reported_with_its_key(tmp_path, more, path):
+    assert path in [each.path for each in configuration_errors(tmp_path, more=more)]
 
 
-def test_as_many_as_a_page_request_holds_can_take_part(tmp_path):
+def test_the_maximum_count_of_members_is_accepted(tmp_path):
     peers = [f"10.0.{number >> 8}.{number & 255}:7946" for number in range(MEMBERS_MOST)]
-    assert plan_of(written(tmp_path, peers)).membership.number == 4
+    assert plan_of(load_configuration(tmp_path, peers)).membership.number == 4
 
 
 @pytest.mark.parametrize("peers", [None, "x", 7, [], [7], {"a": 1}, ["10.0.0.4:7946"] * 3])
-def test_what_the_platform_says_of_peers_turns_nothing_on_and_keeps_no_relay_down(tmp_path, peers):
+def test_peers_in_the_platform_s_form_neither_enable_membership_nor_prevent_a_start(tmp_path, peers):
     path = tmp_path / "relay.json"
     raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": ".", "settings": SETTINGS}
     path.write_text(json.dumps(raw | {"peer_listen": "10.0.0.4:7946", "peers": peers}))
     assert plan_of(load(str(path)).installation).membership is None
 
 
-def test_the_folder_keeps_the_incarnation(tmp_path):
+def test_the_incarnation_is_stored_in_the_state_directory(tmp_path):
     file = IncarnationFile(str(tmp_path))
     assert file.read() == 0
     file.write(7)
@@ -111,12 +115,12 @@
 
 
 @pytest.mark.parametrize("raw", [b"", b"8", b"8 1", b"\xff\xfe", b"x y", b"-1 2", b"8 1 2", b"9" * 500])
-def test_an_incarnation_that_can_not_be_read_counts_as_none(tmp_path, raw):
+def test_an_invalid_incarnation_file_counts_as_absent(tmp_path, raw):
     (tmp_path / "incarnation").write_bytes(raw)
     assert IncarnationFile(str(tmp_path)).read() == 0
 
 
-def test_a_torn_incarnation_counts_as_none_wherever_it_is_cut(tmp_path):
+def test_a_truncated_incarnation_file_counts_as_absent(tmp_path):
     file = IncarnationFile(str(tmp_path))
     file.write(1234)
     whole = (tmp_path / "incarnation").read_bytes()
@@ -125,11 +129,11 @@
         assert file.read() == 0
 
 
-def test_a_folder_that_takes_nothing_is_borne(tmp_path):
+def test_a_failed_write_of_the_incarnation_raises_no_error(tmp_path):
     IncarnationFile(str(tmp_path / "nowhere")).write(3)
 
 
-def test_a_closed_port_is_told_and_an_open_one_that_says_nothing_is_not():
+def test_a_closed_port_is_detected_and_a_silent_open_port_is_not():
     ports = ClosedPorts()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent:
         silent.bind(("127.0.0.1", 0))
@@ -151,8 +155,8 @@
         assert ports.refused(REFUSAL_TIMEOUT + 3) == [] and not ports._checks
 
 
-class Moment:
-    """The clock, the timer and the socket of a Peers, which this test moves."""
+class FakeEnvironment:
+    """The clock, timers, reactor and socket of a Peers, controlled by the test."""
 
     def __init__(self):
         self.time, self.due, self.reading, self.sent, self.cancelled = SECOND, [], True, [], 0
@@ -181,33 +185,33 @@
         self.reading = False
 
 
-def test_what_is_beyond_a_span_s_share_of_a_flood_is_not_looked_at(tmp_path):
-    moment = Moment()
-    plan = plan_of(written(tmp_path)).membership
-    peers = Peers(plan, moment, moment, moment, str(tmp_path), 7)
+def test_datagrams_beyond_the_limit_of_an_interval_are_dropped_unread(tmp_path):
+    environment = FakeEnvironment()
+    plan = plan_of(load_configuration(tmp_path)).membership
+    peers = Peers(plan, environment, environment, environment, str(tmp_path), 7)
     peers.start()
-    looked = []
-    peers.member.received = lambda now, data, sender: looked.append(sender)
+    received = []
+    peers.member.received = lambda now, data, sender: received.append(sender)
     for number in range(10_000):
         peers.datagramReceived(b"x" * 40, ("10.0.0.3", 7946) if number % 2 else ("10.9.9.9", 1))
-    assert len(looked) == READ_MOST and set(looked) == {None, 0} and not moment.reading
-    assert peers.member.drops[Drop.FLOOD] == 10_000 - READ_MOST
-    moment.time += READ_SPAN
-    [call for when, call in moment.due if when <= moment.time][-1]()
+    assert len(received) == MAX_READS and set(received) == {None, 0} and not environment.reading
+    assert peers.member.drops[Drop.FLOOD] == 10_000 - MAX_READS
+    environment.time += READ_INTERVAL
+    [call for when, call in environment.due if when <= environment.time][-1]()
     peers.datagramReceived(b"x" * 40, ("10.0.0.3", 7946))
-    assert moment.reading and len(looked) == READ_MOST + 1
+    assert environment.reading and len(received) == MAX_READS + 1
 
 
-def test_a_clean_end_says_so_to_the_others(tmp_path):
+def test_a_clean_stop_is_announced_to_the_other_members(tmp_path):
     (tmp_path / "incarnation").write_text("4 4088798008\n")
-    moment = Moment()
-    plan = plan_of(written(tmp_path)).membership
-    peers = Peers(plan, moment, moment, moment, str(tmp_path), 7)
+    environment = FakeEnvironment()
+    plan = plan_of(load_configuration(tmp_path)).membership
+    peers = Peers(plan, environment, environment, environment, str(tmp_path), 7)
     peers.start()
     for number in (0, 2):
-        peers.member.registry.learn(moment.time, Fact(number, 1, State.ALIVE), number)
+        peers.member.registry.learn(environment.time, Fact(number, 1, State.ALIVE), number)
     peers.stop()
-    assert {address for _, address in moment.sent} == {("10.0.0.3", 7946), ("10.0.0.5", 7946)}
-    assert not moment.reading and peers.members().isolated == NOT_LISTENING
-    words = dict(word.split("=") for word in peers.members().line().split())  # as a reader splits it
+    assert {address for _, address in environment.sent} == {("10.0.0.3", 7946), ("10.0.0.5", 7946)}
+    assert not environment.reading and peers.members().isolated == NOT_LISTENING
+    words = dict(word.split("=") for word in peers.members().line().split())  # as operators' tools split it
     assert words["isolated"] == "not-listening" and words["alive"] == "0" and int(words["unknown"]) > 0
