--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -41,7 +41,7 @@
 class Notifier(ClientFactory):
     """Holds the notices that the platform has not acknowledged and sends them, one request at a time.
 
-    `wait` limits the time for a connection and for an answer; `retry_interval` is the pause after a failure.
+    `timeout` limits the time for a connection and for an answer; `retry_interval` is the pause after a failure.
     Both are in tenths of a millisecond. `on_acknowledged` is called with the id of each acknowledged text."""
 
     noisy = False
@@ -51,12 +51,12 @@
         reactor,
         deadlines,
         address: Address,
-        wait: int,
+        timeout: int,
         retry_interval: int,
         on_acknowledged: Callable[[bytes], None],
     ) -> None:
         self.reactor, self.deadlines, self.address = reactor, deadlines, address
-        self.wait, self.retry_interval, self.on_acknowledged = wait, retry_interval, on_acknowledged
+        self.timeout, self.retry_interval, self.on_acknowledged = timeout, retry_interval, on_acknowledged
         self.pending: dict[bytes, dict] = {}
         self.in_flight: list[bytes] = []
         self.connection: PlatformConnection | None = None
@@ -84,7 +84,7 @@
             if self._connector is None:
                 address = self.address
                 self._connector = self.reactor.connectTCP(address.host, address.port, self, timeout=None)
-                self._deadline = self.deadlines.after(self.wait, self._timed_out)
+                self._deadline = self.deadlines.after(self.timeout, self._timed_out)
             return
         if not self.connection.connected or self.connection.end_reason is not None:
             return
@@ -95,7 +95,7 @@
             "POST", "/reports", str(self.address), len(body), [("Content-Type", "application/x-ndjson")]
         )
         self._cancel_deadline()
-        self._deadline = self.deadlines.after(self.wait, self._timed_out)
+        self._deadline = self.deadlines.after(self.timeout, self._timed_out)
         self.connection.ask(head + body)
 
     def _cancel_deadline(self) -> None:
@@ -145,8 +145,6 @@
         self.in_flight = []
         if end_reason not in (EndReason.CLOSED_BY_PEER, EndReason.ADDRESS_CHANGED) and self.reactor.running:
             say(log, "platform-lost", why=end_reason.value, owed=len(self.pending))
-        if (
-            self.pending and not self._paused
-        ):  # a kept-alive connection may close under a request: retry at once
+        if self.pending and not self._paused:  # at once the first time: a kept-alive connection may close
             self._pause(self.retry_interval if self._loss_count else 0)
         self._loss_count += 1
--- a/tests/faults/__init__.py
+++ b/tests/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of a relay's machine for tests: stepped clocks, failing and short calls."""
+"""Faults of a relay's machine for tests: stepped clocks, failing and partial system calls."""
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""What a new process makes of the timeline that the one before it left in the folder."""
+"""How a new process resumes the timeline from the anchor of the previous one, and who may read the clocks."""
 
 import ast
 import subprocess
@@ -19,14 +19,15 @@
     resume_timeline,
 )
 
-UPTIME, WALL = 5_000 * SECOND, 1_700_000_000 * SECOND
+UPTIME = 5_000 * SECOND
+WALL = 1_700_000_000 * SECOND
 HOUR = 3600 * SECOND
 STEPS = [-HOUR, -60 * SECOND, -3 * SECOND, -SECOND // 2, 0, SECOND // 2, 3 * SECOND, 60 * SECOND, HOUR]
 BEFORE = ClockReading("boot-1", UPTIME, WALL)
 
 
-def left_by(reading, timeline, wall_ahead=0):
-    """The anchor that a process on this timeline keeps at that moment."""
+def anchor_at(reading, timeline, wall_ahead=0):
+    """The anchor that a process with this timeline saves at that moment."""
     return Anchor(reading.boot, reading.monotonic, timeline.offset, wall_ahead, timeline.certain_from)
 
 
@@ -34,26 +35,26 @@
     return reading.monotonic + timeline.offset
 
 
-def test_a_first_start_takes_the_wall_clock():
+def test_a_first_start_takes_the_time_of_the_wall_clock():
     first = resume_timeline(None, BEFORE)
     assert (now(first, BEFORE), first.certain_from, first.resumption) == (WALL, 0, Resumption.FIRST)
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_on_the_same_boot_the_monotonic_clock_tells_whatever_the_wall_clock_says(step):
+def test_on_the_same_boot_the_timeline_follows_the_monotonic_clock_only(step):
     first = resume_timeline(None, BEFORE)
     later = ClockReading("boot-1", UPTIME + 7 * SECOND, WALL + 7 * SECOND + step)
-    found = resume_timeline(left_by(BEFORE, first), later)
+    found = resume_timeline(anchor_at(BEFORE, first), later)
     assert now(found, later) == WALL + 7 * SECOND
     assert (found.certain_from, found.resumption) == (0, Resumption.SAME_BOOT)
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_after_a_reboot_the_wall_clock_tells_less_what_it_was_ahead(step):
-    """It was stepped before the reboot, and seen to be."""
+def test_after_a_reboot_the_timeline_follows_the_wall_clock_less_its_known_lead(step):
+    """The wall clock was stepped before the reboot, and the step was recorded in the anchor."""
     first = resume_timeline(None, BEFORE)
     later = ClockReading("boot-2", 20 * SECOND, WALL + 90 * SECOND + step)
-    found = resume_timeline(left_by(BEFORE, first, wall_ahead=step), later)
+    found = resume_timeline(anchor_at(BEFORE, first, wall_ahead=step), later)
     assert now(found, later) == WALL + 90 * SECOND
     assert (found.certain_from, found.resumption) == (WALL + 90 * SECOND, Resumption.OTHER_BOOT)
 
@@ -61,38 +62,39 @@
 def test_after_a_reboot_the_timeline_never_runs_back():
     first = resume_timeline(None, BEFORE)
     later = ClockReading("boot-2", 20 * SECOND, WALL - HOUR)
-    found = resume_timeline(left_by(BEFORE, first), later)
+    found = resume_timeline(anchor_at(BEFORE, first), later)
     assert now(found, later) == WALL and found.certain_from == WALL
 
 
-def test_what_was_in_doubt_stays_so_over_a_further_restart():
+def test_uncertain_spans_stay_uncertain_over_another_restart():
     first = resume_timeline(None, BEFORE)
     rebooted = ClockReading("boot-2", 20 * SECOND, WALL + 90 * SECOND)
-    second = resume_timeline(left_by(BEFORE, first), rebooted)
+    second = resume_timeline(anchor_at(BEFORE, first), rebooted)
     again = ClockReading("boot-2", 21 * SECOND, WALL)
-    third = resume_timeline(left_by(rebooted, second), again)
+    third = resume_timeline(anchor_at(rebooted, second), again)
     assert third.resumption is Resumption.SAME_BOOT and third.certain_from == second.certain_from
     assert now(third, again) == WALL + 91 * SECOND
 
 
 @pytest.mark.parametrize("boots", [("", ""), ("boot-1", ""), ("", "boot-1")])
-def test_a_boot_that_nobody_names_is_another_one(boots):
+def test_a_boot_without_an_identifier_counts_as_another_boot(boots):
     reading = ClockReading(boots[0], UPTIME, WALL)
     found = resume_timeline(
-        left_by(reading, resume_timeline(None, reading)),
+        anchor_at(reading, resume_timeline(None, reading)),
         ClockReading(boots[1], UPTIME + SECOND, WALL + SECOND),
     )
     assert found.resumption is Resumption.OTHER_BOOT
 
 
-def test_a_monotonic_clock_that_is_before_the_anchor_is_of_another_boot():
+def test_a_monotonic_clock_behind_the_anchor_counts_as_another_boot():
     found = resume_timeline(
-        left_by(BEFORE, resume_timeline(None, BEFORE)), ClockReading("boot-1", UPTIME - SECOND, WALL + SECOND)
+        anchor_at(BEFORE, resume_timeline(None, BEFORE)),
+        ClockReading("boot-1", UPTIME - SECOND, WALL + SECOND),
     )
     assert found.resumption is Resumption.OTHER_BOOT
 
 
-def test_an_anchor_comes_back_as_it_was_kept(tmp_path):
+def test_a_saved_anchor_is_loaded_unchanged(tmp_path):
     file = AnchorFile(str(tmp_path))
     clock = file.load_clock()
     assert clock.resumption is Resumption.FIRST and file.save(clock)
@@ -105,7 +107,7 @@
 @pytest.mark.parametrize(
     "content", [b"", b"{", b"{} 1\n", b'{"boot":"x"} 3\n', b"\xff\xfe 12\n", b"x" * 4096]
 )
-def test_an_anchor_that_cannot_be_read_leaves_all_earlier_spans_in_doubt(tmp_path, content):
+def test_an_invalid_anchor_makes_all_earlier_spans_uncertain(tmp_path, content):
     with pytest.raises(AnchorError):
         Anchor.decode(content)
     (tmp_path / ANCHOR_FILE).write_bytes(content)
@@ -114,25 +116,25 @@
     assert 0 <= clock.now() - clock.certain_from < SECOND
 
 
-def test_an_anchor_of_other_values_is_refused_however_good_its_checksum():
+def test_an_anchor_with_values_of_a_wrong_type_is_refused_despite_its_checksum():
     line = Anchor("boot-1", 1, 2, 3).encode().replace(b'"monotonic":1', b'"monotonic":"1"')
     with pytest.raises(AnchorError):
         Anchor.decode(line)
     assert resume_after_bad_anchor(BEFORE).certain_from == WALL
 
 
-def test_an_unreadable_anchor_names_call_and_path(tmp_path):
+def test_the_error_of_an_unreadable_anchor_file_names_the_path(tmp_path):
     (tmp_path / ANCHOR_FILE).mkdir()
     with pytest.raises(OSError, match=ANCHOR_FILE):
         AnchorFile(str(tmp_path)).load_clock()
 
 
 CLOCKS = {"time", "time_ns", "monotonic", "monotonic_ns", "perf_counter", "clock_gettime", "now", "utcnow"}
-OWNERS = {"clock.py", "reactor.py"}
+ALLOWED_MODULES = {"clock.py", "reactor.py"}
 
 
 def clock_readings(path):
-    """Calls and uses of the standard library's clocks in a module."""
+    """Uses of the standard library's clocks in a module."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name):
             if node.value.id in ("time", "datetime") and node.attr in CLOCKS:
@@ -142,19 +144,20 @@
             yield from (f"{path.name}:{node.lineno} {node.module}.{name}" for name in names)
 
 
-def test_nothing_of_the_relay_reads_a_clock_but_its_owner():
-    """A span by the wall clock, or by a reactor that runs on it, is what stopped relays in pre-production."""
+def test_only_the_clock_and_the_reactor_read_the_machine_s_clocks():
+    """Guards against relays that stall when the wall clock is stepped: in pre-production, spans were measured
+    by the wall clock, or by a reactor that runs on it."""
     root = Path(limelatch.__file__).parent
     modules = [root / "policy.py", root / "folder_gate.py", root / "logs.py"]
     modules += [*(root / "relay").glob("*.py"), *(root / "membership").glob("*.py")]
-    found = [line for path in modules if path.name not in OWNERS for line in clock_readings(path)]
+    found = [line for path in modules if path.name not in ALLOWED_MODULES for line in clock_readings(path)]
     assert found == []
 
 
 def test_the_reactor_runs_on_the_monotonic_clock():
-    """In a process of its own: a reactor is installed once."""
-    words = (
+    """Runs in another process, because a process can install only one reactor."""
+    program = (
         "from limelatch.relay.reactor import reactor; import time; print(reactor.seconds is time.monotonic)"
     )
-    done = subprocess.run([sys.executable, "-c", words], capture_output=True, text=True)
+    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True)
     assert done.stdout == "True\n", done.stderr
--- a/tests/test_operator_server.py
+++ b/tests/test_operator_server.py
@@ -1,4 +1,4 @@
-"""The operators' door, over real loopback sockets, on the relay's process."""
+"""The operators' port of a running relay, over real loopback sockets."""
 
 import copy
 import json
@@ -10,7 +10,7 @@
 
 
 class OperatorClient:
-    """An operator on one connection of the door."""
+    """One operator's connection to a relay."""
 
     def __init__(self, address):
         self.socket = socket.create_connection(address, timeout=WAIT)
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def relay(plan):
-    """A relay with a door; it is started by the test."""
+    """A relay with an operators' port; the test starts it."""
     program = plan()
     with socket.create_server((program.address, 0)) as spare:
         port = spare.getsockname()[1]
@@ -34,28 +34,28 @@
     return program
 
 
-def test_each_call_is_answered_and_each_bad_one_gets_an_error_on_a_usable_connection(relay, agent, party):
+def test_each_command_is_answered_and_an_invalid_one_leaves_the_connection_usable(relay, agent, party):
     agent.list(party().address, "s-1")
     relay.start()
-    caller = OperatorClient(relay.operator_address)
-    assert caller.call("STATUS").startswith("+OK serving")
-    assert caller.call("SUSPEND").startswith("-ERR SUSPEND takes an id")
-    assert caller.call("PAUSE now").startswith("-ERR PAUSE takes nothing")
-    assert caller.call("RESTORE s-9").startswith("-ERR no host 's-9'")
-    assert caller.call("DANCE").startswith("-ERR unknown call")
-    assert caller.call(b"STATUS \xff\n").startswith("-ERR a call is a line of plain text")
-    assert caller.call(b"S" * 300 + b"\n").startswith("-ERR a call holds 256 bytes")
-    assert caller.call("").startswith("-ERR a call is wanted")
-    assert caller.call("status\r").startswith("+OK serving")
-
-
-def test_a_silent_caller_and_one_with_half_a_call_delay_nobody(relay, agent):
+    operator = OperatorClient(relay.operator_address)
+    assert operator.call("STATUS").startswith("+OK serving")
+    assert operator.call("SUSPEND").startswith("-ERR SUSPEND takes an id")
+    assert operator.call("PAUSE now").startswith("-ERR PAUSE takes nothing")
+    assert operator.call("RESTORE s-9").startswith("-ERR no host 's-9'")
+    assert operator.call("DANCE").startswith("-ERR unknown call")
+    assert operator.call(b"STATUS \xff\n").startswith("-ERR a call is a line of plain text")
+    assert operator.call(b"S" * 300 + b"\n").startswith("-ERR a call holds 256 bytes")
+    assert operator.call("").startswith("-ERR a call is wanted")
+    assert operator.call("status\r").startswith("+OK serving")
+
+
+def test_a_silent_connection_and_one_with_a_partial_command_delay_no_other(relay, agent):
     relay.start()
-    callers = [
+    operators = [
         OperatorClient(relay.operator_address),
         OperatorClient(relay.operator_address),
-    ]  # the first says nothing
-    callers[1].socket.sendall(b"STAT")
+    ]  # the first stays silent
+    operators[1].socket.sendall(b"STAT")
     assert OperatorClient(relay.operator_address).call("STATUS").startswith("+OK")
 
 
@@ -64,15 +64,15 @@
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
     client = relay.start()
-    caller = OperatorClient(relay.operator_address)
-    assert caller.call("SUSPEND s-1").startswith("+OK s-1 out")
-    assert caller.call("SUSPEND s-1").startswith("+OK s-1 out, 2")
+    operator = OperatorClient(relay.operator_address)
+    assert operator.call("SUSPEND s-1").startswith("+OK s-1 out")
+    assert operator.call("SUSPEND s-1").startswith("+OK s-1 out, 2")
     for number in range(4):
         assert client.submit(f"t{number}") == "+OK"
         assert second.next().headers["X-Txn"] == f"t{number}"
     assert first.asked.empty()
     assert json.loads((relay.state / "out").read_text()) == {"s-1": 2}
-    assert caller.call("RESTORE s-1") == "+OK s-1 back"
+    assert operator.call("RESTORE s-1") == "+OK s-1 back"
     assert json.loads((relay.state / "out").read_text()) == {}
 
 
@@ -83,36 +83,38 @@
     agent.list(second.address, "s-2")
     client = relay.start()
     assert client.submit("t0") == "+OK"
-    beside = copy.copy(relay)
-    beside.process = None
+    standby = copy.copy(relay)
+    standby.process = None
     with socket.create_server((relay.address, 0)) as spare:
         port = spare.getsockname()[1]
-    beside.configure_file(operator=f"{relay.address}:{port}")
+    standby.configure_file(operator=f"{relay.address}:{port}")
     try:
-        beside.start()
-        callers = OperatorClient(relay.operator_address), OperatorClient((relay.address, port))
-        assert callers[told].call("SUSPEND s-1").startswith("+OK")
-        time.sleep(1.0)  # from then on it holds, by the operators' page
+        standby.start()
+        operators = OperatorClient(relay.operator_address), OperatorClient((relay.address, port))
+        assert operators[told].call("SUSPEND s-1").startswith("+OK")
+        time.sleep(
+            1.0
+        )  # after this time it is in force in both processes, as the operators' documentation says
         while not first.asked.empty():
             first.asked.get()
         for number in range(30):
             assert relay.client().submit(f"t{number + 1}") == "+OK"
             assert second.next().headers["X-Txn"]
         assert first.asked.empty()
-        assert callers[1 - told].call("SUSPEND s-2").startswith("+OK")
-        assert callers[1 - told].call("RESTORE s-1").startswith("+OK")
+        assert operators[1 - told].call("SUSPEND s-2").startswith("+OK")
+        assert operators[1 - told].call("RESTORE s-1").startswith("+OK")
         time.sleep(1.0)
         assert relay.client().submit("last") == "+OK"
         while first.next().headers["X-Txn"] != "last":
             pass
         relay.kill()
-        beside.says("event=taken-over")
+        standby.says("event=taken-over")
         assert json.loads((relay.state / "out").read_text()) == {"s-2": 1}
     finally:
-        beside.kill()
+        standby.kill()
 
 
-def test_hosts_out_outlast_the_process(relay, agent, party):
+def test_suspended_hosts_stay_suspended_after_a_restart(relay, agent, party):
     first, second = party(), party()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
@@ -122,25 +124,25 @@
     assert first.asked.empty()
 
 
-def test_a_pause_says_no_to_ping_closes_resting_connections_and_resume_says_yes(relay, agent, party):
+def test_pause_fails_pings_and_closes_idle_connections_and_resume_serves_again(relay, agent, party):
     host = party()
     agent.list(host.address, "s-1")
     client = relay.start()
-    caller = OperatorClient(relay.operator_address)
-    assert caller.call("PAUSE").startswith("+OK paused")
+    operator = OperatorClient(relay.operator_address)
+    assert operator.call("PAUSE").startswith("+OK paused")
     assert client.ask("PING").startswith("-ERR")
-    assert client.submit("t1") == "+OK"  # a text on an open connection is still taken
-    assert client.lines.readline() == b""  # and the connection is closed after the grace
-    assert caller.call("RESUME") == "+OK serving"
+    assert client.submit("t1") == "+OK"  # a text on an open connection is still accepted
+    assert client.lines.readline() == b""  # and the connection is closed after the grace period
+    assert operator.call("RESUME") == "+OK serving"
     assert relay.client().ask("PING") == "+PONG"
 
 
-def test_a_new_process_serves_beside_the_old_and_takes_over_what_it_owed(program, agent, party):
-    asked = []
+def test_a_new_process_serves_alongside_the_old_and_takes_over_its_open_texts(program, agent, party):
+    called = []
 
     def reply(request):
-        asked.append(request.headers["X-Txn"])
-        if len(asked) == 1:  # the first stays out while the old process lives
+        called.append(request.headers["X-Txn"])
+        if len(called) == 1:  # the first call stays in flight while the old process runs
             request.hang()
             return None
         return (200,)
@@ -149,41 +151,41 @@
     agent.list(host.address, "s-1")
     client = program.start()
     assert client.submit("t1", product="report") == "+OK"
-    twin = copy.copy(program)
-    twin.process = None
+    successor = copy.copy(program)
+    successor.process = None
     try:
-        twin.start()  # same file: the same address and folder
-        program.kill()  # as the old one is at the latest
-        assert "adopted=1" in twin.says("event=taken-over")
-        assert twin.client().submit("t2") == "+OK"
+        successor.start()  # same configuration file: the same address and state directory
+        program.kill()  # an upgrade kills the old process at the latest
+        assert "adopted=1" in successor.says("event=taken-over")
+        assert successor.client().submit("t2") == "+OK"
         until = time.monotonic() + WAIT
-        while not {"t1", "t2"} <= set(asked) and time.monotonic() < until:
+        while not {"t1", "t2"} <= set(called) and time.monotonic() < until:
             host.next()
-        assert {"t1", "t2"} <= set(asked)
+        assert {"t1", "t2"} <= set(called)
         assert not (program.state / "next" / "ledger").exists()
     finally:
-        twin.kill()
+        successor.kill()
 
 
 def ping(program):
     try:
         return program.client().ask("PING")
-    except ConnectionResetError:  # one that came while the old port closed
+    except ConnectionResetError:  # the connection came while the old port was closing
         return "reset"
 
 
-def test_an_old_process_told_to_stop_leaves_new_clients_to_its_successor(plan, agent, party):
+def test_an_old_process_that_stops_leaves_new_clients_to_its_successor(plan, agent, party):
     agent.list(party().address, "s-1")
-    program = plan(stop_least_ms=3000)  # so that it is still there for the clients that come
+    program = plan(stop_least_ms=3000)  # so that it still runs while the clients connect
     program.start()
-    twin = copy.copy(program)
-    twin.process = None
+    successor = copy.copy(program)
+    successor.process = None
     try:
-        twin.start()
+        successor.start()
         program.terminate()
         assert "handed_over=true" in program.says("event=stopping")
         answers = [ping(program) for _ in range(20)]
         assert "-ERR stopping" not in answers and answers.count("+PONG") >= 18
         assert program.process.wait(WAIT) == 0
     finally:
-        twin.kill()
+        successor.kill()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The program on sockets: it is started, spoken to, killed and started again."""
+"""The relay's process with real sockets: start, clients, hosts, catalog, platform, kill, stop and reload."""
 
 import json
 import os
@@ -16,10 +16,11 @@
 
 
 def hang(request):
+    """Never answer."""
     request.hang()
 
 
-def test_a_text_goes_out_as_it_came_and_is_delivered(program, agent, party):
+def test_a_text_is_sent_unchanged_and_delivered(program, agent, party):
     host = party()
     agent.list(host.address)
     client = program.start()
@@ -33,7 +34,7 @@
     assert host.asked.empty() and agent.notices.empty()
 
 
-def test_a_told_wait_is_heeded_by_every_text(plan, agent, party):
+def test_a_retry_after_holds_back_every_text_of_the_host(plan, agent, party):
     program = plan(settings=SETTINGS | {"familyInfo": {"slots": 1}})
     host = party(lambda request: None)
     agent.list(host.address)
@@ -41,14 +42,16 @@
     client.submit("t1")
     call = host.next()
     client.submit("t2")  # waits for the only slot
-    host.reply, told = lambda request: (200,), time.monotonic()
+    host.reply, refused_at = lambda request: (200,), time.monotonic()
     call.answer(429, Retry_After="0.6")
     calls = [host.next(), host.next()]
     assert {call.headers["X-Txn"] for call in calls} == {"t1", "t2"}
-    assert min(call.at for call in calls) - told >= 0.6
+    assert min(call.at for call in calls) - refused_at >= 0.6
 
 
-def test_what_was_reset_and_may_not_run_twice_ends_by_a_notice_until_it_is_heard(program, agent, party):
+def test_a_once_only_text_whose_call_was_reset_ends_by_a_notice_repeated_until_acknowledged(
+    program, agent, party
+):
     host = party(lambda request: request.cut())
     agent.list(host.address)
     agent.notice_status = 503
@@ -60,18 +63,18 @@
     assert host.next() and host.asked.empty()
 
 
-def test_a_notice_lost_with_its_connection_goes_again(program, agent):
+def test_a_notice_lost_with_its_connection_is_sent_again(program, agent):
     agent.list("127.0.0.1:1", status="leaving")
-    client, taken, agent.reply = program.start(), agent.reply, lambda request: request.cut()
+    client, normal_reply, agent.reply = program.start(), agent.reply, lambda request: request.cut()
     assert client.submit("t1", d=50) == "-BUSY 2000"
     client.submit("t2", d=300)
     while agent.next().path != "/reports":
         pass
-    agent.reply = taken
+    agent.reply = normal_reply
     assert agent.notice() == {"ref": "t2", "result": "bounced", "wait_ms": 2000}
 
 
-def test_the_next_text_of_a_key_waits_until_the_notice_is_answered(program, agent, party):
+def test_the_next_text_of_a_key_waits_until_the_notice_is_acknowledged(program, agent, party):
     host = party(lambda request: request.cut() if request.headers["X-Txn"] == "t1" else (200,))
     agent.list(host.address)
     agent.notice_status = 503
@@ -85,8 +88,8 @@
     assert host.next().headers["X-Txn"] == "t2"
 
 
-def test_a_bounce_tells_when_to_come_again(program, agent):
-    agent.list("127.0.0.1:1", status="leaving")  # nobody takes texts for this destination
+def test_a_bounced_notice_says_when_to_submit_again(program, agent):
+    agent.list("127.0.0.1:1", status="leaving")  # no host serves this destination
     client = program.start()
     assert client.submit("t1", d=300) == "+OK"
     assert agent.notice() == {"ref": "t1", "result": "bounced", "wait_ms": 2000}
@@ -94,11 +97,11 @@
 
 
 def test_texts_of_one_turn_share_a_batch(program, agent, party):
-    held = queue.Queue()
+    releases = queue.Queue()
 
     def reply(request):
         if not request.path.endswith(":batch"):
-            held.get(timeout=WAIT)
+            releases.get(timeout=WAIT)
             return (200,)
         rows = [{"id": row["id"], "state": "delivered"} for row in json.loads(request.body)]
         return 200, json.dumps(rows).encode()
@@ -106,20 +109,20 @@
     host = party(reply)
     agent.list(host.address, kind="batching")
     client = program.start()
-    for number in range(4):  # the window of a destination is half of eight slots at first
+    for number in range(4):  # the first window of a destination is half of the eight slots
         client.submit(f"a{number}")
         host.next()
     for number in range(3):
         client.submit(f"b{number}", body=b"b%d" % number)
     for _ in range(4):
-        held.put(None)
+        releases.put(None)
     call = host.next()
     assert call.path == "/v1/messages:batch"
     assert [row["id"] for row in json.loads(call.body)] == ["b0", "b1", "b2"]
     assert json.loads(call.body)[0] == {"id": "b0", "body": "YjA=", "key": "5c0f"}
 
 
-def test_a_call_out_at_a_kill_is_not_sent_again_if_it_may_not_run_twice(program, agent, party):
+def test_a_once_only_text_in_flight_at_a_kill_is_not_sent_again(program, agent, party):
     host = party(hang)
     agent.list(host.address)
     client = program.start()
@@ -134,7 +137,8 @@
     assert host.asked.empty()
 
 
-def test_a_call_out_at_a_kill_goes_again_with_its_key_where_a_repeat_is_known(program, agent, party):
+def test_a_text_in_flight_at_a_kill_is_sent_again_with_its_idempotency_key(program, agent, party):
+    """Its product's hosts recognize a repeat by that key."""
     host = party(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice", b"\0body", mark="5c0f6e1a")
@@ -147,7 +151,7 @@
     assert again.body == b"\0body"
 
 
-def test_texts_and_notices_owed_at_a_kill_outlast_it_and_a_torn_tail(program, agent, party):
+def test_open_texts_and_notices_survive_a_kill_and_a_truncated_last_record(program, agent, party):
     agent.notice_status = 503
     agent.list("127.0.0.1:1", status="leaving")
     client = program.start()
@@ -165,7 +169,7 @@
     assert host.next().headers["X-Txn"] == "t2"
 
 
-def test_sigterm_lets_calls_finish_and_takes_nothing_new(program, agent, party):
+def test_sigterm_lets_calls_finish_and_accepts_no_text(program, agent, party):
     host = party(lambda request: None)
     agent.list(host.address)
     client = program.start()
@@ -181,7 +185,7 @@
     assert agent.notices.empty()
 
 
-def test_sigterm_ends_in_time_with_a_call_out_and_the_text_is_still_owed(plan, agent, party):
+def test_a_stop_ends_in_time_despite_a_call_in_flight_and_its_text_stays_open(plan, agent, party):
     program = plan(stop_ms=300)
     host = party(hang)
     agent.list(host.address)
@@ -202,29 +206,29 @@
         [b"SUBMIT", b"0", b"bad id\r\n", b"c=report,d=1,dest=1", b""],
         [b"SUBMIT", b"0", b"t1", b"c=unknown,d=9000,dest=1", b""],
         [b"SUBMIT", b"0", b"t1", b"c=report,d=x,dest=1", b""],
-        [b"SUBMIT", b"0", b"t1", b"c=report,d=9000,dest=77", b""],  # no host was ever listed for it
+        [b"SUBMIT", b"0", b"t1", b"c=report,d=9000,dest=77", b""],  # the catalog never listed a host for it
         [b"SUBMIT", b"0", b"t1", b"c=report,d=9000,dest=1", bytes(64 * 1024 + 1)],
     ],
 )
-def test_a_bad_command_gets_an_error_and_the_connection_goes_on(program, agent, command):
+def test_an_invalid_command_gets_an_error_and_the_connection_stays_usable(program, agent, command):
     client = program.start()
     assert client.ask(*command).startswith("-ERR")
     assert client.ask("PING") == "+PONG"
 
 
-def test_a_peer_that_sends_nonsense_loses_its_connection_and_nothing_else(program, agent, party):
+def test_malformed_data_closes_only_the_connection_it_came_on(program, agent, party):
     host = party(lambda request: request.handler.wfile.write(b"nonsense\r\n\r\n") and None)
     agent.list(host.address)
     client = program.start()
-    bad = program.client()
-    bad.socket.sendall(b"*1\r\n:5\r\n")
-    assert bad.lines.readline().startswith(b"-ERR") and bad.lines.readline() == b""
+    malformed_client = program.client()
+    malformed_client.socket.sendall(b"*1\r\n:5\r\n")
+    assert malformed_client.lines.readline().startswith(b"-ERR") and malformed_client.lines.readline() == b""
     client.submit("t1", "charge", key="k1")
     assert agent.notice() == {"ref": "t1", "result": "dead"}  # it may have run
     assert client.ask("PING") == "+PONG"
 
 
-def test_texts_handed_in_without_waiting_are_answered_in_turn(program, agent, party):
+def test_pipelined_submits_are_answered_in_order(program, agent, party):
     host = party()
     agent.list(host.address)
     client = program.start()
@@ -243,7 +247,7 @@
     assert {host.next().headers["X-Txn"] for _ in range(4)} == {"t0", "t1", "t3", "t4"}
 
 
-def test_a_client_that_has_said_all_still_gets_its_answer(program, agent):
+def test_a_client_that_closed_its_sending_side_still_gets_its_answer(program, agent):
     agent.list("127.0.0.1:1")
     client = program.start()
     client.write("SUBMIT", "0", "t1", "c=report,t=acme,d=9000,dest=1", "hello")
@@ -252,48 +256,54 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*2\r\n$6\r\nSUB", b"*5\r\n$6\r\nSUBMIT\r\n$60000\r\n"])
-def test_a_client_that_says_nothing_or_half_a_command_is_closed(plan, agent, sent):
+def test_a_client_that_sends_nothing_or_a_partial_command_is_closed(plan, agent, sent):
     program = plan(client_command_ms=150)
     good = program.start()
-    bad = program.client()
-    bad.socket.sendall(sent)
-    told = b"-ERR the command did not come whole in its time\r\n" if sent else b""
-    assert good.ask("PING") == "+PONG" and bad.lines.read() == told and good.ask("PING") == "+PONG"
+    malformed_client = program.client()
+    malformed_client.socket.sendall(sent)
+    answer = b"-ERR the command did not come whole in its time\r\n" if sent else b""
+    assert (
+        good.ask("PING") == "+PONG"
+        and malformed_client.lines.read() == answer
+        and good.ask("PING") == "+PONG"
+    )
 
 
-def test_a_client_with_no_request_open_is_closed_in_time(plan, agent):
+def test_an_idle_client_is_closed_after_the_idle_timeout(plan, agent):
     client = plan(client_idle_ms=150).start()
     assert client.ask("PING") == "+PONG" and client.lines.read() == b""
 
 
-def test_clients_that_ask_once_and_stay_are_closed_sooner_while_the_table_is_half_full(plan, agent):
+def test_idle_clients_are_closed_sooner_while_half_of_the_client_slots_are_taken(plan, agent):
     program = plan(limits={"sockets": 64}, client_idle_ms=8000)
     clients = [program.start()] + [program.client() for _ in range(16)]
     assert [client.ask("PING") for client in clients] == ["+PONG"] * 17
     sockets = {client.socket: client for client in clients}
-    closed, _, _ = select.select(sockets, [], [], 5)  # the first whose look comes: then the table has room
+    closed, _, _ = select.select(sockets, [], [], 5)  # closing the first one frees enough slots
     assert closed and sockets[closed[0]].lines.read() == b""
 
 
-def test_bad_commands_without_end_are_answered_up_to_a_bound(program, agent):
+def test_a_client_that_sends_only_invalid_commands_is_closed_after_a_limit(program, agent):
     client = program.start()
     client.socket.sendall(b"NONSENSE\r\n" * 100)
     lines = client.lines.readlines()
     assert len(lines) == 8 and all(line.startswith(b"-ERR") for line in lines)
 
 
-def test_half_sent_bodies_are_bounded_together(plan, agent):
-    program = plan(limits={"memory_mb": 1})  # of which an eighth
+def test_the_memory_for_partial_commands_is_bounded_over_all_clients(plan, agent):
+    program = plan(limits={"memory_mb": 1})  # partial commands may take an eighth of it
     client = program.start()
-    half = b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$2\r\nt1\r\n$20\r\nc=report,d=9000,dest\r\n$60000\r\n"
+    partial_command = (
+        b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$2\r\nt1\r\n$20\r\nc=report,d=9000,dest\r\n$60000\r\n"
+    )
     large, others = program.client(), [program.client() for _ in range(2)]
-    large.socket.sendall(half + bytes(59000))
+    large.socket.sendall(partial_command + bytes(59000))
     for each in others:
-        each.socket.sendall(half + bytes(40000))
+        each.socket.sendall(partial_command + bytes(40000))
     assert large.lines.read() == b"-BUSY\r\n" and client.ask("PING") == "+PONG"
 
 
-def test_a_full_table_closes_the_connection_that_is_silent_for_longest(plan, agent):
+def test_with_all_client_slots_taken_the_longest_silent_connection_is_closed(plan, agent):
     program = plan(limits={"sockets": 64})
     client = program.start()
     others = [program.client() for _ in range(32)]
@@ -301,7 +311,7 @@
     assert client.lines.readline() == b""
 
 
-def test_the_watch_tells_of_drains_and_is_opened_again_at_its_index(program, agent, party):
+def test_the_watch_reports_drains_and_is_reopened_at_its_last_index(program, agent, party):
     first, second = party(), party()
     agent.list(first.address)
     client = program.start()
@@ -317,10 +327,10 @@
     assert first.asked.empty()
 
 
-def test_sighup_moves_the_watch_and_owed_notices_to_the_new_address(program, agent, party, other_agent):
+def test_sighup_moves_the_watch_and_pending_notices_to_the_new_address(program, agent, party, other_agent):
     agent.list("127.0.0.1:1", status="leaving")
     other_agent.list((host := party()).address, "s-2", dest=2)
-    agent.notice_status, agent.index = 503, 9  # an index that means nothing to the other
+    agent.notice_status, agent.index = 503, 9  # an index that is unknown to the other catalog
     client = program.start()
     agent.watches.get(timeout=WAIT)
     client.submit("t1", d=150)
@@ -331,7 +341,7 @@
     assert client.submit("t2", dest=2) == "+OK" and host.next().headers["X-Txn"] == "t2"
 
 
-def test_the_list_held_serves_until_a_new_catalog_has_told_its_own(program, agent, party):
+def test_the_known_list_is_used_until_a_new_catalog_has_sent_its_own(program, agent, party):
     host = party()
     agent.list(host.address)
     client = program.start()
@@ -341,7 +351,9 @@
         assert client.submit("t1") == "+OK" and host.next().headers["X-Txn"] == "t1"
 
 
-def test_a_bad_configuration_is_logged_with_its_key_and_the_old_one_stays(program, agent, party, other_agent):
+def test_an_invalid_configuration_is_logged_with_its_key_and_the_old_one_stays(
+    program, agent, party, other_agent
+):
     host = party()
     client = program.start()
     watch = agent.watches.get(timeout=WAIT)
@@ -353,7 +365,7 @@
     assert other_agent.asked.empty()
 
 
-def test_a_wrong_key_is_named_on_one_plain_line(tmp_path):
+def test_an_invalid_key_at_a_start_is_reported_on_one_line(tmp_path):
     file = tmp_path / "relay.json"
     file.write_text(
         json.dumps(
@@ -376,8 +388,8 @@
     assert done.stderr.count("\n") == 1 and "settings.limits.maxOpen" in done.stderr
 
 
-def test_an_asked_list_is_watched_when_the_module_says_and_again_after_a_failure(plan, agent, party):
-    """One build serves both shapes: with these settings the module says when the catalog is watched."""
+def test_a_subscribed_list_is_watched_on_request_and_again_after_a_failure(plan, agent, party):
+    """With `subscribe`, the decision module requests each watch of the catalog."""
     first, second, rules = party(), party(), SETTINGS["rules"] | {"askEvery": 1000}
     agent.list(first.address)
     program = plan(settings=SETTINGS | {"discovery": "subscribe", "rules": rules}, list_ms=50)
@@ -387,13 +399,13 @@
     agent.list(first.address, status="leaving")
     agent.list(second.address, "s-2")
     agent.tell(watch)
-    agent.tell(watch, b"no json\n")  # so that the news before it has been read
+    agent.tell(watch, b"no json\n")  # ends the watch after the update has been read
     assert agent.watches.get(timeout=WAIT)[1] == agent.index and client.submit("t1") == "+OK"
     assert second.next().headers["X-Txn"] == "t1" and first.asked.empty()
 
 
 DIGEST = {"name": "digest", "effect": "pure", "deadline": 9000}
-RETUNED = SETTINGS | {"classes": [SETTINGS["classes"][2], DIGEST]}
+CHANGED_SETTINGS = SETTINGS | {"classes": [SETTINGS["classes"][2], DIGEST]}
 
 
 @pytest.mark.parametrize(
@@ -404,7 +416,7 @@
         ({"name": "digest", "effect": "pure"}, "settings.classes[1].deadline: is wanted"),
     ],
 )
-def test_a_broken_new_configuration_leaves_the_settings_whole(program, agent, party, broken, why):
+def test_an_invalid_new_configuration_changes_no_setting(program, agent, party, broken, why):
     agent.list(party().address)
     client = program.start()
     program.configure(settings=SETTINGS | {"classes": [SETTINGS["classes"][2], broken]})
@@ -413,16 +425,16 @@
     assert client.submit("t2", product="charge", key="0007") == "+OK"
 
 
-def test_sighup_takes_new_products_and_open_texts_keep_their_rules(program, agent, party):
-    held = []
-    host = party(lambda request: held.append(request) or request.hang())
+def test_sighup_applies_new_products_and_open_texts_keep_their_old_settings(program, agent, party):
+    requests = []
+    host = party(lambda request: requests.append(request) or request.hang())
     agent.list(host.address)
     client = program.start()
     assert client.submit("t1", product="charge", key="0007") == "+OK"
-    host.next()  # out, and held there
-    program.configure(settings=RETUNED)
+    host.next()  # now in flight, and never answered
+    program.configure(settings=CHANGED_SETTINGS)
     assert "products=2 submits=4" in program.says("event=configured")
     assert client.submit("t2", product="digest") == "+OK"
     assert client.submit("t3", product="charge").startswith("-ERR unknown class")
     products = {entry.pairs["product"] for entry in look(str(program.state)).entries.values()}
-    assert products == {"charge", "digest"}  # each text under the rows it came with
+    assert products == {"charge", "digest"}  # each text with the settings it was accepted under
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -1,4 +1,4 @@
-"""A machine's wall clock is stepped while the relay is at work: spans of real time stay what they are."""
+"""Steps of the machine's wall clock while the relay runs must not change its deadlines, waits and windows."""
 
 import os
 import re
@@ -16,46 +16,46 @@
 from limelatch.relay.clock import Anchor
 from limelatch.relay.whole_file import replace_whole
 
-ENDS_WITHIN = 1.0  # seconds from a relay's last word to its process's end, on a machine with load too
-SLACK = 0.3  # seconds after a text's time within which it must have its end, as the protocol allows
-CLIENT_WAIT = 0.4  # seconds that a client waits for the answer to its handing in
+MAX_EXIT_SECONDS = 1.0  # from a relay's last log line to the end of its process, also on a loaded machine
+MAX_LATE_SECONDS = 0.3  # after a text's validity period, within which it must end by the protocol
+ANSWER_TIMEOUT_SECONDS = 0.4  # that a client waits for the answer to its command
 
 
-def answered(client, text, **more):
-    """The relay's answer, which comes within the time that a client waits for it."""
-    asked = time.monotonic()
+def submit_in_time(client, text, **more):
+    """Submit the text and return the answer, which must come before the client's timeout."""
+    submitted_at = time.monotonic()
     answer = client.submit(text, **more)
-    assert time.monotonic() - asked < CLIENT_WAIT, f"{text} was answered too late"
+    assert time.monotonic() - submitted_at < ANSWER_TIMEOUT_SECONDS, f"{text} was answered too late"
     return answer
 
 
-def test_a_wall_clock_stepped_back_delays_no_answer_no_repeat_and_no_end(faulty, faults, agent, party):
-    """The incident's machine n4: 17 s back while a text waits to be tried again, another is out."""
+def test_a_wall_clock_stepped_back_delays_no_answer_no_retry_and_no_notice(faulty, faults, agent, party):
+    """As on machine n4 in the incident: 17 s back while one text waits for a retry, another is in flight."""
     program = faulty()
     host = party(lambda request: (429,) if request.headers["X-Txn"] == "refused" else (200,))
     silent = party(lambda request: request.hang())
     agent.list(host.address)
     agent.list(silent.address, "s-2", dest=2)
     client = program.start()
-    assert answered(client, "refused", d=5000) == "+OK"
+    assert submit_in_time(client, "refused", d=5000) == "+OK"
     assert host.next().headers["X-Txn"] == "refused"
-    assert answered(client, "out", dest=2, d=1500) == "+OK"
-    taken = time.monotonic()
+    assert submit_in_time(client, "out", dest=2, d=1500) == "+OK"
+    accepted_at = time.monotonic()
     silent.next()
     host.reply = lambda request: (200,)
-    faults.step(-17)  # nothing else happens until the due time that the relay's timer is set to has passed
-    assert agent.notice()["ref"] == "out" and time.monotonic() - taken < 1.5 + SLACK
+    faults.step(-17)  # nothing else happens until the relay's timer has passed its deadline
+    assert agent.notice()["ref"] == "out" and time.monotonic() - accepted_at < 1.5 + MAX_LATE_SECONDS
     assert host.next().headers["X-Txn"] == "refused"
-    assert answered(client, "after", d=5000) == "+OK" and host.next().headers["X-Txn"] == "after"
+    assert submit_in_time(client, "after", d=5000) == "+OK" and host.next().headers["X-Txn"] == "after"
     faults.step(+20)
-    assert answered(client, "later") == "+OK" and host.next().headers["X-Txn"] == "later"
+    assert submit_in_time(client, "later") == "+OK" and host.next().headers["X-Txn"] == "later"
 
 
 STEPS = [-3600, -60, -3, -0.5, 0.5, 3, 60, 3600]  # seconds
-WINDOW = 2.0  # seconds in which the hosts here know a repeat
+WINDOW = 2.0  # seconds within which the hosts recognize a repeated text
 NOTICE, *OTHERS = SETTINGS["classes"]
-SHORT = SETTINGS | {"classes": [NOTICE | {"dedupWindow": WINDOW * 1000, "group": "all"}, *OTHERS]}
-WIDE = SETTINGS | {"classes": [NOTICE | {"dedupWindow": 8000, "group": "all"}, *OTHERS]}
+SHORT_WINDOW = SETTINGS | {"classes": [NOTICE | {"dedupWindow": WINDOW * 1000, "group": "all"}, *OTHERS]}
+LONG_WINDOW = SETTINGS | {"classes": [NOTICE | {"dedupWindow": 8000, "group": "all"}, *OTHERS]}
 
 
 def hang(request):
@@ -63,58 +63,60 @@
 
 
 def wait_until(moment):
-    """Until the monotonic clock has come to it."""
+    """Wait until the monotonic clock has reached `moment`."""
     threading.Event().wait(max(0.0, moment - time.monotonic()))
 
 
-def ends_in_time(agent, text, taken, valid):
-    """The text's notice comes at its time by the monotonic clock: neither early nor late."""
+def assert_notice_in_time(agent, text, accepted_at, valid):
+    """The notice must come at the end of the text's validity by the monotonic clock, not early, not late."""
     assert agent.notice()["ref"] == text
-    passed = time.monotonic() - taken
-    assert valid - 0.5 < passed < valid + SLACK, f"{text} ended after {passed:.3f} s of {valid}"
+    passed = time.monotonic() - accepted_at
+    assert valid - 0.5 < passed < valid + MAX_LATE_SECONDS, f"{text} ended after {passed:.3f} s of {valid}"
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_while_texts_wait_moves_no_end_no_told_wait_and_no_repeat(faulty, faults, agent, party, step):
+def test_a_step_while_texts_wait_moves_no_deadline_no_retry_after_and_no_retry(
+    faulty, faults, agent, party, step
+):
     program = faulty()
     host = party(lambda request: request.answer(429, Retry_After="0.8"))
     silent = party(hang)
     agent.list(host.address)
     agent.list(silent.address, "s-2", dest=2)
     client = program.start()
-    assert answered(client, "told", d=6000) == "+OK"
+    assert submit_in_time(client, "told", d=6000) == "+OK"
     refused = host.next()
-    assert answered(client, "out", dest=2, d=1500) == "+OK"
-    taken = time.monotonic()
+    assert submit_in_time(client, "out", dest=2, d=1500) == "+OK"
+    accepted_at = time.monotonic()
     silent.next()
     host.reply = lambda request: (200,)
     faults.step(step)
     again = host.next()
     assert again.headers["X-Txn"] == "told" and 0.8 <= again.at - refused.at < 2.5
-    ends_in_time(agent, "out", taken, 1.5)
-    assert answered(client, "after") == "+OK" and host.next().headers["X-Txn"] == "after"
-    told = program.says("event=clock-stepped")
-    assert abs(int(re.search(r"by_ms=(-?\d+)", told)[1]) - step * 1000) < 20
+    assert_notice_in_time(agent, "out", accepted_at, 1.5)
+    assert submit_in_time(client, "after") == "+OK" and host.next().headers["X-Txn"] == "after"
+    line = program.says("event=clock-stepped")
+    assert abs(int(re.search(r"by_ms=(-?\d+)", line)[1]) - step * 1000) < 20
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_between_a_kill_and_the_restart_moves_no_text_s_time(faulty, faults, agent, step):
+def test_a_step_between_a_kill_and_the_restart_moves_no_text_s_deadline(faulty, faults, agent, step):
     program = faulty()
-    agent.list("127.0.0.1:1", status="leaving")  # nobody takes texts for this destination
+    agent.list("127.0.0.1:1", status="leaving")  # no host serves this destination
     client = program.start()
-    taken = time.monotonic()
+    accepted_at = time.monotonic()
     assert client.submit("t1", d=2500) == "+OK"
     program.kill()
     faults.step(step)
     program.start()
     assert "by=same-boot" in next(line for line in program.said[::-1] if "event=clock-resumed" in line)
-    ends_in_time(agent, "t1", taken, 2.5)
+    assert_notice_in_time(agent, "t1", accepted_at, 2.5)
 
 
 @pytest.mark.parametrize("step", STEPS)
 def test_a_step_between_a_kill_and_the_restart_moves_no_repeat_window(faulty, faults, agent, party, step):
-    """Back after the window: a clock that was set back must not have the text repeated."""
-    program, host = faulty(settings=SHORT), party(hang)
+    """The relay restarts after the window: a wall clock set back must not make it repeat the text."""
+    program, host = faulty(settings=SHORT_WINDOW), party(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice", d=20_000)
     first = host.next()
@@ -128,8 +130,8 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_restart_within_the_window_repeats_whatever_the_step(faulty, faults, agent, party, step):
-    program, host = faulty(settings=WIDE), party(hang)
+def test_a_restart_within_the_window_repeats_the_text_despite_a_step(faulty, faults, agent, party, step):
+    program, host = faulty(settings=LONG_WINDOW), party(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice", d=20_000)
     host.next()
@@ -141,11 +143,11 @@
 
 
 @pytest.mark.parametrize("step", [-3600, -3, 3, 3600])
-def test_a_step_between_the_two_processes_of_an_upgrade_moves_no_text_s_time(faulty, faults, agent, step):
+def test_a_step_between_the_two_processes_of_an_upgrade_moves_no_deadline(faulty, faults, agent, step):
     program = faulty()
     agent.list("127.0.0.1:1", status="leaving")
     client = program.start()
-    taken = time.monotonic()
+    accepted_at = time.monotonic()
     assert client.submit("t1", d=3000) == "+OK"
     old = program.process
     faults.step(step)
@@ -153,21 +155,21 @@
     old.kill()
     old.wait(WAIT)
     program.says("event=taken-over")
-    ends_in_time(agent, "t1", taken, 3.0)
+    assert_notice_in_time(agent, "t1", accepted_at, 3.0)
 
 
 @pytest.mark.parametrize("step", [-3600, 3600])
-def test_a_reboot_goes_on_by_the_wall_clock_and_repeats_nothing_that_may_have_run(
+def test_after_a_reboot_an_earlier_step_moves_no_deadline_and_repeats_no_text_that_may_have_run(
     faulty, faults, agent, party, step
 ):
-    """The wall clock was stepped while the machine was up, and seen to be: it counts for nothing after."""
-    program, host = faulty(settings=SHORT), party(hang)
+    """The step was detected while the machine was up, so it must have no effect after the reboot."""
+    program, host = faulty(settings=SHORT_WINDOW), party(hang)
     agent.list(host.address)
     agent.list("127.0.0.1:1", "s-2", dest=2, status="leaving")
     client = program.start()
     faults.step(step)
     program.says("event=clock-stepped")
-    taken = time.monotonic()
+    accepted_at = time.monotonic()
     assert client.submit("held", dest=2, d=3000) == "+OK"
     assert client.submit("ran", "notice", d=20_000) == "+OK"
     host.next()
@@ -179,61 +181,61 @@
     host.reply = lambda request: (200,)
     program.start()
     assert agent.notice()["ref"] == "ran"
-    ends_in_time(agent, "held", taken, 3.0)
+    assert_notice_in_time(agent, "held", accepted_at, 3.0)
     client = program.client()
     assert client.submit("new") == "+OK" and host.next().headers["X-Txn"] == "new" and host.asked.empty()
 
 
 @pytest.mark.parametrize("step", [-3600, 3600])
-def test_a_step_at_sighup_and_in_a_stop_leaves_their_spans(faulty, faults, agent, party, step):
+def test_a_step_at_sighup_and_in_a_stop_moves_no_deadline(faulty, faults, agent, party, step):
     program, host = faulty(stop_ms=1500), party(hang)
     agent.list(host.address)
     client = program.start()
     faults.step(step)
     program.configure()
     program.says("event=configured")
-    assert answered(client, "t1", d=9000) == "+OK"
+    assert submit_in_time(client, "t1", d=9000) == "+OK"
     host.next()
     program.terminate()
     program.says("event=stopping")
-    began = time.monotonic()
+    started_at = time.monotonic()
     faults.step(-step)
     program.says("event=stopped")
-    assert time.monotonic() - began < 1.5 + SLACK
+    assert time.monotonic() - started_at < 1.5 + MAX_LATE_SECONDS
     assert program.process.wait(WAIT) == 0
-    assert time.monotonic() - began < 1.5 + SLACK + ENDS_WITHIN
+    assert time.monotonic() - started_at < 1.5 + MAX_LATE_SECONDS + MAX_EXIT_SECONDS
 
 
 @pytest.mark.parametrize("step", [-3600, 3600])
-def test_a_step_moves_neither_a_drain_nor_the_silence_of_a_client_or_the_catalog(faulty, faults, agent, step):
+def test_a_step_moves_no_timeout_of_a_pause_a_client_or_the_catalog(faulty, faults, agent, step):
     with socket.create_server(("127.0.0.1", 0)) as spare:
-        door_port = spare.getsockname()[1]
-    program = faulty(operator=f"127.0.0.1:{door_port}", silence_ms=1000)
+        operator_port = spare.getsockname()[1]
+    program = faulty(operator=f"127.0.0.1:{operator_port}", silence_ms=1000)
     agent.list("127.0.0.1:1")
     client = program.start()
     agent.watches.get(timeout=WAIT)
-    half = program.client()
-    half.socket.sendall(b"*3\r\n$6\r\nSUB")
+    partial_client = program.client()
+    partial_client.socket.sendall(b"*3\r\n$6\r\nSUB")
     faults.step(step)
-    began = time.monotonic()
-    agent.watches.get(timeout=WAIT)  # the silent watch is opened anew
-    assert time.monotonic() - began < 1.0 + SLACK
-    assert half.lines.read() == b"-ERR the command did not come whole in its time\r\n"
-    assert time.monotonic() - began < 3.5
-    with socket.create_connection(("127.0.0.1", door_port), timeout=WAIT) as operator:
+    started_at = time.monotonic()
+    agent.watches.get(timeout=WAIT)  # the relay reopens the silent watch
+    assert time.monotonic() - started_at < 1.0 + MAX_LATE_SECONDS
+    assert partial_client.lines.read() == b"-ERR the command did not come whole in its time\r\n"
+    assert time.monotonic() - started_at < 3.5
+    with socket.create_connection(("127.0.0.1", operator_port), timeout=WAIT) as operator:
         operator.sendall(b"PAUSE\n")
         assert operator.recv(100).startswith(b"+OK")
-        paused = time.monotonic()
-        assert client.lines.read() == b""  # a resting connection is closed after a second's grace
-        assert time.monotonic() - paused < 1.0 + SLACK
+        paused_at = time.monotonic()
+        assert client.lines.read() == b""  # an idle connection is closed one second after PAUSE
+        assert time.monotonic() - paused_at < 1.0 + MAX_LATE_SECONDS
 
 
-def test_the_ledger_command_tells_real_spans_on_a_stepped_machine(faulty, faults, agent):
+def test_the_ledger_command_shows_real_durations_on_a_stepped_machine(faulty, faults, agent):
     program = faulty()
     agent.list("127.0.0.1:1", status="leaving")
     assert program.start().submit("t1", d=9000) == "+OK"
     faults.step(3600)
-    words = [sys.executable, "-m", "limelatch", "ledger", "list", str(program.state)]
-    listed = subprocess.run(words, env=os.environ | faults.environment, capture_output=True, text=True)
+    command = [sys.executable, "-m", "limelatch", "ledger", "list", str(program.state)]
+    listed = subprocess.run(command, env=os.environ | faults.environment, capture_output=True, text=True)
     row = next(line for line in listed.stdout.splitlines() if line.startswith("t1"))
     assert 5.0 < float(row.split()[-3]) <= 9.0, listed.stdout
