--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -1,6 +1,6 @@
 """limelatch's decisions: which host gets which text, when, and what a text's final answer is.
 
-One `Policy(terms, now)` a relay: tell it each event, call `decide(now)` and carry out its actions in order
+One `Policy(settings, now)` a relay: tell it each event, call `decide(now)` and carry out its actions in order
 (limelatch/interface.py; reasons: docs/design/decisions.md). `_plan` sets the wanted state, `_gate` checks
 the rules for every send, `_emit` works out the difference; `may_go` asks again when a connection has come up.
 
@@ -19,14 +19,36 @@
 from collections import defaultdict
 from math import sqrt
 
-from limelatch.chance import Chance
-from limelatch.interface import (MS, SECOND, Action, CloseIdle, Effect, Forget, Health, HostEntry, HostId,
-                                 Listing, LogLine, Nack, Past, Product, Result, Submit, SubmitReport, Terms,
-                                 Text, TextId, Undeliverable, Wake, Watch)
-from limelatch.key_order import KeyOrder, Place
+from limelatch.random_source import RandomSource
+from limelatch.interface import (
+    MS,
+    SECOND,
+    Action,
+    CloseIdle,
+    Effect,
+    Forget,
+    Health,
+    HostEntry,
+    HostId,
+    Listing,
+    LogLine,
+    Nack,
+    TextHistory,
+    Product,
+    Result,
+    Submit,
+    SubmitReport,
+    PolicySettings,
+    Text,
+    TextId,
+    Undeliverable,
+    Wake,
+    Watch,
+)
+from limelatch.key_order import KeyOrder, QueuedText
 
 # The design's figures; tokens are counted in tenths.
-BUCKET, REFILL, TOKEN = 200, 1, 10
+TOKEN_BUCKET_SIZE, REFILL, TOKEN = 200, 1, 10
 BASE, CAP, TIME_OUT, GUIDE_TIME_OUT = 600 * MS, 8 * SECOND, 9 * SECOND, 3 * SECOND  # the guide's: few slots
 TOLD_JITTER, RECENT_CALLS, USUAL_AT_FIRST = 150 * MS, 7, 400 * MS  # told waits; median held to the usual
 PERIOD, LAST_MOMENT, NEVER = 20 * MS, 100 * MS, 1 << 62  # ours from here: the timer's least wait; a submit's
@@ -38,14 +60,15 @@
 LIMIT_USED_UP, TOLD_SHUT, REFUSED_OFTEN = 0.15, 3 * SECOND, 8  # share left; wait, cuts in a row of an outage
 PACE_CUT, PACE_LEAST, PACE_GROWTH, PACE_REST, PACE_BURST, PACE_APART = 0.6, 0.4, 0.05, 300 * MS, 0.4, 1.5
 PACE_STEP, FLOW_SPAN, SERVED_SPAN = 0.05, 5 * SECOND, 20 * SECOND  # growth by a delivery; spans of own rates
-REST, LESSON = SERVED_SPAN, 600 * SECOND  # own rates have faded; age of what only deliveries would undo
+# own rates have faded; age of what only deliveries would undo
+DESTINATION_IDLE_TIME, LEARNED_STATE_LIFETIME = SERVED_SPAN, 600 * SECOND
 PACE_FREE, PACE_LEARN, PACE_ROOM, PACE_SAVED = 4.0, 0.2, 0.02, 2.0  # no limit told; many relays: room
 ASK_PART, ASK_CAP, ASK_BY = 4, 3, 55 * SECOND // 10  # of the time to ask within; from the catalog's last word
 TRIAL_PART, SEEN_BEFORE, RATE_AT_FIRST = 0.7, 5 * SECOND, 2.0  # of what a cold one bears; age; unknown limit
 HELD_UP = 150 * MS  # what a relay may lose between its clock and a repeat's last byte, within the window
 SCARCE, ROOM_LEFT = 0.9, 0.92  # share of the slots for shorter time-outs, of the room for nacks of held texts
-NEW = Past()  # of a text that no process had before
-ANSWERED, UNANSWERED = (Result.ERROR, Result.SPOILT), (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+NO_HISTORY = TextHistory()  # of a text that no process had before
+ANSWERED, UNANSWERED = (Result.ERROR, Result.MALFORMED), (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
 
 class Call:
@@ -57,26 +80,32 @@
         self.idle, host.gap = apart if host.kept else 0, (host.gap + apart) // 2  # idle: of the connections
 
 
-class Held:
+class PendingText:
     """A text that this relay has taken and not finally answered."""
 
-    def __init__(self, text: Text, row: Product, past: Past) -> None:
-        self.text, self.row, self.submits, self.due, self.found = text, row, past.submits, 0, past is not NEW
-        self.key = text.key if (row.in_order if past.in_order is None else past.in_order) else 0
+    def __init__(self, text: Text, row: Product, history: TextHistory) -> None:
+        self.text, self.row, self.submits, self.due, self.found = (
+            text,
+            row,
+            history.submit_count,
+            0,
+            history is not NO_HISTORY,
+        )
+        self.key = text.key if (row.in_order if history.in_order is None else history.in_order) else 0
         self.ran_at = self.zone = None  # when and where the first submit that may have run was sent
         self.call = self.verdict = None  # the Call that it is out in, its final Action
         self.until = text.valid_until  # too late to send it: its validity period, or its product's window
         self.sla_at = text.valid_until - row.validity_period + row.sla_time
-        self.may_have_run(past.ran_at, past.ran_zone)
+        self.may_have_run(history.first_run_at, history.first_run_zone)
 
     def may_have_run(self, at: int | None, zone: int | None) -> None:
         if self.ran_at is None and at is not None:
             self.ran_at, self.zone = at, zone
             if self.row.effect is Effect.REFERENCED:
-                self.until = min(self.until, at + self.row.repeat_window)
+                self.until = min(self.until, at + self.row.retry_window)
 
     def may_nack(self) -> bool:
-        effect, anywhere = self.row.effect, self.row.repeats_anywhere
+        effect, anywhere = self.row.effect, self.row.retry_anywhere
         return self.ran_at is None or effect is Effect.RESENDABLE or effect is Effect.REFERENCED and anywhere
 
 
@@ -104,7 +133,7 @@
     def saved_after(self) -> int:
         """Until a call is saved up, as the pace grows: one saved up unseen would go with the next text."""
         missing = max(0.0, 1.0 - self.credit) if self.pace else 0.0
-        root = missing and sqrt(self.pace ** 2 + 2 * self.growth * missing * (self.pace < self.limit))
+        root = missing and sqrt(self.pace**2 + 2 * self.growth * missing * (self.pace < self.limit))
         return 1 + int(2 * missing * SECOND / (self.pace + root)) if missing else 0
 
     def grow(self, share: float) -> None:
@@ -127,7 +156,7 @@
         self.seen += 1
         step = abs(took - self.usual) // self.seen if self.seen <= 8 else self.usual >> 6
         self.usual += step if took > self.usual else -step
-        self.recent = self.recent[1 - RECENT_CALLS:] + [took]
+        self.recent = self.recent[1 - RECENT_CALLS :] + [took]
         slow = len(self.recent) == RECENT_CALLS and sorted(self.recent)[RECENT_CALLS // 2] > 2 * self.usual
         self.recent = [] if slow else self.recent
         return slow
@@ -136,7 +165,8 @@
 class Host:
     def __init__(self, entry: HostEntry, dest: Destination, route: Route, keep: int) -> None:
         self.id, self.zone, self.kind, self.listing = entry.host, entry.zone, entry.kind, entry.listing
-        self.dest, self.route, self.out, self.failing, self.sick = dest, route, [], 0.0, False  # out: calls
+        # out: calls
+        self.dest, self.route, self.out, self.failing, self.in_outage = dest, route, [], 0.0, False
         self.warm_credit, self.warm_at, self.back_at, self.last_ok = 0.0, 0, None, -GOOD_LATELY
         self.gap = self.gap_most = keep  # time between calls, as far as hosts keep connections idle
         self.sibling_told_at = -1  # of the last news of it by the other process of an upgrade
@@ -154,53 +184,72 @@
     """One outside receiver: its token bucket, its hosts, and the texts held for it."""
 
     def __init__(self) -> None:
-        self.tokens, self.calls, self.shared, self.look_at, self.rest_at, self.had = BUCKET, 0, None, 0, 0, 0
-        self.waiting: dict[TextId, Held] = {}  # its texts that are not out
+        self.tokens, self.calls, self.shared, self.look_at, self.rest_at, self.had = (
+            TOKEN_BUCKET_SIZE,
+            0,
+            None,
+            0,
+            0,
+            0,
+        )
+        self.waiting: dict[TextId, PendingText] = {}  # its texts that are not out
         self.hosts: list[Host] = []
 
 
 class Policy:
-    def __init__(self, terms: Terms, now: int) -> None:
-        self.terms, self.chance = terms, Chance(terms.seed)
-        self.texts: dict[TextId, Held] = {}
-        self.unheard: dict[TextId, Held] = {}  # finally answered, and the answer is not known to be heard
+    def __init__(self, settings: PolicySettings, now: int) -> None:
+        self.settings, self.random_source = settings, RandomSource(settings.seed)
+        self.texts: dict[TextId, PendingText] = {}
+        # finally answered, and the answer is not known to be heard
+        self.unacknowledged: dict[TextId, PendingText] = {}
         self.hosts: dict[HostId, Host] = {}
-        self.dests: defaultdict[int, Destination] = defaultdict(Destination)
+        self.destinations: defaultdict[int, Destination] = defaultdict(Destination)
         self.active: dict[int, Destination] = {}  # those with texts waiting; a tick looks at no others
-        self.processes = 1  # of this relay: 2 in an upgrade, which both send to a host back from an outage
-        self.order = KeyOrder()  # of texts of products in order, over all processes of the relay
+        # of this relay: 2 in an upgrade, which both send to a host back from an outage
+        self.process_count = 1
+        self.key_order = KeyOrder()  # of texts of products in order, over all processes of the relay
         self.expiries: list[tuple[int, TextId]] = []
         self.slots_used, self.wake_at, self.stop_at = 0, now, NEVER
-        self.rest = REST if terms.hosts_on_demand else NEVER  # of a destination, until it may be forgotten
+        # of a destination, until it may be forgotten
+        self.rest = DESTINATION_IDLE_TIME if settings.hosts_on_demand else NEVER
         self.ask_at, self.asked = NEVER, 0  # when to ask for the list; calls for it that failed in a row
         self.list_failed(now, calls=0)
-        self.keep = int(terms.conn_idle * KEEP_PART)  # how long connections may stand idle
-        self.idle_most = [self.keep // 2 if terms.relays > KEEPERS else NEVER] * len(terms.kinds)  # by kind
-        self.room_at = [now + terms.conn_idle] * len(terms.kinds)  # when no connect has failed until then
-        self.stale = [0.0] * len(terms.kinds)  # smoothed share of calls on kept connections that were reset
-        self.products: list[set[int]] = [set() for _ in terms.kinds]  # that go to each kind
+        # how long connections may stand idle
+        self.max_idle_time = int(settings.connection_idle_limit * KEEP_PART)
+        self.idle_most = [self.max_idle_time // 2 if settings.relays > KEEPERS else NEVER] * len(
+            settings.kinds
+        )  # by kind
+        self.room_at = [now + settings.connection_idle_limit] * len(
+            settings.kinds
+        )  # when no connect has failed until then
+        self.stale = [0.0] * len(
+            settings.kinds
+        )  # smoothed share of calls on kept connections that were reset
+        self.products: list[set[int]] = [set() for _ in settings.kinds]  # that go to each kind
         self.changed, self.closing, self.log = [], [], []  # texts to act on, hosts, lines
-        self.resting: dict[int, int] = {}  # destinations that lost a text: when to look at them
+        self.idle_destinations: dict[int, int] = {}  # destinations that lost a text: when to look at them
 
     def hosts_listed(self, now: int, entries: list[HostEntry], whole: bool, news: bool = True) -> None:
         """News of the list; what a whole list leaves out is gone. No news: of a destination met anew."""
         self.asked = 0 if news else self.asked
-        self.order.forget_rests(now)
+        self.key_order.forget_expired_cooldowns(now)
         for host in self.hosts.values() if whole else ():
             host.listing = Listing.GONE
         for host, entry in [(self._host(entry), entry) for entry in entries]:
             host.listing = entry.listing
-            if self.terms.rates_listed and not host.route.limit:
-                host.route.learn_limit(entry.rate, self.terms.relays)
-        for number in list(self.dests) if whole else dict.fromkeys(entry.destination for entry in entries):
-            self._sort_hosts(self.dests[number])
+            if self.settings.rates_listed and not host.route.limit:
+                host.route.learn_limit(entry.rate, self.settings.relays)
+        for number in (
+            list(self.destinations) if whole else dict.fromkeys(entry.destination for entry in entries)
+        ):
+            self._sort_hosts(self.destinations[number])
 
     def list_failed(self, now: int, heard_at: int = NEVER, calls: int = 1) -> None:
         """A call for the list failed, or its watch ended, last heard then: ask again, apart and in time."""
-        if self.terms.list_asked:
+        if self.settings.list_asked:
             self.asked += calls
-            part = self.terms.ask_within // ASK_PART * min(self.asked + 1, ASK_CAP)
-            self.ask_at = now + self.chance.below(min(part, max(0, heard_at + ASK_BY - now)))
+            part = self.settings.ask_within // ASK_PART * min(self.asked + 1, ASK_CAP)
+            self.ask_at = now + self.random_source.next_below(min(part, max(0, heard_at + ASK_BY - now)))
 
     def _sort_hosts(self, dest: Destination) -> None:
         for host in [each for each in dest.hosts if each.listing is Listing.GONE and not each.out]:
@@ -211,28 +260,30 @@
         for host in dest.hosts:
             host.route.hosts = [other for other in dest.hosts if other.route is host.route]
 
-    def text_taken(self, now: int, text: Text, past: Past = NEW) -> None:
+    def text_accepted(self, now: int, text: Text, history: TextHistory = NO_HISTORY) -> None:
         """A text from a client or, with its past, from this relay's time before a restart, in its order."""
-        held = self.texts[text.id] = Held(text, self.terms.products[text.product], past)
+        held = self.texts[text.id] = PendingText(text, self.settings.products[text.product], history)
         if held.key:
-            handed_in_at = now if text.handed_in_at is None else text.handed_in_at
-            self.order.take(held.key, Place(text.id, handed_in_at, past.submits > 0))
-        if past.out and held.key:
-            self.order.rest(held.key, text.id, now + self.terms.turn_gap)
-        if past.answered:
-            self.unheard[text.id] = self.texts.pop(text.id)
+            received_at = now if text.received_at is None else text.received_at
+            self.key_order.add(held.key, QueuedText(text.id, received_at, history.submit_count > 0))
+        if history.in_flight and held.key:
+            self.key_order.start_cooldown(held.key, text.id, now + self.settings.key_cooldown)
+        if history.is_answered:
+            self.unacknowledged[text.id] = self.texts.pop(text.id)
         elif held.ran_at is not None and held.row.effect is Effect.ONCE_ONLY:
             self._end(now, held)
         else:
             self._hold(held)
-            for route in [host.route for host in self.dests[text.destination].hosts] if text.again else ():
+            for route in (
+                [host.route for host in self.destinations[text.destination].hosts] if text.resubmitted else ()
+            ):
                 if not route.limit and not route.pace and now - route.served_at > FLOW_SPAN:
                     route.pace, route.credit_at = PACE_CUT * SECOND / FLOW_SPAN, now  # as if refused here
-                    route.credit = -self.chance.below(1000) / 1000
+                    route.credit = -self.random_source.next_below(1000) / 1000
 
-    def _hold(self, held: Held) -> None:
+    def _hold(self, held: PendingText) -> None:
         """The text waits for a submit, until it can no longer be sent in time."""
-        dest = self.active[held.text.destination] = self.dests[held.text.destination]
+        dest = self.active[held.text.destination] = self.destinations[held.text.destination]
         dest.waiting[held.text.id], dest.look_at, dest.had = held, 0, dest.had + (held.submits == 0)
         heapq.heappush(self.expiries, (held.until - LAST_MOMENT, held.text.id))
 
@@ -248,50 +299,55 @@
         if report.result in ANSWERED + UNANSWERED:  # it may have run
             held.may_have_run(call.sent, host.zone)
             if report.result is not Result.ERROR and held.key:
-                self.order.rest(held.key, held.text.id, now + self.terms.turn_gap)
-        if report.over:
+                self.key_order.start_cooldown(held.key, held.text.id, now + self.settings.key_cooldown)
+        if report.finished:
             return self._forget(now, held)
         held.submits -= report.unsent
         wait = self._jitter(max(1, held.submits))  # the design's test for a repeat, its token last
         once_ran = held.row.effect is Effect.ONCE_ONLY and held.ran_at is not None
         in_time = now + wait < held.until - (host.route.usual if held.ran_at is None else 0)
         price = 0 if report.unsent else TOKEN
-        if held.submits < self.terms.max_submits and not once_ran and in_time and host.dest.tokens >= price:
+        if (
+            held.submits < self.settings.max_submits
+            and not once_ran
+            and in_time
+            and host.dest.tokens >= price
+        ):
             host.dest.tokens, held.due = host.dest.tokens - price, now + wait
             self._hold(held)
         else:
             self._end(now, held)
 
-    def text_over(self, now: int, text: TextId) -> None:
+    def text_finished(self, now: int, text: TextId) -> None:
         """Its client left, or its final answer has been heard: only now may the next text of its key go."""
-        if (held := self.unheard.pop(text, None) or self.texts.get(text)) and held.call is None:
+        if (held := self.unacknowledged.pop(text, None) or self.texts.get(text)) and held.call is None:
             self._forget(now, held)
 
-    def wait_told_to_sibling(self, host: HostId, until: int) -> None:
+    def wait_from_sibling(self, host: HostId, until: int) -> None:
         """The other process of this relay was told to wait: the wait binds both."""
         if (known := self.hosts.get(host)) is not None:
             known.route.wait_until = max(known.route.wait_until, until)
 
-    def health_told_to_sibling(self, now: int, host: HostId, health: Health, at: int) -> None:
+    def health_from_sibling(self, now: int, host: HostId, health: Health, at: int) -> None:
         """The other process of this relay found a host so at that time; what this one has seen since counts
         more. Guards against a returning host that a process without knowledge of its outage pushes over."""
         if (known := self.hosts.get(host)) is None or at <= known.sibling_told_at:
             return
         known.sibling_told_at, route = at, known.route
-        if known.sick and route.down_at > at:
+        if known.in_outage and route.down_at > at:
             return
-        if health is Health.SICK and not known.sick and known.last_ok < at:
-            self._fall_sick(at, known)
+        if health is Health.OUTAGE and not known.in_outage and known.last_ok < at:
+            self._mark_outage(at, known)
             self._next_trial(now, route)
-        elif health is Health.WARMING and now - at < self.terms.cold_time and known.back_at is None:
+        elif health is Health.WARMING and now - at < self.settings.cold_time and known.back_at is None:
             self._warm_up(now, known, at)
-            if not any(each.sick for each in route.hosts):
+            if not any(each.in_outage for each in route.hosts):
                 route.tries = 0
 
     def stopping(self, until: int) -> None:
         self.stop_at = until
 
-    def may_go(self, now: int, text: TextId, host: HostId) -> bool:
+    def may_send(self, now: int, text: TextId, host: HostId) -> bool:
         """Asked as the connection for a submit has come up: guards against a drain, a wait or an earlier text
         of its key told since."""
         held, host = self.texts.get(text), self.hosts.get(host)
@@ -308,40 +364,56 @@
 
     def _let_go(self, now: int) -> None:
         """What is at rest, and of which nothing is known but what the list tells, is forgotten again."""
-        while next(iter(self.resting.values()), NEVER) <= now:
-            dest = self.dests.get(number := next(iter(self.resting)))
-            del self.resting[number]
-            if dest and (dest.waiting or dest.calls or now < dest.rest_at + REST or self._learned(now, dest)):
-                self.resting[number] = now + self.rest
+        while next(iter(self.idle_destinations.values()), NEVER) <= now:
+            dest = self.destinations.get(number := next(iter(self.idle_destinations)))
+            del self.idle_destinations[number]
+            if dest and (
+                dest.waiting
+                or dest.calls
+                or now < dest.rest_at + DESTINATION_IDLE_TIME
+                or self._learned(now, dest)
+            ):
+                self.idle_destinations[number] = now + self.rest
             elif dest:
-                self._sort_hosts(self.dests.pop(number))
+                self._sort_hosts(self.destinations.pop(number))
                 self.log.append(Forget(number, [self.hosts.pop(host.id).id for host in dest.hosts]))
 
     def _learned(self, now: int, dest: Destination) -> bool:
         """Whether it knows what a new start would not; what only deliveries undo counts until it is old."""
-        aged, part = now > dest.rest_at + LESSON, self.terms.relays if self.terms.relays > KEEPERS else 1
+        aged, part = (
+            now > dest.rest_at + LEARNED_STATE_LIFETIME,
+            self.settings.relays if self.settings.relays > KEEPERS else 1,
+        )
         for host in dest.hosts:
             self._advance(now, host)
             route, even = host.route, host.route.limit / part
             slowed = route.pace > 0 and (not even or route.pace < even)
-            ailing = host.sick or host.back_at is not None or host.failing > FAIL_STEP / 2 and not aged
-            if ailing or slowed or route.wait_until > now or host.kept and now < host.used_at + self.keep:
+            ailing = host.in_outage or host.back_at is not None or host.failing > FAIL_STEP / 2 and not aged
+            if (
+                ailing
+                or slowed
+                or route.wait_until > now
+                or host.kept
+                and now < host.used_at + self.max_idle_time
+            ):
                 return True
-        return not aged and dest.tokens < BUCKET
+        return not aged and dest.tokens < TOKEN_BUCKET_SIZE
 
     def _learn(self, now: int, host: Host, call: Call, report: SubmitReport, product: int) -> None:
         """Take an outcome into the bucket, the window, the pace and the host's health."""
         route, result, kind, counts = host.route, report.result, host.kind, call.texts == 0
-        route.learn_limit(report.limit_rate, self.terms.relays)
+        route.learn_limit(report.limit_rate, self.settings.relays)
         self.products[kind].add(product)
         idle, reset = call.idle if report.idle is None else report.idle, result is Result.RESET
-        many = self.terms.relays > KEEPERS and result in (Result.CONNECT, Result.TIMEOUT)
+        many = self.settings.relays > KEEPERS and result in (Result.CONNECT, Result.TIMEOUT)
         lost = idle > 0 and (reset or many and result is Result.TIMEOUT)
         near, quick = now - host.last_ok < GOOD_LATELY, report.took < route.usual // 2
         spared = near and result is Result.CONNECT or reset and quick and (idle or near)  # no outage
         self.stale[kind] += (STALE_STEP if idle else STALE_FADE) * (lost - self.stale[kind])
         table = many and result is Result.CONNECT and self.room_at[kind] < NEVER  # full of idle ones?
-        self.idle_most[kind] = max(self.idle_most[kind], self.keep if self.room_at[kind] <= now else 0)
+        self.idle_most[kind] = max(
+            self.idle_most[kind], self.max_idle_time if self.room_at[kind] <= now else 0
+        )
         if (many or reset) and (idle > STALE_LEAST or result is Result.CONNECT):
             self.room_at[kind] = NEVER
             self.idle_most[kind] = min(self.idle_most[kind], max(STALE_LEAST, idle * 3 // 4))
@@ -349,27 +421,29 @@
                 if each.kind == kind and each.kept and not each.out and each is not host:
                     each.kept = False
                     self.closing.append(each)
-        if report.told_wait:  # of several texts in a call some may be delivered and the others told to wait
+        if report.retry_after:  # of several texts in a call some may be delivered and the others told to wait
             used_up = report.limit_left is not None and report.limit_left < LIMIT_USED_UP
-            spread = TOLD_JITTER if used_up else max(TOLD_JITTER, report.told_wait)
-            route.wait_until = max(route.wait_until, now + report.told_wait + self.chance.below(spread))
-        if result is Result.DELIVERED or result is Result.SPOILT and report.over:
-            host.dest.tokens = min(BUCKET, host.dest.tokens + REFILL)
+            spread = TOLD_JITTER if used_up else max(TOLD_JITTER, report.retry_after)
+            route.wait_until = max(
+                route.wait_until, now + report.retry_after + self.random_source.next_below(spread)
+            )
+        if result is Result.DELIVERED or result is Result.MALFORMED and report.finished:
+            host.dest.tokens = min(TOKEN_BUCKET_SIZE, host.dest.tokens + REFILL)
             host.sour.pop(product, None)
             route.served = route.served * max(0.0, 1 - (now - route.served_at) / SERVED_SPAN) + 1.0
             host.last_ok, route.served_at, route.cuts = now, now, 0
-            left, part = report.limit_left, PACE_ROOM if self.terms.relays > KEEPERS else 1.0
+            left, part = report.limit_left, PACE_ROOM if self.settings.relays > KEEPERS else 1.0
             growth = PACE_STEP if left is None else part * max(0.0, left)  # by what others leave
             route.grow(growth if route.limit else PACE_LEARN)
             route.window = min(route.window + 1, self._window_cap(host))
             if route.learn_latency(report.took):
                 self._halve(now, route, call)
             host.failing *= 1 - FAIL_STEP
-            if host.sick:  # an outage mostly takes all hosts of a route, and so does its end
+            if host.in_outage:  # an outage mostly takes all hosts of a route, and so does its end
                 self._come_back(now, route)
         elif result is Result.FULL and counts:
-            self._refused(now, host, report.told_wait, report.limit_left)
-        elif result not in (Result.FULL, Result.MOOT, Result.CANCELLED) and counts and not spared:
+            self._refused(now, host, report.retry_after, report.limit_left)
+        elif result not in (Result.FULL, Result.NOT_SENT, Result.CANCELLED) and counts and not spared:
             self._halve(now, route, call)
             ok = host.last_ok > call.sent - (0 if result is Result.TIMEOUT else GOOD_LATELY)
             step = FAIL_STEP if ok or lost or table or result in ANSWERED else SILENT_STEP
@@ -378,12 +452,17 @@
 
     def _one_product(self, now: int, host: Host, product: int, result: Result) -> bool:
         """Whether it fails one product alone, and no other host of its route does; few tell by shares."""
-        several = self.terms.relays > KEEPERS and len(self.products[host.kind]) > 1
+        several = self.settings.relays > KEEPERS and len(self.products[host.kind]) > 1
         if several and result not in (Result.CONNECT, Result.RESET):
             host.sour[product] = now
         others = [each for each in host.route.hosts if each is not host and each.listing is Listing.READY]
-        return bool(others) and host.sour.get(product) == now and not host.sick and not any(
-            each.sick or self._sour(now, each) for each in others) and len(self._sour(now, host)) == 1
+        return (
+            bool(others)
+            and host.sour.get(product) == now
+            and not host.in_outage
+            and not any(each.in_outage or self._sour(now, each) for each in others)
+            and len(self._sour(now, host)) == 1
+        )
 
     def _sour(self, now: int, host: Host) -> list[int]:
         return [product for product, at in host.sour.items() if at > now - SERVED_SPAN]
@@ -394,41 +473,45 @@
 
     def _failed(self, now: int, host: Host, why: str, step: float) -> None:
         """A host that fails often is sick."""
-        route, sound = host.route, not host.sick
+        route, sound = host.route, not host.in_outage
         host.failing += (1 - host.failing) * step
         if sound and host.failing > SICK_SHARE:
-            self._fall_sick(now, host)
-            self.log.append(LogLine(f"sick: {why}, failing {host.failing:.2f}", host.id, Health.SICK))
-        if host.sick:
+            self._mark_outage(now, host)
+            self.log.append(LogLine(f"sick: {why}, failing {host.failing:.2f}", host.id, Health.OUTAGE))
+        if host.in_outage:
             self._next_trial(now, route)
 
-    def _fall_sick(self, at: int, host: Host) -> None:
+    def _mark_outage(self, at: int, host: Host) -> None:
         """The host is in an outage, and with it those of its route that have not delivered lately."""
         route, dest = host.route, host.dest
-        if not any(each.sick for each in route.hosts):
+        if not any(each.in_outage for each in route.hosts):
             route.down_at, route.tries, dest.had = at, 0, 1 + dest.calls + len(dest.waiting)
         for each in [one for one in route.hosts if one is host or one.last_ok < at - GOOD_LATELY]:
-            each.sick, each.back_at = True, None
+            each.in_outage, each.back_at = True, None
 
     def _refused(self, now: int, host: Host, told: int, left: float | None) -> None:
         """A refusal lowers the pace: from the relay's own rate, where a limit is known towards its even part.
         Guards against hundreds of relays, each far under the limit, that use it up by being refused."""
-        route, even = host.route, (host.route.limit or RATE_AT_FIRST) / self.terms.relays
+        route, even = host.route, (host.route.limit or RATE_AT_FIRST) / self.settings.relays
         room = left is not None and left >= LIMIT_USED_UP  # not the limit, then: it is shut
         if now - route.cut_at > PACE_REST or not route.pace:
-            route.refill(now, self.terms.relays)
+            route.refill(now, self.settings.relays)
             own, weight = route.flow * SECOND / FLOW_SPAN, 1 / (route.flow + (1 if left is None else 2))
             if route.limit:
-                mixed = (2 * own) ** (1 - weight) * even ** weight
-                fair = min(route.pace, even if room and now - host.last_ok > GOOD_LATELY else mixed)
-                deeper = route.cuts * weight if self.terms.relays > KEEPERS else 0.0  # few relays push less
+                conflicts = (2 * own) ** (1 - weight) * even**weight
+                fair = min(route.pace, even if room and now - host.last_ok > GOOD_LATELY else conflicts)
+                deeper = (
+                    route.cuts * weight if self.settings.relays > KEEPERS else 0.0
+                )  # few relays push less
                 route.pace = max(PACE_CUT * fair / (1 + deeper), PACE_LEAST * even)
             else:  # the first may be chance; few relays have texts for it at one time
                 route.pace = max(PACE_CUT / (1 + min(route.cuts, 1)) * min(route.pace or own, own), 2 * even)
             route.cut_at, route.cuts = now, route.cuts + 1
         apart = PACE_APART if route.limit and room else 1.0  # all relays met it shut at one moment
-        route.credit = min(route.credit, 0.5 * bool(route.limit) - apart * self.chance.below(1000) / 1000)
-        if host.sick:
+        route.credit = min(
+            route.credit, 0.5 * bool(route.limit) - apart * self.random_source.next_below(1000) / 1000
+        )
+        if host.in_outage:
             self._next_trial(now, route)
         elif (told > TOLD_SHUT or route.cuts >= REFUSED_OFTEN) and (left is None or room):
             self._failed(now, host, f"refused {route.cuts} times, told to wait {told // MS} ms", 1.0)
@@ -436,57 +519,66 @@
     def _next_trial(self, now: int, route: Route) -> None:
         """The next trial call comes after a wait of the design's kind, from a told wait's end on."""
         route.tries, route.tried_at = route.tries + 1, max(now, route.wait_until) + 100 * MS
-        route.part = (50 if route.tries > 1 else 0) + self.chance.below(100)  # the first: at any time of it
+        route.part = (50 if route.tries > 1 else 0) + self.random_source.next_below(
+            100
+        )  # the first: at any time of it
         route.trial_at = route.tried_at + self._jitter(route.tries + 1)
         self._trial_opens(route)
 
     def _trial_opens(self, route: Route) -> int:
         """Guards against hundreds of relays pushing over a cold destination by their trials alone."""
-        bearable = min(1.0, self.terms.cold_share * self.terms.fall_multiple * TRIAL_PART)
-        spacing = SECOND * self._seers(route.tried_at, route) / (bearable * route.rate(self.terms.relays))
+        bearable = min(1.0, self.settings.cold_share * self.settings.fall_multiple * TRIAL_PART)
+        spacing = SECOND * self._seers(route.tried_at, route) / (bearable * route.rate(self.settings.relays))
         route.trial_at = max(route.trial_at, route.tried_at + int(spacing * route.part / 100))
         return route.trial_at
 
     def _seers(self, now: int, route: Route) -> float:
         """How many relays may know of an outage: by its texts, or by this one's if all are alike."""
-        relays, like = self.terms.relays, self.terms.relays * (route.hosts[0].dest.had - 1) / 2
+        relays, like = self.settings.relays, self.settings.relays * (route.hosts[0].dest.had - 1) / 2
         seers = max(1.0, like, route.rate(relays) * (now - route.down_at + SEEN_BEFORE) / SECOND)
-        return min(relays, seers) * self.processes
+        return min(relays, seers) * self.process_count
 
     def _warm_up(self, now: int, host: Host, back_at: int) -> None:
         """The host is back from an outage since then: it gets what a cold one bears."""
-        host.sick, host.back_at, host.failing, host.warm_at = False, back_at, FAIL_STEP / 2, now
-        host.warm_credit = self.chance.below(1000) / 1000  # many small parts add up to what is safe
+        host.in_outage, host.back_at, host.failing, host.warm_at = False, back_at, FAIL_STEP / 2, now
+        host.warm_credit = (
+            self.random_source.next_below(1000) / 1000
+        )  # many small parts add up to what is safe
 
     def _come_back(self, now: int, route: Route) -> None:
-        for host in [each for each in route.hosts if each.sick]:
+        for host in [each for each in route.hosts if each.in_outage]:
             self._warm_up(now, host, now)
-            self.log.append(LogLine(f"back after {route.tries} trials, warming", host.id,
-                                    Health.WARMING))
+            self.log.append(LogLine(f"back after {route.tries} trials, warming", host.id, Health.WARMING))
         route.tries = 0
 
     def _plan(self, now: int) -> None:
         """Set the wanted state: for each destination in the order of what is at stake, its best texts out."""
         looked = [each for each in self.active.items() if each[1].waiting and each[1].look_at <= now]
-        queue = sorted((self._rank(now, best[0]), number, best) for number, dest in looked
-                       if self.slots_used < self.terms.slots and (best := self._ready(now, dest)))
-        while queue and self.slots_used < self.terms.slots:
+        queue = sorted(
+            (self._rank(now, best[0]), number, best)
+            for number, dest in looked
+            if self.slots_used < self.settings.slots and (best := self._ready(now, dest))
+        )
+        while queue and self.slots_used < self.settings.slots:
             _, number, ready = heapq.heappop(queue)
-            if ready := self._fill_call(now, self.dests[number], ready):
+            if ready := self._fill_call(now, self.destinations[number], ready):
                 heapq.heappush(queue, (self._rank(now, ready[0]), number, ready))
         self.active = {number: dest for number, dest in self.active.items() if dest.waiting}
 
-    def _ready(self, now: int, dest: Destination) -> list[Held]:
+    def _ready(self, now: int, dest: Destination) -> list[PendingText]:
         """The held texts of a destination whose turn and time have come, the best first. What can't be sent
         in time ends at once, but what a restart found untried is tried, at the pace that it takes."""
         for host in dest.hosts:
             self._advance(now, host)
         dest.look_at = min((self._opens_at(now, host) for host in dest.hosts), default=NEVER)
         if dest.look_at > now:
-            found = sorted(h.until - LAST_MOMENT - now for h in dest.waiting.values()
-                           if h.found and not h.submits and h.until > now + SECOND)
+            found = sorted(
+                h.until - LAST_MOMENT - now
+                for h in dest.waiting.values()
+                if h.found and not h.submits and h.until > now + SECOND
+            )
             for host in dest.hosts if found else ():
-                route, batch = host.route, self.terms.kinds[host.kind].texts_per_call
+                route, batch = host.route, self.settings.kinds[host.kind].texts_per_call
                 calls = [(at // batch + 2 - route.credit) / left for at, left in enumerate(found)]
                 route.pace = route.pace and max(route.pace, min(SECOND * max(calls), route.limit or NEVER))
                 dest.look_at = min(dest.look_at, self._opens_at(now, host))
@@ -495,22 +587,24 @@
             return []
         if not (due := [held for held in dest.waiting.values() if held.due <= now]):
             dest.look_at = min(held.due for held in dest.waiting.values())
-        return sorted([h for h in due if self._has_turn(now, h)],
-                      key=lambda held: (not held.found or held.submits > 0, self._rank(now, held)))
+        return sorted(
+            [h for h in due if self._has_turn(now, h)],
+            key=lambda held: (not held.found or held.submits > 0, self._rank(now, held)),
+        )
 
-    def _rank(self, now: int, held: Held) -> tuple:
+    def _rank(self, now: int, held: PendingText) -> tuple:
         """Texts that can still make their SLA time, the nearest first; then the late ones by revenue."""
         late, text = now + USUAL_AT_FIRST > held.sla_at, held.text
         stake = -held.row.revenue * held.row.late_share if late else held.sla_at
         return late, stake, text.valid_until, text.id
 
-    def _fill_call(self, now: int, dest: Destination, ready: list[Held]) -> list[Held]:
+    def _fill_call(self, now: int, dest: Destination, ready: list[PendingText]) -> list[PendingText]:
         """Choose a host for the best text and fill its call; return the texts still to be placed."""
         while (host := self._choose(now, dest, ready[0])) is None:
             if not (ready := ready[1:]):
                 return []
         call, route, rest, soon = Call(host, now), host.route, [], now + host.patience()
-        most = 1 if host.sick or host.overdue(now) else self.terms.kinds[host.kind].texts_per_call
+        most = 1 if host.in_outage or host.overdue(now) else self.settings.kinds[host.kind].texts_per_call
         ends = ready[0].until < soon  # such a call may be given up: it takes no text with more time left
         for held in ready:
             if call.texts < most and (held.until < soon) == ends and self._gate(now, held, host):
@@ -525,61 +619,77 @@
         route.flow, route.flow_at = route.flow * max(0.0, 1 - (now - route.flow_at) / FLOW_SPAN) + 1.0, now
         return rest
 
-    def _choose(self, now: int, dest: Destination, held: Held) -> Host | None:
+    def _choose(self, now: int, dest: Destination, held: PendingText) -> Host | None:
         """Two hosts drawn at random, the one that this relay's own counts favour."""
         able = [h for h in dest.hosts if self._opens_at(now, h) <= now and self._gate(now, held, h)]
         able = [h for h in able if held.text.product not in self._sour(now, h)] or able
-        drawn = [able.pop(self.chance.below(len(able))) for _ in range(min(2, len(able)))]
-        return min(drawn, key=lambda host: (len(host.out), host.failing > FAIL_STEP / 2, not host.kept
-                                            or now - host.used_at > self.keep, host.failing), default=None)
-
-    def _gate(self, now: int, held: Held, host: Host) -> bool:
+        drawn = [able.pop(self.random_source.next_below(len(able))) for _ in range(min(2, len(able)))]
+        return min(
+            drawn,
+            key=lambda host: (
+                len(host.out),
+                host.failing > FAIL_STEP / 2,
+                not host.kept or now - host.used_at > self.max_idle_time,
+                host.failing,
+            ),
+            default=None,
+        )
+
+    def _gate(self, now: int, held: PendingText, host: Host) -> bool:
         """The rules, for every send: no text twice out, no effect twice, drains, waits and order kept."""
-        done = held.verdict is not None or held.call is not None or held.submits >= self.terms.max_submits
+        done = held.verdict is not None or held.call is not None or held.submits >= self.settings.max_submits
         late = host.route.wait_until > now or now + host.patience() > self.stop_at
         if done or late or host.listing is not Listing.READY or not self._has_turn(now, held):
             return False
         if held.ran_at is not None and held.row.effect is not Effect.RESENDABLE:
-            elsewhere = not held.row.repeats_anywhere and host.zone != held.zone
+            elsewhere = not held.row.retry_anywhere and host.zone != held.zone
             if held.row.effect is Effect.ONCE_ONLY or now >= held.until or elsewhere:
                 return False
-        sound = held.row.effect is not Effect.ONCE_ONLY or not host.sick and not host.overdue(now)
+        sound = held.row.effect is not Effect.ONCE_ONLY or not host.in_outage and not host.overdue(now)
         return sound or all(other.row.effect is Effect.ONCE_ONLY for other in host.dest.waiting.values())
 
-    def _has_turn(self, now: int, held: Held) -> bool:
+    def _has_turn(self, now: int, held: PendingText) -> bool:
         """A product in order: only the first text of its key, and after the key's rest."""
-        return not held.key or self.order.hold_of(now, held.key, held.text.id) is None
+        return not held.key or self.key_order.block_reason(now, held.key, held.text.id) is None
 
     def _opens_at(self, now: int, host: Host) -> int:
         """When the host takes one more call of this relay: slots, window, pace, health, warm-up."""
         route, cap = host.route, self._window_cap(host)
-        full = self.slots_used >= self.terms.slots or route.calls >= min(cap, route.window)
+        full = self.slots_used >= self.settings.slots or route.calls >= min(cap, route.window)
         if full or host.dest.calls >= cap or host.listing is not Listing.READY:
             return NEVER
-        if host.sick:
-            return NEVER if any(each.sick and each.out for each in route.hosts) else self._trial_opens(route)
+        if host.in_outage:
+            return (
+                NEVER
+                if any(each.in_outage and each.out for each in route.hosts)
+                else self._trial_opens(route)
+            )
         if host.overdue(now):
             return max(route.wait_until, host.out[-1].sent + host.patience())
         cold = host.back_at is not None and host.warm_credit < 1.0
         return max(now + route.saved_after(), route.wait_until, now + PERIOD if cold else now)
 
     def _window_cap(self, host: Host) -> int:
-        unwell = any(each.sick or each.back_at is not None for each in host.dest.hosts)
-        return max(1, self.terms.slots // 2 if unwell else self.terms.slots * 3 // 4)
+        unwell = any(each.in_outage or each.back_at is not None for each in host.dest.hosts)
+        return max(1, self.settings.slots // 2 if unwell else self.settings.slots * 3 // 4)
 
     def _advance(self, now: int, host: Host) -> None:
         """Bring a host's pace and warm-up to now: what it bears if all that know of its outage send."""
-        terms, route = self.terms, host.route
-        route.refill(now, terms.relays)  # also with no pace, so that the time without one fills no later one
+        settings, route = self.settings, host.route
+        route.refill(
+            now, settings.relays
+        )  # also with no pace, so that the time without one fills no later one
         if host.back_at is None:
             return
         since, passed, seers = now - host.back_at, now - host.warm_at, self._seers(host.back_at, route)
-        if since >= terms.cold_time:
+        if since >= settings.cold_time:
             host.back_at = None
             return self.log.append(LogLine(f"warm after {since // SECOND} s", host.id))
-        early = max(0, host.back_at - max(route.tried_at, route.down_at)) / 2 * (terms.relays > KEEPERS)
-        share = min(1.0, terms.cold_share + (1 - terms.cold_share) * (since + early) / terms.cold_time)
-        rate = route.rate(terms.relays) * share * terms.fall_multiple / len(route.hosts) / seers
+        early = max(0, host.back_at - max(route.tried_at, route.down_at)) / 2 * (settings.relays > KEEPERS)
+        share = min(
+            1.0, settings.cold_share + (1 - settings.cold_share) * (since + early) / settings.cold_time
+        )
+        rate = route.rate(settings.relays) * share * settings.fall_multiple / len(route.hosts) / seers
         host.warm_credit, host.warm_at = min(1.0, host.warm_credit + rate * passed / SECOND), now
 
     def _give_up(self, now: int) -> None:
@@ -588,16 +698,16 @@
             held = self.texts.get(heapq.heappop(self.expiries)[1])
             if held and held.call is None and held.verdict is None and held.until - LAST_MOMENT <= now:
                 self._end(now, held)
-        if (over := len(self.texts) - int(self.terms.max_texts * ROOM_LEFT)) > 0:
+        if (excess := len(self.texts) - int(self.settings.max_texts * ROOM_LEFT)) > 0:
             idle = [h for h in self.texts.values() if h.call is None and h.verdict is None and h.may_nack()]
-            for held in sorted(idle, key=lambda held: self._rank(now, held), reverse=True)[:over]:
+            for held in sorted(idle, key=lambda held: self._rank(now, held), reverse=True)[:excess]:
                 self._end(now, held)
 
-    def _end(self, now: int, held: Held) -> None:
+    def _end(self, now: int, held: PendingText) -> None:
         """The final answer: a nack with advice where coming again is harmless, else undeliverable."""
         text = held.text.id
-        self.dests[held.text.destination].waiting.pop(text, None)
-        held.verdict = Nack(text, self.terms.max_advice) if held.may_nack() else Undeliverable(text)
+        self.destinations[held.text.destination].waiting.pop(text, None)
+        held.verdict = Nack(text, self.settings.max_advice) if held.may_nack() else Undeliverable(text)
         self.changed.append(held)
 
     def _emit(self, now: int) -> list[Action]:
@@ -606,10 +716,10 @@
         for held in self.changed:
             if held.verdict is not None and held.text.id in self.texts:
                 actions.append(held.verdict)
-                self.unheard[held.text.id] = self.texts.pop(held.text.id)
+                self.unacknowledged[held.text.id] = self.texts.pop(held.text.id)
             elif held.call is not None:
                 left, host, call = held.text.valid_until - now, held.call.host, held.call
-                keep = min(self._keep(host.kind, False), self.keep)
+                keep = min(self._keep(host.kind, False), self.max_idle_time)
                 if call.idle > self._keep(host.kind, held.row.effect is Effect.ONCE_ONLY):
                     call.idle = 0
                     actions.append(CloseIdle(host.id))
@@ -619,8 +729,8 @@
         if self.ask_at <= now:
             self.ask_at = NEVER
             actions.append(Watch())
-        looks = [self.ask_at, next(iter(self.resting.values()), NEVER)]
-        looks += [dest.look_at for dest in self.active.values() if self.slots_used < self.terms.slots]
+        looks = [self.ask_at, next(iter(self.idle_destinations.values()), NEVER)]
+        looks += [dest.look_at for dest in self.active.values() if self.slots_used < self.settings.slots]
         looks += [due for due, _ in self.expiries[:1] if self.active]
         wake_at = max(now + PERIOD, min(looks))
         if wake_at < NEVER and (wake_at < self.wake_at or self.wake_at <= now):
@@ -633,30 +743,30 @@
         """How long connections stand idle; -1: not at all, lest calls go to those closed after an answer."""
         return -1 if self.stale[kind] > (STALE_ONCE if once else STALE_SHARE) else self.idle_most[kind]
 
-    def _time_out(self, held: Held) -> int:
+    def _time_out(self, held: PendingText) -> int:
         """The design's; a referenced text keeps time for its repeat; scarce slots wait for no lost answer."""
-        scarce = self.slots_used > min(SCARCE * self.terms.slots, self.terms.slots - 1.5)
+        scarce = self.slots_used > min(SCARCE * self.settings.slots, self.settings.slots - 1.5)
         known = held.call.host.patience() if held.call.host.route.seen >= RECENT_CALLS else GUIDE_TIME_OUT
-        least = held.row.repeat_window // 4 if held.row.effect is Effect.REFERENCED else TIME_OUT
+        least = held.row.retry_window // 4 if held.row.effect is Effect.REFERENCED else TIME_OUT
         whole = min(TIME_OUT, max(2 * known, GUIDE_TIME_OUT if scarce else least))
         return known if scarce and held.row.effect is not Effect.ONCE_ONLY else whole
 
     def _host(self, entry: HostEntry) -> Host:
         """The entry's host; a new one where it has moved: what is out at the old place ends there."""
-        dest = self.dests[entry.destination]
+        dest = self.destinations[entry.destination]
         if (host := self.hosts.get(entry.host)) and host.dest is dest:
             return host
         elif host:
             host.listing = Listing.GONE
-        apart, window = self.terms.kinds[entry.kind].routes_apart, max(1, self.terms.slots // 2)
+        apart, window = self.settings.kinds[entry.kind].routes_apart, max(1, self.settings.slots // 2)
         route = dest.shared = Route(window) if apart else dest.shared or Route(window)
-        host = self.hosts[entry.host] = Host(entry, dest, route, self.keep)
-        host.sick = route.tries > 0 and all(each.sick for each in route.hosts)  # new in an outage
+        host = self.hosts[entry.host] = Host(entry, dest, route, self.max_idle_time)
+        host.in_outage = route.tries > 0 and all(each.in_outage for each in route.hosts)  # new in an outage
         dest.hosts.append(host)
         return host
 
     def _jitter(self, submits: int) -> int:
-        return self.chance.below(min(CAP, BASE << min(submits - 1, 20)) + 1)
+        return self.random_source.next_below(min(CAP, BASE << min(submits - 1, 20)) + 1)
 
     def _release(self, now: int, call: Call) -> None:
         host, route, dest = call.host, call.host.route, call.host.dest
@@ -666,11 +776,11 @@
             host.used_at, host.kept, dest.look_at = now, True, 0
             route.calls, dest.calls, self.slots_used = route.calls - 1, dest.calls - 1, self.slots_used - 1
 
-    def _forget(self, now: int, held: Held) -> None:
+    def _forget(self, now: int, held: PendingText) -> None:
         self.texts.pop(held.text.id, None)
-        if (dest := self.dests.get(held.text.destination)) is not None:
+        if (dest := self.destinations.get(held.text.destination)) is not None:
             dest.waiting.pop(held.text.id, None)
             dest.rest_at = now
-            self.resting.setdefault(held.text.destination, now + self.rest)
+            self.idle_destinations.setdefault(held.text.destination, now + self.rest)
         if held.key:
-            self.order.over(held.key, held.text.id)
+            self.key_order.remove(held.key, held.text.id)
--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -14,9 +14,9 @@
 from twisted.internet.protocol import Protocol
 
 from limelatch import logs
-from limelatch.configuration import ConfigurationError, Form, RelayPlan, relay_plan, retuned_plan
-from limelatch.configuration.files import fault_lines, form_of
-from limelatch.configuration.plan import SOCKETS_LEAST, Shares
+from limelatch.configuration import ConfigurationError, Form, RelayPlan, relay_plan, reloaded_plan
+from limelatch.configuration.files import error_lines, form_of
+from limelatch.configuration.plan import MIN_SOCKETS, DescriptorShares
 from limelatch.interface import SECOND
 from limelatch.relay.anchor_file import AnchorFile
 from limelatch.relay.clock import monotonic_now
@@ -52,10 +52,10 @@
     process. Raises OSError if the limit is too low for any relay."""
     if limit == resource.RLIM_INFINITY or limit >= plan.sockets:
         return plan
-    if limit < SOCKETS_LEAST:
-        raise OSError(errno.EMFILE, f"{SOCKETS_LEAST} descriptors are needed, the process may hold {limit}")
-    logs.say(logs.logger("main"), "descriptors-few", sockets=plan.sockets, limit=limit)
-    return replace(plan, sockets=limit, shares=Shares.of(limit))
+    if limit < MIN_SOCKETS:
+        raise OSError(errno.EMFILE, f"{MIN_SOCKETS} descriptors are needed, the process may hold {limit}")
+    logs.log_event(logs.logger("main"), "descriptors-few", sockets=plan.sockets, limit=limit)
+    return replace(plan, sockets=limit, shares=DescriptorShares.of(limit))
 
 
 def open_driver(plan: RelayPlan) -> Driver:
@@ -65,7 +65,7 @@
     deadline = monotonic_now() + STATE_DIR_TIMEOUT
     while True:
         try:
-            return Driver(plan, reactor, AnchorFile(plan.state).load_clock())
+            return Driver(plan, reactor, AnchorFile(plan.state_dir).load_clock())
         except OSError as error:
             if error.errno not in TRANSIENT_ERRORS or monotonic_now() >= deadline:
                 raise
@@ -89,7 +89,7 @@
         driver = open_driver(plan)
     except ConfigurationError as error:
         path = path or os.environ.get("RELAY_CONFIG") or "RELAY_CONFIG"
-        for line in fault_lines(error, path, form or form_of(path)):
+        for line in error_lines(error, path, form or form_of(path)):
             print(f"limelatch: {line}", file=sys.stderr)
         return BAD_USE
     except OSError as error:
@@ -99,9 +99,9 @@
 
     def reload_configuration() -> None:
         try:
-            driver.configured(retuned_plan(os.environ, path, form))
+            driver.configured(reloaded_plan(os.environ, path, form))
         except ConfigurationError as error:  # the configuration in force stays as it is
-            logs.say(log, "not-configured", why="; ".join(str(fault) for fault in error.faults))
+            logs.log_event(log, "not-configured", why="; ".join(str(fault) for fault in error.errors))
 
     def start() -> None:
         signal.signal(signal.SIGHUP, lambda number, frame: reactor.callFromThread(reload_configuration))
@@ -117,7 +117,7 @@
                 reload_configuration()
         except Exception as error:  # a relay that can't start logs the reason and ends
             start_errors.append(error)
-            logs.say(log, "not-started", trace=True)
+            logs.log_event(log, "not-started", trace=True)
             reactor.stop()
 
     reactor.callWhenRunning(start)
--- a/limelatch/relay/anchor_file.py
+++ b/limelatch/relay/anchor_file.py
@@ -4,7 +4,7 @@
 
 import os
 
-from limelatch.logs import logger, say
+from limelatch.logs import logger, log_event
 from limelatch.relay.clock import (
     MAX_ANCHOR_BYTES,
     Anchor,
@@ -15,7 +15,7 @@
     resume_timeline,
 )
 from limelatch.relay.ledger import named
-from limelatch.relay.whole_file import replace_whole
+from limelatch.relay.atomic_file import replace_file
 
 log = logger("deadlines")
 
@@ -40,15 +40,15 @@
         except FileNotFoundError:
             timeline = resume_timeline(None, reading)
         except AnchorError as error:
-            say(log, "clock-not-read", why=error)
+            log_event(log, "clock-not-read", why=error)
             timeline = resume_after_bad_anchor(reading)
         return Clock(timeline, reading.boot)
 
     def save(self, clock: Clock) -> bool:
         """Write the clock's current anchor; a failure is logged and returns false."""
         try:
-            replace_whole(self.path, clock.anchor().encode())
+            replace_file(self.path, clock.anchor().encode())
         except OSError as error:
-            say(log, "clock-not-written", why=error)
+            log_event(log, "clock-not-written", why=error)
             return False
         return True
--- a/limelatch/relay/deadlines.py
+++ b/limelatch/relay/deadlines.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from limelatch.interface import MS, SECOND
-from limelatch.logs import HeldDown, logger, say
+from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.relay.clock import Clock
 
 log = logger("deadlines")
@@ -37,7 +37,7 @@
         self._heap: list[tuple[int, int, Deadline]] = []
         self._count, self.cancelled = 0, 0
         self._timer, self._timer_at, self._running = None, 0, False
-        self.held_down = HeldDown(log, clock)
+        self.limited_log = LimitedLog(log, clock)
 
     def at(self, when: int, call: Callable[[], None]) -> Deadline:
         """Run `call` at the time `when` of the relay's clock, in tenths of a millisecond."""
@@ -70,7 +70,7 @@
         """Run the callbacks that are due; those that they add wait for the reactor's next iteration."""
         self._running, due, now = True, [], self._clock.now()
         if self._heap and now - self._heap[0][0] > MIN_LOGGED_DELAY:
-            self.held_down("timer-late", by_ms=(now - self._heap[0][0]) // MS)
+            self.limited_log("timer-late", by_ms=(now - self._heap[0][0]) // MS)
         while self._heap and self._heap[0][0] <= now:
             due.append(heapq.heappop(self._heap)[2])
         for deadline in due:
@@ -81,6 +81,6 @@
             try:
                 call()
             except Exception:  # an error in one callback must not stop the others
-                say(log, "fault", trace=True)
+                log_event(log, "fault", trace=True)
         self._running = False
         self._arm()
--- a/limelatch/relay/end_reason.py
+++ b/limelatch/relay/end_reason.py
@@ -31,8 +31,8 @@
     EndReason.REQUEST_INCOMPLETE: Result.CONNECT,
     EndReason.CONNECTION_LOST: Result.RESET,
     EndReason.ANSWER_TIMEOUT: Result.TIMEOUT,
-    EndReason.MALFORMED: Result.SPOILT,
-    EndReason.NOT_SENT: Result.MOOT,
+    EndReason.MALFORMED: Result.MALFORMED,
+    EndReason.NOT_SENT: Result.NOT_SENT,
     EndReason.CLOSED_BY_PEER: Result.RESET,
     EndReason.IDLE: Result.CONNECT,
     EndReason.NO_SLOT: Result.CONNECT,
@@ -46,17 +46,17 @@
     429: Result.FULL,
     500: Result.ERROR,
     503: Result.FULL,
-    504: Result.MOOT,
-    410: Result.MOOT,
-    413: Result.MOOT,
+    504: Result.NOT_SENT,
+    410: Result.NOT_SENT,
+    413: Result.NOT_SENT,
 }
 # The result of one text of a batch, by the state in the host's answer.
 RESULT_BY_STATE = {
     "delivered": Result.DELIVERED,
     "failed": Result.ERROR,
     "refused": Result.FULL,
-    "over": Result.MOOT,
-    "spent": Result.MOOT,
+    "over": Result.NOT_SENT,
+    "spent": Result.NOT_SENT,
 }
 # The answers by which the host has finished with a text.
 FINISHED_STATUSES = (200, 410)
--- a/limelatch/relay/incarnation.py
+++ b/limelatch/relay/incarnation.py
@@ -5,9 +5,9 @@
 import os
 import zlib
 
-from limelatch.logs import logger, say
+from limelatch.logs import logger, log_event
 from limelatch.membership.messages import INCARNATION_MOST
-from limelatch.relay.whole_file import replace_whole
+from limelatch.relay.atomic_file import replace_file
 
 log = logger("membership")
 INCARNATION_FILE = "incarnation"
@@ -26,17 +26,17 @@
                 number, checksum = file.read(64).split()
             if int(checksum) == zlib.crc32(number.encode()) and 1 <= int(number) < INCARNATION_MOST:
                 return int(number)
-            say(log, "incarnation-not-read", why="the checksum or the value is wrong")
+            log_event(log, "incarnation-not-read", why="the checksum or the value is wrong")
         except FileNotFoundError:
             pass
         except (OSError, ValueError) as error:
-            say(log, "incarnation-not-read", why=error)
+            log_event(log, "incarnation-not-read", why=error)
         return 0
 
     def write(self, incarnation: int) -> None:
         """Store it; if that fails, the next start learns the incarnation from the other members."""
         number = b"%d" % incarnation
         try:
-            replace_whole(self.path, b"%s %d\n" % (number, zlib.crc32(number)))
+            replace_file(self.path, b"%s %d\n" % (number, zlib.crc32(number)))
         except OSError as error:
-            say(log, "incarnation-not-written", why=error)
+            log_event(log, "incarnation-not-written", why=error)
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -26,16 +26,16 @@
         if not driver.ready:
             return "-ERR starting"
         return (
-            f"+OK serving owed={len(driver.owed)} hosts={len(driver.catalog.directory)} "
+            f"+OK serving owed={len(driver.accepted)} hosts={len(driver.catalog.directory)} "
             f"out={len(self.suspended.counts)}"
             f" paused={'yes' if driver.listener.paused else 'no'}"
-            f" folder={'ok' if driver.folder.gate.failing_since is None else 'failing'}"
+            f" folder={'ok' if driver.storage_monitor.gate.failing_since is None else 'failing'}"
         )
 
     def pause(self) -> str:
         """Turn clients away; work on accepted texts continues."""
         self._driver.listener.pause()
-        return f"+OK paused owed={len(self._driver.owed)}"
+        return f"+OK paused owed={len(self._driver.accepted)}"
 
     def resume(self) -> str:
         """Serve clients again."""
@@ -52,17 +52,17 @@
         Raises OperatorError if the change can't be stored."""
         self.refresh_suspended()
         if self.suspended.suspend(host):
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
         return f"+OK {host.decode()} out, {self.suspended.counts[host]} calls"
 
     def restore(self, host: li.HostId) -> str:
         """End the suspension. Raises OperatorError if the change can't be stored."""
         self.refresh_suspended()
         if self.suspended.restore(host):
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
         return f"+OK {host.decode()} back"
 
     def refresh_suspended(self) -> None:
         """Apply the changes that operators have made at the other process of an upgrade."""
         for host in self.suspended.refresh() if self._driver.handover.has_news else ():
-            self._driver.relist(host)
+            self._driver.refresh_host(host)
--- a/limelatch/relay/operator_server.py
+++ b/limelatch/relay/operator_server.py
@@ -14,10 +14,10 @@
 from twisted.protocols.basic import LineReceiver
 
 from limelatch.interface import SECOND, HostEntry, HostId, Listing
-from limelatch.logs import HeldDown, logger, say
+from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.relay.ledger import named
 from limelatch.relay.slots import Slots
-from limelatch.relay.whole_file import replace_whole
+from limelatch.relay.atomic_file import replace_file
 
 log = logger("door")
 
@@ -62,7 +62,7 @@
         except FileNotFoundError:
             pass
         except (ValueError, AttributeError) as error:  # corrupt: rewritten by the next command
-            say(log, "out-not-read", why=error)
+            log_event(log, "out-not-read", why=error)
         return {}
 
     def _written_at(self) -> tuple[int, int] | None:
@@ -117,7 +117,7 @@
         """Write the file before the change takes effect, so that no restart undoes a confirmed command."""
         stored = {host.decode(): count for host, count in sorted(counts.items())}
         try:
-            replace_whole(self.path, json.dumps(stored).encode())
+            replace_file(self.path, json.dumps(stored).encode())
         except OSError as error:
             raise OperatorError(f"not done, the folder does not keep it: {error.strerror}") from None
         self._read_at, self.counts = self._written_at(), counts
@@ -170,7 +170,7 @@
         try:
             self._reply(self.server.run_command(line.removesuffix(b"\r")))
         except OperatorError as error:
-            self.server.held_down("call-bad", why=error, peer=self.transport.getPeer().host)
+            self.server.limited_log("call-bad", why=error, peer=self.transport.getPeer().host)
             self._reply(f"-ERR {error}")
 
     def _reply(self, line: str) -> None:
@@ -197,7 +197,7 @@
             None,
         )
         self.open_count = 0  # connections, including those that are being closed
-        self.held_down = HeldDown(log, driver.clock)
+        self.limited_log = LimitedLog(log, driver.clock)
 
     def buildProtocol(self, address) -> OperatorConnection | None:
         # None: twisted closes the connection at once
--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -8,9 +8,9 @@
 from twisted.internet.protocol import ClientFactory
 
 from limelatch.configuration import Address
-from limelatch.logs import logger, say
+from limelatch.logs import logger, log_event
 from limelatch.relay.end_reason import EndReason
-from limelatch.relay.http import Answer, HttpCaller, request_head
+from limelatch.relay.http import HttpClientProtocol, Response, request_head
 
 log = logger("platform")
 
@@ -18,7 +18,7 @@
 MAX_NOTICES = 200  # in one request
 
 
-class PlatformConnection(HttpCaller):
+class PlatformConnection(HttpClientProtocol):
     """The HTTP connection to the platform."""
 
     def __init__(self, notifier: Notifier) -> None:
@@ -29,12 +29,14 @@
         super().connectionMade()
         self.notifier.send()
 
-    def answered(self, answer: Answer, body: bytes) -> None:
-        if not answer.keeps or self.inbound:  # extra bytes would be taken for the next answer
+    def response_received(self, response: Response, body: bytes) -> None:
+        if (
+            not response.keep_alive or self.inbound
+        ):  # extra bytes would be taken for the next answer
             self.close(EndReason.CLOSED_BY_PEER)
-        self.notifier.response_received(answer.status)
+        self.notifier.response_received(response.status)
 
-    def ended(self, end_reason: EndReason) -> None:
+    def connection_ended(self, end_reason: EndReason) -> None:
         self.notifier.lost(self, end_reason)
 
 
@@ -96,7 +98,7 @@
         )
         self._cancel_deadline()
         self._deadline = self.deadlines.after(self.timeout, self._timed_out)
-        self.connection.ask(head + body)
+        self.connection.send_request(head + body)
 
     def _cancel_deadline(self) -> None:
         if self._deadline is not None:
@@ -120,7 +122,7 @@
                 self.on_acknowledged(text)
             self.send()
         else:
-            say(log, "notices-not-taken", status=status, notices=len(in_flight))
+            log_event(log, "notices-not-taken", status=status, notices=len(in_flight))
             self._pause(self.retry_interval)
 
     def _pause(self, wait: int) -> None:
@@ -144,7 +146,7 @@
         self.connection = self._connector = None
         self.in_flight = []
         if end_reason not in (EndReason.CLOSED_BY_PEER, EndReason.ADDRESS_CHANGED) and self.reactor.running:
-            say(log, "platform-lost", why=end_reason.value, owed=len(self.pending))
+            log_event(log, "platform-lost", why=end_reason.value, owed=len(self.pending))
         if self.pending and not self._paused:  # at once the first time: a kept-alive connection may close
             self._pause(self.retry_interval if self._loss_count else 0)
         self._loss_count += 1
--- a/limelatch/relay/wall_clock_monitor.py
+++ b/limelatch/relay/wall_clock_monitor.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from limelatch.interface import MS, SECOND
-from limelatch.logs import logger, say
+from limelatch.logs import logger, log_event
 from limelatch.relay.anchor_file import AnchorFile
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
@@ -33,14 +33,14 @@
 
     def start(self) -> None:
         """Save the anchor and begin to check."""
-        say(log, "clock-resumed", by=self._clock.resumption.value, ahead_ms=self._last_ahead // MS)
+        log_event(log, "clock-resumed", by=self._clock.resumption.value, ahead_ms=self._last_ahead // MS)
         self._save()
         self._deadlines.after(CHECK_INTERVAL, self._check)
 
     def _check(self) -> None:
         ahead = self._clock.wall_ahead()
         if abs(ahead - self._last_ahead) >= MIN_STEP:
-            say(log, "clock-stepped", by_ms=(ahead - self._last_ahead) // MS, ahead_ms=ahead // MS)
+            log_event(log, "clock-stepped", by_ms=(ahead - self._last_ahead) // MS, ahead_ms=ahead // MS)
             self._last_ahead, self._saved = ahead, False
         if not self._saved:
             self._save()
--- a/tests/faults/flow.py
+++ b/tests/faults/flow.py
@@ -39,11 +39,11 @@
 class Flow:
     """A client, a host and the platform of one relay; `check` lists the broken guarantees."""
 
-    def __init__(self, program, agent, party, valid: float = 4.0) -> None:
+    def __init__(self, program, agent, make_host, valid: float = 4.0) -> None:
         self.program, self.agent, self.valid = program, agent, valid
         self.texts: dict[str, Text] = {}
         self.numbers = itertools.count(1)
-        self.host = party(self._called)
+        self.host = make_host(self._called)
         agent.list(self.host.address)
         self.client = None
         self._notice_thread = threading.Thread(target=self._collect_notices, daemon=True)
@@ -134,7 +134,7 @@
         if self.program.process.poll() is not None:
             problems.append(f"the relay ended with {self.program.process.returncode}")
         faults = ("event=fault", "event=connection-not-served", "Traceback", "Unhandled")
-        problems += [line for line in self.program.said if any(word in line for word in faults)]
+        problems += [line for line in self.program.log_lines if any(word in line for word in faults)]
         return problems
 
     @staticmethod
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,12 +8,17 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 from test_crossings import Running, until
 from test_parts import Wire
 
 from limelatch.relay import clients
-from limelatch.relay.clients import ACCEPTS_MOST, ROOM_LOOK, UNREAD_MOST, Listener
+from limelatch.relay.clients import (
+    FULL_TABLE_CHECK_INTERVAL,
+    MAX_ACCEPTS_PER_TURN,
+    MAX_UNREAD_CHECKS,
+    Listener,
+)
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.end_reason import EndReason
 
@@ -48,7 +53,7 @@
 
 @pytest.fixture
 def listener(clock):
-    plan = SimpleNamespace(client_idle=20_000, client_command=20_000)
+    plan = SimpleNamespace(client_idle_timeout=20_000, client_command_timeout=20_000)
     driver = SimpleNamespace(clock=clock, deadlines=Deadlines(clock, clock), plan=plan)
     listener = Listener(driver, 40, 10_000)
     listener.port = Gate()
@@ -97,20 +102,22 @@
         each.transport.peer.send(ASKED)
     made += come(listener)
     assert (
-        not listener.port.reading and not any(each.end_reason for each in made) and len(looks) == UNREAD_MOST
+        not listener.port.reading
+        and not any(each.end_reason for each in made)
+        and len(looks) == MAX_UNREAD_CHECKS
     )
     made[-1].transport.peer.send(ASKED)
-    clock.pump([ROOM_LOOK / 10_000] * 4)
+    clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
     assert not listener.port.reading and not any(each.end_reason for each in made)
     made[7].transport.socket.recv(99)  # read and answered
-    clock.pump([ROOM_LOOK / 10_000] * 4)
+    clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
     assert listener.port.reading and [each for each in made if each.end_reason] == [made[7]]
 
 
 def test_a_client_whose_text_awaits_its_answer_gives_way_for_no_memory(listener):
     """A refusal would pass for the answer, and the client would hand in again what may be taken on."""
     handed = []
-    listener.driver.handed_in = lambda text, client: handed.append(client)
+    listener.driver.submission_received = lambda text, client: handed.append(client)
     waiting, partial = come(listener, 2)
     waiting.dataReceived(ASKED + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
     partial.dataReceived(b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 6000)
@@ -168,7 +175,7 @@
     def end(self):
         self.over.set()
         for each in self.threads:
-            each.join(WAIT)
+            each.join(WAIT_TIMEOUT)
         for key in list(self.selector.get_map().values()):
             key.fileobj.close()
         self.selector.close()
@@ -184,10 +191,10 @@
 
 
 def test_under_a_crowd_that_comes_again_texts_are_answered_and_few_connections_come_in_a_turn(
-    descriptors, plan, agent, party
+    descriptors, make_program, agent, make_host
 ):
     """A turn of the reactor once took 20 connections more each time, each closed only after it."""
-    host, program = party(), plan(limits={"disk_mb": 3, "sockets": 2 * TABLE})
+    host, program = make_host(), make_program(limits={"disk_mb": 3, "sockets": 2 * TABLE})
     agent.list(host.address)
     program.start().socket.close()
     crowd = Crowd(program, 3 * TABLE)
@@ -200,7 +207,7 @@
                 assert client.submit(text, d=20_000) == "+OK"
         assert sorted(host.next().headers["X-Txn"] for _ in texts) == sorted(texts)
         until(lambda: crowd.opened > 12 * TABLE, BACKED_OFF)
-        assert crowd.peak < TABLE + 3 * ACCEPTS_MOST
+        assert crowd.peak < TABLE + 3 * MAX_ACCEPTS_PER_TURN
     finally:
         crowd.end()
     assert agent.notices.empty()
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -46,7 +46,7 @@
     """The errors of a configuration that does not load."""
     with pytest.raises(ConfigurationError) as error:
         load_configuration(tmp_path, peers, **more)
-    return error.value.faults
+    return error.value.errors
 
 
 def test_a_member_s_plan_has_its_number_its_zones_and_its_timing(tmp_path):
--- a/tests/test_operator_server.py
+++ b/tests/test_operator_server.py
@@ -6,14 +6,14 @@
 import time
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 
 
 class OperatorClient:
     """One operator's connection to a relay."""
 
     def __init__(self, address):
-        self.socket = socket.create_connection(address, timeout=WAIT)
+        self.socket = socket.create_connection(address, timeout=WAIT_TIMEOUT)
         self.lines = self.socket.makefile("rb")
 
     def call(self, line: bytes | str) -> str:
@@ -22,9 +22,9 @@
 
 
 @pytest.fixture
-def relay(plan):
+def relay(make_program):
     """A relay with an operators' port; the test starts it."""
-    program = plan()
+    program = make_program()
     with socket.create_server((program.address, 0)) as spare:
         port = spare.getsockname()[1]
     program.file.write_text(
@@ -34,8 +34,8 @@
     return program
 
 
-def test_each_command_is_answered_and_an_invalid_one_leaves_the_connection_usable(relay, agent, party):
-    agent.list(party().address, "s-1")
+def test_each_command_is_answered_and_an_invalid_one_leaves_the_connection_usable(relay, agent, make_host):
+    agent.list(make_host().address, "s-1")
     relay.start()
     operator = OperatorClient(relay.operator_address)
     assert operator.call("STATUS").startswith("+OK serving")
@@ -59,8 +59,8 @@
     assert OperatorClient(relay.operator_address).call("STATUS").startswith("+OK")
 
 
-def test_a_host_suspended_twice_is_drained_until_one_restore(relay, agent, party):
-    first, second = party(), party()
+def test_a_host_suspended_twice_is_drained_until_one_restore(relay, agent, make_host):
+    first, second = make_host(), make_host()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
     client = relay.start()
@@ -70,15 +70,15 @@
     for number in range(4):
         assert client.submit(f"t{number}") == "+OK"
         assert second.next().headers["X-Txn"] == f"t{number}"
-    assert first.asked.empty()
+    assert first.requests.empty()
     assert json.loads((relay.state / "out").read_text()) == {"s-1": 2}
     assert operator.call("RESTORE s-1") == "+OK s-1 back"
     assert json.loads((relay.state / "out").read_text()) == {}
 
 
 @pytest.mark.parametrize("told", [0, 1])
-def test_a_host_suspended_at_one_process_of_an_upgrade_is_drained_by_both(relay, agent, party, told):
-    first, second = party(), party()
+def test_a_host_suspended_at_one_process_of_an_upgrade_is_drained_by_both(relay, agent, make_host, told):
+    first, second = make_host(), make_host()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
     client = relay.start()
@@ -95,12 +95,12 @@
         time.sleep(
             1.0
         )  # after this time it is in force in both processes, as the operators' documentation says
-        while not first.asked.empty():
-            first.asked.get()
+        while not first.requests.empty():
+            first.requests.get()
         for number in range(30):
             assert relay.client().submit(f"t{number + 1}") == "+OK"
             assert second.next().headers["X-Txn"]
-        assert first.asked.empty()
+        assert first.requests.empty()
         assert operators[1 - told].call("SUSPEND s-2").startswith("+OK")
         assert operators[1 - told].call("RESTORE s-1").startswith("+OK")
         time.sleep(1.0)
@@ -108,24 +108,24 @@
         while first.next().headers["X-Txn"] != "last":
             pass
         relay.kill()
-        standby.says("event=taken-over")
+        standby.wait_for_log("event=taken-over")
         assert json.loads((relay.state / "out").read_text()) == {"s-2": 1}
     finally:
         standby.kill()
 
 
-def test_suspended_hosts_stay_suspended_after_a_restart(relay, agent, party):
-    first, second = party(), party()
+def test_suspended_hosts_stay_suspended_after_a_restart(relay, agent, make_host):
+    first, second = make_host(), make_host()
     agent.list(first.address, "s-1")
     agent.list(second.address, "s-2")
     (relay.state / "out").write_text('{"s-1": 1}')
     client = relay.start()
     assert client.submit("t1") == "+OK" and second.next().headers["X-Txn"] == "t1"
-    assert first.asked.empty()
+    assert first.requests.empty()
 
 
-def test_pause_fails_pings_and_closes_idle_connections_and_resume_serves_again(relay, agent, party):
-    host = party()
+def test_pause_fails_pings_and_closes_idle_connections_and_resume_serves_again(relay, agent, make_host):
+    host = make_host()
     agent.list(host.address, "s-1")
     client = relay.start()
     operator = OperatorClient(relay.operator_address)
@@ -137,7 +137,7 @@
     assert relay.client().ask("PING") == "+PONG"
 
 
-def test_a_new_process_serves_alongside_the_old_and_takes_over_its_open_texts(program, agent, party):
+def test_a_new_process_serves_alongside_the_old_and_takes_over_its_open_texts(program, agent, make_host):
     called = []
 
     def reply(request):
@@ -147,7 +147,7 @@
             return None
         return (200,)
 
-    host = party(reply)
+    host = make_host(reply)
     agent.list(host.address, "s-1")
     client = program.start()
     assert client.submit("t1", product="report") == "+OK"
@@ -156,9 +156,9 @@
     try:
         successor.start()  # same configuration file: the same address and state directory
         program.kill()  # an upgrade kills the old process at the latest
-        assert "adopted=1" in successor.says("event=taken-over")
+        assert "adopted=1" in successor.wait_for_log("event=taken-over")
         assert successor.client().submit("t2") == "+OK"
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_TIMEOUT
         while not {"t1", "t2"} <= set(called) and time.monotonic() < until:
             host.next()
         assert {"t1", "t2"} <= set(called)
@@ -174,18 +174,18 @@
         return "reset"
 
 
-def test_an_old_process_that_stops_leaves_new_clients_to_its_successor(plan, agent, party):
-    agent.list(party().address, "s-1")
-    program = plan(stop_least_ms=3000)  # so that it still runs while the clients connect
+def test_an_old_process_that_stops_leaves_new_clients_to_its_successor(make_program, agent, make_host):
+    agent.list(make_host().address, "s-1")
+    program = make_program(stop_least_ms=3000)  # so that it still runs while the clients connect
     program.start()
     successor = copy.copy(program)
     successor.process = None
     try:
         successor.start()
         program.terminate()
-        assert "handed_over=true" in program.says("event=stopping")
+        assert "handed_over=true" in program.wait_for_log("event=stopping")
         answers = [ping(program) for _ in range(20)]
         assert "-ERR stopping" not in answers and answers.count("+PONG") >= 18
-        assert program.process.wait(WAIT) == 0
+        assert program.process.wait(WAIT_TIMEOUT) == 0
     finally:
         successor.kill()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,9 +10,9 @@
 import time
 
 import pytest
-from conftest import SETTINGS, WAIT
+from conftest import SETTINGS, WAIT_TIMEOUT
 
-from limelatch.relay.inspection import look
+from limelatch.relay.inspection import inspect_ledger
 
 
 def hang(request):
@@ -20,8 +20,8 @@
     request.hang()
 
 
-def test_a_text_is_sent_unchanged_and_delivered(program, agent, party):
-    host = party()
+def test_a_text_is_sent_unchanged_and_delivered(program, agent, make_host):
+    host = make_host()
     agent.list(host.address)
     client = program.start()
     assert client.ask("PING") == "+PONG"
@@ -31,12 +31,12 @@
     assert (call.path, call.body, call.headers["X-Txn"]) == ("/v1/messages", body, "t1")
     assert call.headers["Idempotency-Key"] == "5c0f6e1a" and call.headers["X-Remaining"].endswith("m")
     assert client.submit("t2") == "+OK" and host.next().headers["X-Txn"] == "t2"
-    assert host.asked.empty() and agent.notices.empty()
+    assert host.requests.empty() and agent.notices.empty()
 
 
-def test_a_retry_after_holds_back_every_text_of_the_host(plan, agent, party):
-    program = plan(settings=SETTINGS | {"familyInfo": {"slots": 1}})
-    host = party(lambda request: None)
+def test_a_retry_after_holds_back_every_text_of_the_host(make_program, agent, make_host):
+    program = make_program(settings=SETTINGS | {"familyInfo": {"slots": 1}})
+    host = make_host(lambda request: None)
     agent.list(host.address)
     client = program.start()
     client.submit("t1")
@@ -50,9 +50,9 @@
 
 
 def test_a_once_only_text_whose_call_was_reset_ends_by_a_notice_repeated_until_acknowledged(
-    program, agent, party
+    program, agent, make_host
 ):
-    host = party(lambda request: request.cut())
+    host = make_host(lambda request: request.cut())
     agent.list(host.address)
     agent.notice_status = 503
     client = program.start()
@@ -60,7 +60,7 @@
     assert agent.notice() == agent.notice() == {"ref": "t1", "result": "dead"}
     agent.notice_status = 204
     agent.notice()
-    assert host.next() and host.asked.empty()
+    assert host.next() and host.requests.empty()
 
 
 def test_a_notice_lost_with_its_connection_is_sent_again(program, agent):
@@ -74,8 +74,8 @@
     assert agent.notice() == {"ref": "t2", "result": "bounced", "wait_ms": 2000}
 
 
-def test_the_next_text_of_a_key_waits_until_the_notice_is_acknowledged(program, agent, party):
-    host = party(lambda request: request.cut() if request.headers["X-Txn"] == "t1" else (200,))
+def test_the_next_text_of_a_key_waits_until_the_notice_is_acknowledged(program, agent, make_host):
+    host = make_host(lambda request: request.cut() if request.headers["X-Txn"] == "t1" else (200,))
     agent.list(host.address)
     agent.notice_status = 503
     client = program.start()
@@ -83,7 +83,7 @@
     client.submit("t2", "charge", key="k1")
     assert host.next().headers["X-Txn"] == "t1"
     agent.notice(), agent.notice()
-    assert host.asked.empty()
+    assert host.requests.empty()
     agent.notice_status = 204
     assert host.next().headers["X-Txn"] == "t2"
 
@@ -96,17 +96,17 @@
     assert client.submit("t2", d=50) == "-BUSY 2000"
 
 
-def test_texts_of_one_turn_share_a_batch(program, agent, party):
+def test_texts_of_one_turn_share_a_batch(program, agent, make_host):
     releases = queue.Queue()
 
     def reply(request):
         if not request.path.endswith(":batch"):
-            releases.get(timeout=WAIT)
+            releases.get(timeout=WAIT_TIMEOUT)
             return (200,)
         rows = [{"id": row["id"], "state": "delivered"} for row in json.loads(request.body)]
         return 200, json.dumps(rows).encode()
 
-    host = party(reply)
+    host = make_host(reply)
     agent.list(host.address, kind="batching")
     client = program.start()
     for number in range(4):  # the first window of a destination is half of the eight slots
@@ -122,8 +122,8 @@
     assert json.loads(call.body)[0] == {"id": "b0", "body": "YjA=", "key": "5c0f"}
 
 
-def test_a_once_only_text_in_flight_at_a_kill_is_not_sent_again(program, agent, party):
-    host = party(hang)
+def test_a_once_only_text_in_flight_at_a_kill_is_not_sent_again(program, agent, make_host):
+    host = make_host(hang)
     agent.list(host.address)
     client = program.start()
     client.submit("t1", "charge", key="k1")
@@ -134,12 +134,12 @@
     program.start()
     assert agent.notice() == {"ref": "t1", "result": "dead"}
     assert host.next().headers["X-Txn"] == "t2"
-    assert host.asked.empty()
+    assert host.requests.empty()
 
 
-def test_a_text_in_flight_at_a_kill_is_sent_again_with_its_idempotency_key(program, agent, party):
+def test_a_text_in_flight_at_a_kill_is_sent_again_with_its_idempotency_key(program, agent, make_host):
     """Its product's hosts recognize a repeat by that key."""
-    host = party(hang)
+    host = make_host(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice", b"\0body", mark="5c0f6e1a")
     host.next()
@@ -151,7 +151,7 @@
     assert again.body == b"\0body"
 
 
-def test_open_texts_and_notices_survive_a_kill_and_a_truncated_last_record(program, agent, party):
+def test_open_texts_and_notices_survive_a_kill_and_a_truncated_last_record(program, agent, make_host):
     agent.notice_status = 503
     agent.list("127.0.0.1:1", status="leaving")
     client = program.start()
@@ -162,37 +162,37 @@
     with open(program.state / "ledger", "ab") as file:
         file.write(b"\0\0\0\x40torn")
     agent.notice_status = 204
-    host = party()
+    host = make_host()
     agent.list(host.address)
     program.start()
     assert agent.notice() == {"ref": "t1", "result": "bounced", "wait_ms": 2000}
     assert host.next().headers["X-Txn"] == "t2"
 
 
-def test_sigterm_lets_calls_finish_and_accepts_no_text(program, agent, party):
-    host = party(lambda request: None)
+def test_sigterm_lets_calls_finish_and_accepts_no_text(program, agent, make_host):
+    host = make_host(lambda request: None)
     agent.list(host.address)
     client = program.start()
     client.submit("t1", "charge", key="k1")
     call = host.next()
     program.terminate()
-    program.says("event=stopping")
+    program.wait_for_log("event=stopping")
     assert client.lines.readline() == b""  # closed between requests
     other = program.client()
     assert other.submit("t3").startswith("-BUSY") and other.lines.readline() == b""
     call.answer(200)
-    assert program.process.wait(WAIT) == 0
+    assert program.process.wait(WAIT_TIMEOUT) == 0
     assert agent.notices.empty()
 
 
-def test_a_stop_ends_in_time_despite_a_call_in_flight_and_its_text_stays_open(plan, agent, party):
-    program = plan(stop_ms=300)
-    host = party(hang)
+def test_a_stop_ends_in_time_despite_a_call_in_flight_and_its_text_stays_open(make_program, agent, make_host):
+    program = make_program(stop_ms=300)
+    host = make_host(hang)
     agent.list(host.address)
     program.start().submit("t1", "notice")
     host.next()
     program.terminate()
-    assert program.process.wait(WAIT) == 0
+    assert program.process.wait(WAIT_TIMEOUT) == 0
     host.reply = lambda request: (200,)
     program.start()
     assert host.next().headers["X-Txn"] == "t1"
@@ -216,8 +216,8 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_malformed_data_closes_only_the_connection_it_came_on(program, agent, party):
-    host = party(lambda request: request.handler.wfile.write(b"nonsense\r\n\r\n") and None)
+def test_malformed_data_closes_only_the_connection_it_came_on(program, agent, make_host):
+    host = make_host(lambda request: request.handler.wfile.write(b"nonsense\r\n\r\n") and None)
     agent.list(host.address)
     client = program.start()
     malformed_client = program.client()
@@ -228,8 +228,8 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_pipelined_submits_are_answered_in_order(program, agent, party):
-    host = party()
+def test_pipelined_submits_are_answered_in_order(program, agent, make_host):
+    host = make_host()
     agent.list(host.address)
     client = program.start()
     for number in range(5):
@@ -256,8 +256,8 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*2\r\n$6\r\nSUB", b"*5\r\n$6\r\nSUBMIT\r\n$60000\r\n"])
-def test_a_client_that_sends_nothing_or_a_partial_command_is_closed(plan, agent, sent):
-    program = plan(client_command_ms=150)
+def test_a_client_that_sends_nothing_or_a_partial_command_is_closed(make_program, agent, sent):
+    program = make_program(client_command_ms=150)
     good = program.start()
     malformed_client = program.client()
     malformed_client.socket.sendall(sent)
@@ -269,13 +269,13 @@
     )
 
 
-def test_an_idle_client_is_closed_after_the_idle_timeout(plan, agent):
-    client = plan(client_idle_ms=150).start()
+def test_an_idle_client_is_closed_after_the_idle_timeout(make_program, agent):
+    client = make_program(client_idle_ms=150).start()
     assert client.ask("PING") == "+PONG" and client.lines.read() == b""
 
 
-def test_idle_clients_are_closed_sooner_while_half_of_the_client_slots_are_taken(plan, agent):
-    program = plan(limits={"sockets": 64}, client_idle_ms=8000)
+def test_idle_clients_are_closed_sooner_while_half_of_the_client_slots_are_taken(make_program, agent):
+    program = make_program(limits={"sockets": 64}, client_idle_ms=8000)
     clients = [program.start()] + [program.client() for _ in range(16)]
     assert [client.ask("PING") for client in clients] == ["+PONG"] * 17
     sockets = {client.socket: client for client in clients}
@@ -290,8 +290,8 @@
     assert len(lines) == 8 and all(line.startswith(b"-ERR") for line in lines)
 
 
-def test_the_memory_for_partial_commands_is_bounded_over_all_clients(plan, agent):
-    program = plan(limits={"memory_mb": 1})  # partial commands may take an eighth of it
+def test_the_memory_for_partial_commands_is_bounded_over_all_clients(make_program, agent):
+    program = make_program(limits={"memory_mb": 1})  # partial commands may take an eighth of it
     client = program.start()
     partial_command = (
         b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$2\r\nt1\r\n$20\r\nc=report,d=9000,dest\r\n$60000\r\n"
@@ -303,46 +303,48 @@
     assert large.lines.read() == b"-BUSY\r\n" and client.ask("PING") == "+PONG"
 
 
-def test_with_all_client_slots_taken_the_longest_silent_connection_is_closed(plan, agent):
-    program = plan(limits={"sockets": 64})
+def test_with_all_client_slots_taken_the_longest_silent_connection_is_closed(make_program, agent):
+    program = make_program(limits={"sockets": 64})
     client = program.start()
     others = [program.client() for _ in range(32)]
     assert [other.ask("PING") for other in others[1:]] == ["+PONG"] * 31
     assert client.lines.readline() == b""
 
 
-def test_the_watch_reports_drains_and_is_reopened_at_its_last_index(program, agent, party):
-    first, second = party(), party()
+def test_the_watch_reports_drains_and_is_reopened_at_its_last_index(program, agent, make_host):
+    first, second = make_host(), make_host()
     agent.list(first.address)
     client = program.start()
-    watch = agent.watches.get(timeout=WAIT)
+    watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     agent.tell(watch, b"\n")
     agent.list(first.address, status="leaving")
     agent.list(second.address, "s-2")
     agent.tell(watch)
     agent.tell(watch, b"no json\n")
-    again = agent.watches.get(timeout=WAIT)
+    again = agent.watches.get(timeout=WAIT_TIMEOUT)
     assert again[1] == agent.index
     assert client.submit("t1") == "+OK" and second.next().headers["X-Txn"] == "t1"
-    assert first.asked.empty()
+    assert first.requests.empty()
 
 
-def test_sighup_moves_the_watch_and_pending_notices_to_the_new_address(program, agent, party, other_agent):
+def test_sighup_moves_the_watch_and_pending_notices_to_the_new_address(
+    program, agent, make_host, other_agent
+):
     agent.list("127.0.0.1:1", status="leaving")
-    other_agent.list((host := party()).address, "s-2", dest=2)
+    other_agent.list((host := make_host()).address, "s-2", dest=2)
     agent.notice_status, agent.index = 503, 9  # an index that is unknown to the other catalog
     client = program.start()
-    agent.watches.get(timeout=WAIT)
+    agent.watches.get(timeout=WAIT_TIMEOUT)
     client.submit("t1", d=150)
     assert agent.notice()["ref"] == "t1"
     program.configure(discovery=other_agent.address)
     assert other_agent.notice() == {"ref": "t1", "result": "bounced", "wait_ms": 2000}
-    assert other_agent.watches.get(timeout=WAIT)[1] == 2
+    assert other_agent.watches.get(timeout=WAIT_TIMEOUT)[1] == 2
     assert client.submit("t2", dest=2) == "+OK" and host.next().headers["X-Txn"] == "t2"
 
 
-def test_the_known_list_is_used_until_a_new_catalog_has_sent_its_own(program, agent, party):
-    host = party()
+def test_the_known_list_is_used_until_a_new_catalog_has_sent_its_own(program, agent, make_host):
+    host = make_host()
     agent.list(host.address)
     client = program.start()
     with socket.create_server(("127.0.0.1", 0)) as silent:
@@ -352,17 +354,17 @@
 
 
 def test_an_invalid_configuration_is_logged_with_its_key_and_the_old_one_stays(
-    program, agent, party, other_agent
+    program, agent, make_host, other_agent
 ):
-    host = party()
+    host = make_host()
     client = program.start()
-    watch = agent.watches.get(timeout=WAIT)
+    watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     program.configure(discovery=other_agent.address, limits={"sockets": "many"})
-    assert "limits.sockets" in program.says("event=not-configured")
+    assert "limits.sockets" in program.wait_for_log("event=not-configured")
     agent.list(host.address)
     agent.tell(watch)
     assert client.submit("t1") == "+OK" and host.next().headers["X-Txn"] == "t1"
-    assert other_agent.asked.empty()
+    assert other_agent.requests.empty()
 
 
 def test_an_invalid_key_at_a_start_is_reported_on_one_line(tmp_path):
@@ -381,27 +383,27 @@
         [sys.executable, "-m", "limelatch.relay"],
         capture_output=True,
         text=True,
-        timeout=WAIT,
+        timeout=WAIT_TIMEOUT,
         env=os.environ | {"RELAY_CONFIG": str(file)},
     )
     assert done.returncode == 2
     assert done.stderr.count("\n") == 1 and "settings.limits.maxOpen" in done.stderr
 
 
-def test_a_subscribed_list_is_watched_on_request_and_again_after_a_failure(plan, agent, party):
+def test_a_subscribed_list_is_watched_on_request_and_again_after_a_failure(make_program, agent, make_host):
     """With `subscribe`, the decision module requests each watch of the catalog."""
-    first, second, rules = party(), party(), SETTINGS["rules"] | {"askEvery": 1000}
+    first, second, rules = make_host(), make_host(), SETTINGS["rules"] | {"askEvery": 1000}
     agent.list(first.address)
-    program = plan(settings=SETTINGS | {"discovery": "subscribe", "rules": rules}, list_ms=50)
+    program = make_program(settings=SETTINGS | {"discovery": "subscribe", "rules": rules}, list_ms=50)
     client = program.start()
-    agent.tell(agent.watches.get(timeout=WAIT), b"no json\n")
-    watch = agent.watches.get(timeout=WAIT)
+    agent.tell(agent.watches.get(timeout=WAIT_TIMEOUT), b"no json\n")
+    watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     agent.list(first.address, status="leaving")
     agent.list(second.address, "s-2")
     agent.tell(watch)
     agent.tell(watch, b"no json\n")  # ends the watch after the update has been read
-    assert agent.watches.get(timeout=WAIT)[1] == agent.index and client.submit("t1") == "+OK"
-    assert second.next().headers["X-Txn"] == "t1" and first.asked.empty()
+    assert agent.watches.get(timeout=WAIT_TIMEOUT)[1] == agent.index and client.submit("t1") == "+OK"
+    assert second.next().headers["X-Txn"] == "t1" and first.requests.empty()
 
 
 DIGEST = {"name": "digest", "effect": "pure", "deadline": 9000}
@@ -416,25 +418,25 @@
         ({"name": "digest", "effect": "pure"}, "settings.classes[1].deadline: is wanted"),
     ],
 )
-def test_an_invalid_new_configuration_changes_no_setting(program, agent, party, broken, why):
-    agent.list(party().address)
+def test_an_invalid_new_configuration_changes_no_setting(program, agent, make_host, broken, why):
+    agent.list(make_host().address)
     client = program.start()
     program.configure(settings=SETTINGS | {"classes": [SETTINGS["classes"][2], broken]})
-    assert why in program.says("event=not-configured")
+    assert why in program.wait_for_log("event=not-configured")
     assert client.submit("t1", product="digest").startswith("-ERR unknown class")
     assert client.submit("t2", product="charge", key="0007") == "+OK"
 
 
-def test_sighup_applies_new_products_and_open_texts_keep_their_old_settings(program, agent, party):
+def test_sighup_applies_new_products_and_open_texts_keep_their_old_settings(program, agent, make_host):
     requests = []
-    host = party(lambda request: requests.append(request) or request.hang())
+    host = make_host(lambda request: requests.append(request) or request.hang())
     agent.list(host.address)
     client = program.start()
     assert client.submit("t1", product="charge", key="0007") == "+OK"
     host.next()  # now in flight, and never answered
     program.configure(settings=CHANGED_SETTINGS)
-    assert "products=2 submits=4" in program.says("event=configured")
+    assert "products=2 submits=4" in program.wait_for_log("event=configured")
     assert client.submit("t2", product="digest") == "+OK"
     assert client.submit("t3", product="charge").startswith("-ERR unknown class")
-    products = {entry.pairs["product"] for entry in look(str(program.state)).entries.values()}
+    products = {entry.fields["product"] for entry in inspect_ledger(str(program.state)).entries.values()}
     assert products == {"charge", "digest"}  # each text with the settings it was accepted under
--- a/tests/test_terms_cold.py
+++ b/tests/test_terms_cold.py
@@ -26,7 +26,7 @@
     Result,
     Submit,
     SubmitReport,
-    Terms,
+    PolicySettings,
     Text,
     Wake,
 )
@@ -82,8 +82,8 @@
         self.calls: list[int] = []  # when each call came after the return
         self.patient = patient  # it takes all that comes, and refuses nothing
         self.back_at, self.demand, self.end = NOW + OUTAGE, demand, NOW + OUTAGE + cold.time
-        terms = [
-            Terms(
+        settings = [
+            PolicySettings(
                 self.chance.getrandbits(32),
                 listed or alive,
                 16,
@@ -96,12 +96,12 @@
                 cold_time=cold.time,
                 fall_multiple=cold.multiple,
                 fall_time=cold.window,
-                conn_idle=9 * SECOND,
+                connection_idle_limit=9 * SECOND,
                 rates_listed=told,
             )
             for _ in range(alive)
         ]
-        self.relays = [Policy(each, 0) for each in terms]
+        self.relays = [Policy(each, 0) for each in settings]
         entries = [HostEntry(b"host%d" % each, 1, 0, 0, self.rate, Listing.READY) for each in range(hosts)]
         self.wakes = [1 << 62] * alive
         self.room, self.room_at = 1.0, self.back_at
@@ -128,7 +128,7 @@
 
     def hand_in(self, number: int) -> None:
         self.count += 1
-        self.relays[number].text_taken(self.now, Text(self.count, 1, 0, self.now + VALID))
+        self.relays[number].text_accepted(self.now, Text(self.count, 1, 0, self.now + VALID))
         self.decide(number)
 
     def refill(self, number: int) -> None:
@@ -167,7 +167,7 @@
         if self.now >= self.back_at:
             self.calls.append(self.now)
             result, took = self.answer(), self.chance.randrange(LATENCY // 2, 2 * LATENCY)
-        took = took or submit.time_out
+        took = took or submit.timeout
         left = max(0.0, self.room / 5) if self.told else None
         self.at(
             self.now + took,
