--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -30,9 +30,7 @@
         self.notifier.send()
 
     def response_received(self, response: Response, body: bytes) -> None:
-        if (
-            not response.keep_alive or self.inbound
-        ):  # extra bytes would be taken for the next answer
+        if not response.keep_alive or self.inbound:  # extra bytes would be taken for the next answer
             self.close(EndReason.CLOSED_BY_PEER)
         self.notifier.response_received(response.status)
 
@@ -43,8 +41,9 @@
 class Notifier(ClientFactory):
     """Holds the notices that the platform has not acknowledged and sends them, one request at a time.
 
-    `timeout` limits the time for a connection and for an answer; `retry_interval` is the pause after a failure.
-    Both are in tenths of a millisecond. `on_acknowledged` is called with the id of each acknowledged text."""
+    `timeout` limits the time for a connection and for an answer; `retry_interval` is the pause after a
+    failure. Both are in tenths of a millisecond. `on_acknowledged` is called with the id of each acknowledged
+    text."""
 
     noisy = False
 
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -71,12 +71,11 @@
     ],
 )
 def test_an_invalid_list_of_peers_is_reported_with_its_key(tmp_path, peers, wanted):
-    faults = configuration_errors(tmp_path, peers)
-    (fault,) = [each for each in faults if wanted in str(each)]
-    assert fault.path == "membership.peers"
-    assert (
-        load_configuration(tmp_path, peers, on="false").membership.on is False
-    )  # not checked while membership is off
+    errors = configuration_errors(tmp_path, peers)
+    (error,) = [each for each in errors if wanted in str(each)]
+    assert error.path == "membership.peers"
+    # the list is not checked while membership is off
+    assert load_configuration(tmp_path, peers, on="false").membership.on is False
 
 
 @pytest.mark.parametrize(
--- a/tests/test_operator_server.py
+++ b/tests/test_operator_server.py
@@ -92,9 +92,7 @@
         standby.start()
         operators = OperatorClient(relay.operator_address), OperatorClient((relay.address, port))
         assert operators[told].call("SUSPEND s-1").startswith("+OK")
-        time.sleep(
-            1.0
-        )  # after this time it is in force in both processes, as the operators' documentation says
+        time.sleep(1.0)  # then it is in force in both processes, as documented for operators
         while not first.requests.empty():
             first.requests.get()
         for number in range(30):
