--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -1,4 +1,4 @@
-"""Clients: RESP2 over TCP, PING and SUBMIT."""
+"""The clients' port: RESP2 over TCP with the commands PING, SUBMIT and QUIT."""
 
 from __future__ import annotations
 
@@ -15,35 +15,40 @@
 from limelatch.interface import MS, SECOND
 from limelatch.logs import HeldDown, logger, say
 from limelatch.relay.ending import Ending
-from limelatch.relay.line_receiver import RingLines, waits
+from limelatch.relay.line_receiver import BufferedLineReceiver, has_unread_bytes
 from limelatch.relay.slots import Slots
 
 log = logger("clients")
 
-BODY_MOST = 64 * 1024
-LINGER = SECOND // 2  # for a client that does not read its last answer
-PAUSE_GRACE = SECOND  # after PAUSE: a front stops sending new connections, and what is on its way comes
-LOOK_MOST = SECOND // 2  # between two looks at a connection's silence
-CROWD_PART = 4  # a crowded listener closes those between commands so many times sooner
-BACKLOG = 128  # connections that wait to be accepted
-MAX_ACCEPTS_PER_TURN = 32  # in one turn of the reactor: calls, the list and due times have theirs in between
+MAX_BODY_SIZE = 64 * 1024  # bytes
+LINGER_TIMEOUT = SECOND // 2  # for a client that does not read its last answer
+PAUSE_GRACE = SECOND  # after PAUSE a load balancer stops sending connections; those on their way still arrive
+MAX_CHECK_INTERVAL = SECOND // 2  # between two checks whether a connection is idle
+CROWDED_IDLE_DIVISOR = 4  # while the table is crowded, the idle limit of its connections is divided by this
+LISTEN_BACKLOG = 128  # connections that wait in the kernel to be accepted
+MAX_ACCEPTS_PER_TURN = 32  # leaves time in a reactor turn for calls, the catalog and timers
 MAX_UNREAD_CHECKS = 16  # connections found with an unread request before the search for room gives up
-FULL_TABLE_CHECK_INTERVAL = SECOND // 100  # between two looks for room while the port waits
-OPEN_MOST = 1 << 20  # where nobody says how many there may be
-BAD_MOST = 8  # bad commands on one connection, then it is closed
-ARGUMENTS_MOST, SKIP_MOST, REPLY_MOST = 16, 1024 * 1024, 256
-COMMAND_MOST, SKIP_STEP = BODY_MOST + 4 * 1024, 8 * 1024  # of all arguments; of a skipped one at once
-WORD = re.compile(rb"[0-9A-Za-z_.:-]{1,64}\Z")
-SIZE = re.compile(rb"[0-9]{1,9}\Z")
+FULL_TABLE_CHECK_INTERVAL = SECOND // 100  # between two searches for room while accepting is paused
+DEFAULT_MAX_OPEN = 1 << 20  # open connections, where the caller sets no limit
+MAX_BAD_COMMANDS = 8  # on one connection, which is then closed
+MAX_ARGUMENTS = 16  # of one command
+MAX_SKIPPED_SIZE = (
+    1024 * 1024
+)  # bytes of an oversized bulk string that are skipped; beyond it the connection ends
+MAX_REPLY_SIZE = 256  # bytes
+MAX_COMMAND_SIZE = MAX_BODY_SIZE + 4 * 1024  # bytes of all arguments of a command
+SKIP_CHUNK_SIZE = 8 * 1024  # bytes of an oversized bulk string that are skipped at once
+IDENTIFIER = re.compile(rb"[0-9A-Za-z_.:-]{1,64}\Z")
+DECIMAL = re.compile(rb"[0-9]{1,9}\Z")
 
 
 class BadCommand(Exception):
-    """The command can't be carried out; the client is told why."""
+    """The command can't be carried out; the message is sent to the client."""
 
 
 @dataclass(slots=True)
 class Submission:
-    """A text as a client hands it in: the wire's words, the span of its validity in tenths of a ms."""
+    """A text as a client submits it: raw bytes of the command, and `valid_for` in tenths of a millisecond."""
 
     id: bytes
     key: bytes
@@ -56,19 +61,19 @@
 
 
 def read_submit(arguments: list[bytes]) -> Submission:
-    """SUBMIT ORDER-KEY ID NAMES BODY."""
+    """Parse SUBMIT ORDER-KEY ID NAMES BODY. Raises BadCommand."""
     if len(arguments) != 5:
         raise BadCommand("SUBMIT takes a key, an id, a list of names and values, and a body")
     _, key, text, names, body = arguments
-    if len(body) > BODY_MOST:
-        raise BadCommand(f"a body holds {BODY_MOST} bytes at most")
-    if not WORD.match(text) or not WORD.match(key):
+    if len(body) > MAX_BODY_SIZE:
+        raise BadCommand(f"a body holds {MAX_BODY_SIZE} bytes at most")
+    if not IDENTIFIER.match(text) or not IDENTIFIER.match(key):
         raise BadCommand("the key and the id take 1 to 64 letters and digits")
     values = dict(pair.partition(b"=")[::2] for pair in names.split(b","))
     idempotency_key, dest, span = values.get(b"k", b""), values.get(b"dest", b""), values.get(b"d", b"")
-    if idempotency_key and not WORD.match(idempotency_key):
+    if idempotency_key and not IDENTIFIER.match(idempotency_key):
         raise BadCommand("k takes 1 to 64 letters and digits")
-    if not SIZE.match(dest) or not re.fullmatch(rb"-?[0-9]{1,9}(\.[0-9]{1,6})?", span):
+    if not DECIMAL.match(dest) or not re.fullmatch(rb"-?[0-9]{1,9}(\.[0-9]{1,6})?", span):
         raise BadCommand("dest and d are wanted as numbers")
     return Submission(
         text,
@@ -83,55 +88,69 @@
 
 
 @implementer(interfaces.IHalfCloseableProtocol)
-class Client(RingLines):
-    """One client's connection. While a text waits for its answer nothing more is read from it."""
+class Client(BufferedLineReceiver):
+    """One client's connection. While a text awaits its answer, no further command is parsed."""
 
     delimiter = b"\r\n"
 
     def __init__(self, listener: Listener) -> None:
-        super().__init__(COMMAND_MOST + 2, 2 * REPLY_MOST)
-        self.listener, self.number = listener, None
+        super().__init__(MAX_COMMAND_SIZE + 2, 2 * MAX_REPLY_SIZE)
+        self.listener, self.slot = listener, None
         self.arguments: list[bytes] = []
-        self.missing = self.size = 0  # arguments of the command still to come, bytes of those that came
-        self.too_large, self.skip, self.waiting, self.all_said = False, 0, False, False
-        self.lingers, self.passed = False, 0  # closed for writing; bytes that were read past since
-        self.asked, self.bad, self.held = False, 0, 0  # held: bytes that the listener counts for it
-        self.heard_at = self.begun_at = listener.driver.clock.now()  # begun: the command that is coming
+        self.missing_arguments = self.arguments_size = 0  # arguments still to come; bytes of those received
+        self.is_too_large, self.bytes_to_skip, self.awaiting_answer, self.input_closed = (
+            False,
+            0,
+            False,
+            False,
+        )
+        self.is_lingering, self.discarded_bytes = False, 0  # closed for writing; bytes discarded since then
+        self.has_sent_command, self.bad_command_count, self.buffered_bytes = (
+            False,
+            0,
+            0,
+        )  # as the listener counts
+        self.last_received_at = self.command_started_at = listener.driver.clock.now()
         self.deadline = None
 
     def connectionMade(self) -> None:
         super().connectionMade()
         self.listener.count_open(1)
-        self.number = self.listener.connections.take(self)
-        if self.number is None:
+        self.slot = self.listener.connections.take(self)
+        if self.slot is None:
             self.end(Ending.CROWDED)
         else:
-            self.listener.heard(self)
-            self.deadline = self.listener.driver.deadlines.after(LOOK_MOST, self._look)
+            self.listener.note_activity(self)
+            self.deadline = self.listener.driver.deadlines.after(MAX_CHECK_INTERVAL, self._check_idle)
             if self.listener.connections.full:
                 self.listener.make_room(self)
 
-    def due(self) -> int:
-        """Until when this connection may stay as it is: the first command and a begun one have to come."""
+    def idle_deadline(self) -> int:
+        """When this connection is closed as idle. The first command, and one begun, have their own limit."""
         plan = self.listener.driver.plan
-        if self.asked and self.between_requests():
-            return self.heard_at + plan.client_idle // (CROWD_PART if self.listener.crowded else 1)
-        return self.begun_at + plan.client_command
-
-    def _look(self) -> None:
-        """Guards against connections that say nothing, or half a command, and hold a descriptor for good."""
-        now, due = self.listener.driver.clock.now(), self.due()
-        comes = waits(self.transport) and (self.between_requests() or now < due + LOOK_MOST)
-        if now >= due and not self.waiting and not comes:
+        if self.has_sent_command and self.between_requests():
+            return self.last_received_at + plan.client_idle // (
+                CROWDED_IDLE_DIVISOR if self.listener.is_crowded else 1
+            )
+        return self.command_started_at + plan.client_command
+
+    def _check_idle(self) -> None:
+        """Guards against connections that send nothing, or half a command, and keep a descriptor for good."""
+        now, due = self.listener.driver.clock.now(), self.idle_deadline()
+        has_input = has_unread_bytes(self.transport) and (
+            self.between_requests() or now < due + MAX_CHECK_INTERVAL
+        )
+        if now >= due and not self.awaiting_answer and not has_input:
             if not self.between_requests():
                 self.reply("-ERR the command did not come whole in its time")
             self.end(Ending.SILENT)
         else:
             self.deadline = self.listener.driver.deadlines.at(
-                min(max(due, now + SECOND // 10), now + LOOK_MOST), self._look
+                min(max(due, now + SECOND // 10), now + MAX_CHECK_INTERVAL), self._check_idle
             )
 
     def end(self, end_reason: Ending) -> None:
+        """Close the connection after what was written; abort it if that takes longer than LINGER_TIMEOUT."""
         if self.end_reason is not None:
             return
         if self.between_requests():
@@ -140,105 +159,117 @@
             self._close_lingering(end_reason)
         if self.deadline is not None:
             self.deadline.cancel()
-        self.deadline = self.listener.driver.deadlines.after(  # if it reads no more
-            LINGER, self.transport.abortConnection
+        self.deadline = self.listener.driver.deadlines.after(  # if the client reads no more
+            LINGER_TIMEOUT, self.transport.abortConnection
         )
 
     def _close_lingering(self, end_reason: Ending) -> None:
-        """Close for writing, and read past what still comes until the client closes as well.
+        """Close for writing, and discard further input until the client closes as well.
 
-        Guards against a close over unread bytes: it resets the connection, and the last answer may be lost
+        Guards against a close with unread input: it resets the connection, and the last answer may be lost
         with it."""
-        self.end_reason, self.lingers = end_reason, True
-        self.outflow.finish()
+        self.end_reason, self.is_lingering = end_reason, True
+        self.outbound_writer.finish()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
         self.transport.resumeProducing()
 
-    def _read_past(self, size: int) -> None:
-        """Guards against a client that sends without end: what a command may hold is read past, no more."""
-        self.passed += size
-        if self.passed > COMMAND_MOST:
+    def _discard(self, size: int) -> None:
+        """Guards against a client that sends without end: no more than one command's size is discarded."""
+        self.discarded_bytes += size
+        if self.discarded_bytes > MAX_COMMAND_SIZE:
             self.transport.abortConnection()
 
     def between_requests(self) -> bool:
-        return not self.waiting and not self.missing and not self.inbound
+        """Whether no request is being received or answered."""
+        return not self.awaiting_answer and not self.missing_arguments and not self.inbound
 
-    def at_rest(self) -> bool:
-        """Between requests, and none has arrived that is not read yet.
+    def is_idle(self) -> bool:
+        """Whether it is between requests and none has arrived unread.
 
-        Guards against closing under a request: the peer is reset, and may lose its last answer with it."""
-        return self.end_reason is None and self.between_requests() and not waits(self.transport)
+        Guards against a close during a request: it resets the connection, and the last answer may be lost
+        with it."""
+        return self.end_reason is None and self.between_requests() and not has_unread_bytes(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
-        if self.lingers:
-            self._read_past(len(data))
+        if self.is_lingering:
+            self._discard(len(data))
             return
-        self.heard_at = self.listener.driver.clock.now()
-        if self.number is not None:
-            self.listener.heard(self)
+        self.last_received_at = self.listener.driver.clock.now()
+        if self.slot is not None:
+            self.listener.note_activity(self)
         if self.between_requests():
-            self.begun_at = self.heard_at
+            self.command_started_at = self.last_received_at
         super().dataReceived(data)
-        self.listener.count(self)
+        self.listener.count_buffered(self)
 
-    def held_back(self) -> bool:
-        return self.waiting or self._outbound.free < REPLY_MOST
+    def is_parsing_paused(self) -> bool:
+        return self.awaiting_answer or self._outbound.free < MAX_REPLY_SIZE
 
     def lineReceived(self, line: bytes) -> None:
-        if self.missing:
-            if not line.startswith(b"$") or not SIZE.match(line[1:]):
-                self._refuse_all("a bulk string is wanted")
-            elif (size := int(line[1:])) + self.size > COMMAND_MOST:
+        if self.missing_arguments:
+            if not line.startswith(b"$") or not DECIMAL.match(line[1:]):
+                self._protocol_error("a bulk string is wanted")
+            elif (size := int(line[1:])) + self.arguments_size > MAX_COMMAND_SIZE:
                 self._skip(size + 2)
             else:
-                self.size += size
+                self.arguments_size += size
                 self.expect(size + 2)
         elif line.startswith(b"*"):
-            if not SIZE.match(line[1:]) or not 1 <= int(line[1:]) <= ARGUMENTS_MOST:
-                self._refuse_all("an array of 1 to 16 bulk strings is wanted")
+            if not DECIMAL.match(line[1:]) or not 1 <= int(line[1:]) <= MAX_ARGUMENTS:
+                self._protocol_error("an array of 1 to 16 bulk strings is wanted")
             else:
-                self.missing, self.arguments, self.size, self.too_large = int(line[1:]), [], 0, False
-        elif line.strip():  # a command typed by hand
-            self._command(line.split())
+                self.missing_arguments, self.arguments, self.arguments_size, self.is_too_large = (
+                    int(line[1:]),
+                    [],
+                    0,
+                    False,
+                )
+        elif line.strip():  # an inline command, as typed by hand
+            self._run_command(line.split())
 
     def _skip(self, size: int) -> None:
-        """A bulk string over the limit is read past, so that the answer is an error and nothing else."""
-        if size > SKIP_MOST:
-            self._refuse_all(f"a body holds {BODY_MOST} bytes at most")
+        """Skip an oversized bulk string, so that the connection stays and its answer is a single error."""
+        if size > MAX_SKIPPED_SIZE:
+            self._protocol_error(f"a body holds {MAX_BODY_SIZE} bytes at most")
         else:
-            self.too_large, self.skip = True, size
-            self.expect(min(size, SKIP_STEP))
+            self.is_too_large, self.bytes_to_skip = True, size
+            self.expect(min(size, SKIP_CHUNK_SIZE))
 
-    def _refuse_all(self, why: str) -> None:
+    def _protocol_error(self, why: str) -> None:
         self.reply(f"-ERR Protocol error: {why}")
         self.end(Ending.GARBLED)
 
     def rawDataReceived(self, data: bytes) -> None:
-        if self.skip:
-            self.skip -= len(data)
-            if self.skip:
-                self.expect(min(self.skip, SKIP_STEP))
+        if self.bytes_to_skip:
+            self.bytes_to_skip -= len(data)
+            if self.bytes_to_skip:
+                self.expect(min(self.bytes_to_skip, SKIP_CHUNK_SIZE))
                 return
         elif not data.endswith(b"\r\n"):
-            self._refuse_all("a bulk string's end is missing")
+            self._protocol_error("a bulk string's end is missing")
             return
         else:
             self.arguments.append(data[:-2])
         self.setLineMode()
-        self.missing -= 1
-        if not self.missing:
-            self._command(self.arguments)
+        self.missing_arguments -= 1
+        if not self.missing_arguments:
+            self._run_command(self.arguments)
 
-    def _command(self, arguments: list[bytes]) -> None:
+    def _run_command(self, arguments: list[bytes]) -> None:
         name = arguments[0].upper() if arguments else b""
-        self.asked, self.begun_at, self.size, self.arguments = True, self.heard_at, 0, []
+        self.has_sent_command, self.command_started_at, self.arguments_size, self.arguments = (
+            True,
+            self.last_received_at,
+            0,
+            [],
+        )
         try:
-            if self.too_large:
-                raise BadCommand(f"a body holds {BODY_MOST} bytes at most")
+            if self.is_too_large:
+                raise BadCommand(f"a body holds {MAX_BODY_SIZE} bytes at most")
             if name == b"SUBMIT":
                 submission = read_submit(arguments)
-                self.waiting = True
+                self.awaiting_answer = True
                 self.listener.driver.handed_in(submission, self)
             elif name == b"PING":
                 self.reply(
@@ -254,31 +285,32 @@
             else:
                 raise BadCommand(f"unknown command {name[:20].decode(errors='replace')!r}")
         except BadCommand as error:
-            self.waiting, self.bad = False, self.bad + 1
+            self.awaiting_answer, self.bad_command_count = False, self.bad_command_count + 1
             self.listener.held_down("command-bad", why=error, peer=self.transport.getPeer().host)
             self.reply(f"-ERR {error}")
-            if self.bad >= BAD_MOST:
+            if self.bad_command_count >= MAX_BAD_COMMANDS:
                 self.end(Ending.GARBLED)
 
     def reply(self, line: str) -> None:
+        """Write one line to the client."""
         self.send(line.encode() + b"\r\n")
 
     def answer(self, line: str) -> None:
-        """The answer to the text that waits; then the next request is read."""
-        self.waiting = False
+        """Answer the submission that waits; then the next request is parsed."""
+        self.awaiting_answer = False
         self.reply(line)
         self.pump()
-        if (self.listener.stopping or self.listener.closing) and self.at_rest():
+        if (self.listener.stopping or self.listener.closing) and self.is_idle():
             self.end(Ending.STOPPING)
-        elif self.all_said:
+        elif self.input_closed:
             self.readConnectionLost()
 
     def readConnectionLost(self) -> None:
-        """The client has said all and may still read: it gets the answer that it waits for."""
-        self.all_said = True
-        if self.lingers:
+        """The client has closed its sending side and may still read: it gets the answer it waits for."""
+        self.input_closed = True
+        if self.is_lingering:
             self.transport.loseConnection()
-        elif not self.waiting:
+        elif not self.awaiting_answer:
             self.end(Ending.CLOSED_BY_PEER)
 
     def writeConnectionLost(self) -> None:
@@ -293,65 +325,72 @@
             )
         if self.deadline is not None:
             self.deadline.cancel()
-        self.listener.held -= self.held
-        self.held = 0
-        if self.number is not None:
-            self.listener.drop(self)
-        self.listener.release()
-        if self.waiting:
+        self.listener.buffered_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
+        if self.slot is not None:
+            self.listener.remove(self)
+        self.listener.resume_accepting()
+        if self.awaiting_answer:
             self.listener.driver.client_gone(self)
 
 
 class Listener(ServerFactory):
-    """Where clients arrive: a table of connections; while it is full the port takes no more."""
+    """The clients' port and its table of connections; while the table is full the port accepts no more."""
 
     noisy = False
 
-    def __init__(self, driver, most: int, bytes_most: int, open_most: int = OPEN_MOST) -> None:
-        self.driver, self.connections, self.bytes_most = driver, Slots(most), bytes_most
-        self._by_silence: OrderedDict[Client, None] = OrderedDict()  # the one silent for longest first
-        self.open, self.open_most = 0, open_most  # connections, with those that were told to end
-        self._measured = False  # the port is to be told how many it may take
-        self.stopping, self.port, self._held = False, None, False
-        self.paused = self.closing = False  # PING says no; connections close between requests
-        self._grace = self._room_look = None
-        self.held, self.held_down = 0, HeldDown(log, driver.clock)
+    def __init__(
+        self, driver, max_connections: int, max_buffered_bytes: int, max_open: int = DEFAULT_MAX_OPEN
+    ) -> None:
+        """`max_connections`: size of the table; `max_open`: with those that are still closing."""
+        self.driver, self.connections, self.max_buffered_bytes = (
+            driver,
+            Slots(max_connections),
+            max_buffered_bytes,
+        )
+        self._by_last_activity: OrderedDict[Client, None] = OrderedDict()  # the longest idle first
+        self.open, self.max_open = 0, max_open  # open connections, including those that are closing
+        self._accept_update_due = False  # the port's limit of accepts is about to be set anew
+        self.stopping, self.port, self._accepting_paused = False, None, False
+        self.paused = self.closing = False  # paused: PING is refused; closing: idle connections are closed
+        self._grace = self._room_check = None
+        self.buffered_bytes, self.held_down = 0, HeldDown(log, driver.clock)
 
     def buildProtocol(self, address) -> Client | None:
         """None closes the connection at once, unread.
 
-        Guards against a burst in one turn of the reactor: those that make room are closed only after it, and
-        the descriptors of all others would be gone meanwhile."""
-        if self.open >= self.open_most:
+        Guards against a burst in one turn of the reactor: connections that make room are closed only after
+        the turn, and the burst would use up the descriptors of all other parties meanwhile."""
+        if self.open >= self.max_open:
             self.held_down("client-ended", why=Ending.CROWDED.value, peer=address.host)
             return None
         return Client(self)
 
     def count_open(self, more: int) -> None:
-        """What the port takes in the reactor's next turn is measured anew; the others wait in the kernel's
-        queue, and are not turned away.
+        """Count connections, and set anew how many the port accepts in the reactor's next turn. The others
+        wait in the kernel's queue and are not refused.
 
-        Guards against Twisted's own count, which grows by 20 a turn while connections wait: clients that come
-        again as soon as they are closed would hold the reactor for longer and longer."""
+        Guards against Twisted's own limit, which grows by 20 a turn while connections wait: clients that
+        reconnect as soon as they are closed would occupy the reactor for longer and longer."""
         self.open += more
-        if not self._measured:
-            self._measured = True
-            self.driver.deadlines.after(0, self._measure)
+        if not self._accept_update_due:
+            self._accept_update_due = True
+            self.driver.deadlines.after(0, self._update_accept_limit)
 
-    def _measure(self) -> None:
-        self._measured, free = False, self.open_most - self.open
+    def _update_accept_limit(self) -> None:
+        self._accept_update_due, free = False, self.max_open - self.open
         if self.port is None:
             return
         self.port.numberAccepts = max(1, min(MAX_ACCEPTS_PER_TURN, free))
-        if free <= 0 and not self._held:
-            self._held = True
+        if free <= 0 and not self._accepting_paused:
+            self._accepting_paused = True
             self.port.stopReading()
 
     def listen(self, reactor, host: str, port: int, is_standby: bool = False) -> None:
         """Listen with SO_REUSEPORT, so that a new version can serve on the same port during an upgrade.
 
-        Only a standby process (`is_standby`) joins a port in use; any other is refused, because it would share
-        the clients of another relay. Raises CannotListenError."""
+        Only a standby process (`is_standby`) joins a port in use; any other is refused, because it would
+        share the clients of another relay. Raises CannotListenError."""
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as shared:
                 if not is_standby:
@@ -361,155 +400,164 @@
                 shared.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 shared.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
                 shared.bind((host, port))
-                shared.listen(BACKLOG)
+                shared.listen(LISTEN_BACKLOG)
                 shared.setblocking(False)
-                self.port = reactor.adoptStreamPort(shared.fileno(), socket.AF_INET, self)  # on a copy
-                self._measure()
+                self.port = reactor.adoptStreamPort(
+                    shared.fileno(), socket.AF_INET, self
+                )  # duplicates the socket
+                self._update_accept_limit()
         except OSError as error:
             raise CannotListenError(host, port, error) from None
 
-    def count(self, client: Client) -> None:
-        """Count a client's bytes of commands not whole yet; over the bound the largest of these ends.
+    def count_buffered(self, client: Client) -> None:
+        """Count a client's bytes of incomplete commands; over the limit the largest such connection ends.
 
-        Guards against half-sent bodies on many connections, which together outgrow the memory. One whose text
-        awaits its answer stays: a refusal would pass for that answer."""
-        held = len(client.inbound) + client.size if client.end_reason is None else 0
-        self.held, client.held = self.held + held - client.held, held
-        while self.held > self.bytes_most:
-            partial = [each for each in self.connections if each.held and not each.waiting]
+        Guards against half-sent bodies on many connections, which together outgrow the memory. A client whose
+        text awaits its answer stays: it would take the refusal for that answer."""
+        buffered = len(client.inbound) + client.arguments_size if client.end_reason is None else 0
+        self.buffered_bytes, client.buffered_bytes = (
+            self.buffered_bytes + buffered - client.buffered_bytes,
+            buffered,
+        )
+        while self.buffered_bytes > self.max_buffered_bytes:
+            partial = [each for each in self.connections if each.buffered_bytes and not each.awaiting_answer]
             if not partial:
                 break
-            largest = max(partial, key=lambda each: each.held)
-            self.held, largest.held = self.held - largest.held, 0
+            largest = max(partial, key=lambda each: each.buffered_bytes)
+            self.buffered_bytes, largest.buffered_bytes = self.buffered_bytes - largest.buffered_bytes, 0
             largest.reply("-BUSY")
             largest.end(Ending.CROWDED)
 
     @property
-    def crowded(self) -> bool:
-        """Half the table is taken: guards against clients that ask once, stay and take the room of others."""
+    def is_crowded(self) -> bool:
+        """Whether half the table is used: guards against clients that send one command and then stay idle,
+        taking the slots of others."""
         return len(self.connections) * 2 > self.connections.size
 
-    def heard(self, client: Client) -> None:
-        """It is new, or has just said something."""
-        self._by_silence[client] = None
-        self._by_silence.move_to_end(client)
+    def note_activity(self, client: Client) -> None:
+        """The connection is new, or has just sent something."""
+        self._by_last_activity[client] = None
+        self._by_last_activity.move_to_end(client)
 
-    def drop(self, client: Client) -> None:
-        """Its place in the table is free."""
-        self.connections.release(client.number)
-        client.number = None
-        del self._by_silence[client]
+    def remove(self, client: Client) -> None:
+        """Free the client's slot in the table."""
+        self.connections.release(client.slot)
+        client.slot = None
+        del self._by_last_activity[client]
 
     def make_room(self, newest: Client | None = None) -> None:
-        """The table is full: close the connection silent for longest; hold the port if none is at rest."""
-        silent = self._longest_silent(newest)
-        if silent is not None:
-            silent.end(Ending.CROWDED)
-            self.drop(silent)
-            self.release()
+        """The table is full: close the longest idle connection; pause accepting if none is idle."""
+        idle = self._longest_idle(newest)
+        if idle is not None:
+            idle.end(Ending.CROWDED)
+            self.remove(idle)
+            self.resume_accepting()
         elif self.port is not None:
-            if not self._held:
-                self._held = True
+            if not self._accepting_paused:
+                self._accepting_paused = True
                 self.port.stopReading()
-            if self._room_look is None:
-                self._room_look = self.driver.deadlines.after(FULL_TABLE_CHECK_INTERVAL, self._look_for_room)
-
-    def set_limits(self, most: int, open_most: int) -> None:
-        """Hold so many connections from now on; of those beyond it the ones at rest end, the others later."""
-        self.connections.size, self.open_most = most, open_most
-        while len(self.connections) > most and (silent := self._longest_silent(None)) is not None:
-            silent.end(Ending.CROWDED)
-            self.drop(silent)
+            if self._room_check is None:
+                self._room_check = self.driver.deadlines.after(FULL_TABLE_CHECK_INTERVAL, self._check_room)
+
+    def set_limits(self, max_connections: int, max_open: int) -> None:
+        """Change the limits. Idle connections beyond them are closed now, the others once they are idle."""
+        self.connections.size, self.max_open = max_connections, max_open
+        while len(self.connections) > max_connections and (idle := self._longest_idle(None)) is not None:
+            idle.end(Ending.CROWDED)
+            self.remove(idle)
         if self.connections.full:
             self.make_room()
         else:
-            self.release()
+            self.resume_accepting()
         self.count_open(0)
 
-    def _longest_silent(self, newest: Client | None) -> Client | None:
-        """The connection at rest that was heard of longest ago.
+    def _longest_idle(self, newest: Client | None) -> Client | None:
+        """The idle connection with the earliest last activity.
 
-        Only those that come first are asked whether they have a request unread, which is a system call each:
-        guards against a crowd of idle clients that come again at once, for each of which the whole table was
-        asked, until nothing but that was done."""
+        Only the first few are checked for an unread request, which is a system call each: guards against a
+        crowd of idle clients that reconnect at once, for each of which the whole table was checked, until the
+        relay did nothing else."""
         unread, found = [], None
-        for each in self._by_silence:
-            if each is newest or each.waiting or each.end_reason is not None:
+        for each in self._by_last_activity:
+            if each is newest or each.awaiting_answer or each.end_reason is not None:
                 continue
-            if not waits(each.transport):
+            if not has_unread_bytes(each.transport):
                 found = each
                 break
             unread.append(each)
             if len(unread) == MAX_UNREAD_CHECKS:
                 break
-        for each in unread:  # they have said something, and are read in the reactor's next turn
-            self._by_silence.move_to_end(each)
+        for each in unread:  # they have sent something, which is read in the reactor's next turn
+            self._by_last_activity.move_to_end(each)
         return found
 
-    def _look_for_room(self) -> None:
-        """What awaited an answer, or had a request unread, may be at rest by now."""
-        self._room_look = None
-        if self._held:
+    def _check_room(self) -> None:
+        """A connection that awaited an answer, or had an unread request, may be idle by now."""
+        self._room_check = None
+        if self._accepting_paused:
             self.make_room()
 
-    def release(self) -> None:
-        if self._held and not self.connections.full and self.open < self.open_most:
-            self._held = False
+    def resume_accepting(self) -> None:
+        """Accept again if accepting is paused and the limits allow it."""
+        if self._accepting_paused and not self.connections.full and self.open < self.max_open:
+            self._accepting_paused = False
             self.port.startReading()
 
     def stop(self, handed_over: bool = False) -> None:
-        """Close what is between requests; connections that still come get one answer each.
+        """Close idle connections; those that still come get one answer each.
 
-        `handed_over`: a new process serves beside this one; the port is closed, so that it gets them all."""
+        `handed_over`: a new process listens on the same address; this port is closed, so that the new process
+        gets all connections."""
         self.stopping = True
         if handed_over:
             self._close_port()
-        self._close_resting()
+        self._close_idle()
 
     def has_pending_requests(self) -> bool:
-        """Whether a request is not answered, not even read, comes just now, or may come on a connection just
-        made."""
+        """Whether any request is unanswered, unread or being received, or may be about to arrive on a
+        connection that was just made."""
         now = self.driver.clock.now()
         return any(
-            each.waiting
-            or waits(each.transport)
-            or not each.asked
-            and each.heard_at > now - SECOND // 10
+            each.awaiting_answer
+            or has_unread_bytes(each.transport)
+            or not each.has_sent_command
+            and each.last_received_at > now - SECOND // 10
             or not each.between_requests()
-            and each.heard_at > now - LOOK_MOST
+            and each.last_received_at > now - MAX_CHECK_INTERVAL
             for each in self.connections
             if each.end_reason is None
         )
 
     def stop_reading(self) -> None:
-        """Nothing more is read; what is answered is still written."""
+        """Read nothing more; answers are still written."""
         self._close_port()
         for each in self.connections:
             if each.end_reason is None:
                 each.transport.pauseProducing()
 
     def _close_port(self) -> None:
-        port, self.port, self._held = self.port, None, False
+        port, self.port, self._accepting_paused = self.port, None, False
         if port is not None:
             port.stopListening()
 
-    def _close_resting(self) -> None:
+    def _close_idle(self) -> None:
         for client in self.connections:
-            if client.at_rest():
+            if client.is_idle():
                 client.end(Ending.STOPPING)
 
     def pause(self) -> None:
-        """A drain: PING says no at once; after a grace no connection stays, so that none is held idle."""
+        """Start a drain: PING is refused at once; after PAUSE_GRACE idle connections are closed."""
         if not self.paused:
             self.paused = True
             say(log, "paused", owed=len(self.driver.owed))
-            self._grace = self.driver.deadlines.after(PAUSE_GRACE, self._close_all)
+            self._grace = self.driver.deadlines.after(PAUSE_GRACE, self._start_closing)
 
-    def _close_all(self) -> None:
+    def _start_closing(self) -> None:
         self.closing, self._grace = True, None
-        self._close_resting()
+        self._close_idle()
 
     def resume(self) -> None:
+        """End a drain."""
         if self.paused:
             self.paused = self.closing = False
             say(log, "resumed", owed=len(self.driver.owed))
--- a/limelatch/relay/directory.py
+++ b/limelatch/relay/directory.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from limelatch.relay.hash_index import END, Chains
+from limelatch.relay.hash_index import END, HashIndex
 
 NAME_MOST, WORD_MOST = 255, 64  # characters of a host's name or address, of a zone's or a kind's name
 MAX_DESTINATION = 0xFFFFFFFE  # of a destination, as four bytes hold it
@@ -70,8 +70,8 @@
         self._at = array("I")  # by row number: where its line begins; END: the number is free
         self._name_key, self._destination = array("I"), array("I")
         self._seen = bytearray()  # by row number: whether the whole list that came last, or comes, has it
-        self._by_name = Chains(self._name_key.__getitem__, rows)
-        self._by_destination = Chains(lambda row: self._key(self._destination[row]), rows)
+        self._by_name = HashIndex(self._name_key.__getitem__, rows)
+        self._by_destination = HashIndex(lambda row: self._key(self._destination[row]), rows)
         self._free: list[int] = []
         self._left: dict[int, None] = {}  # rows that are gone, the oldest first
         self._count, self._swept = 0, 0  # _swept: rows before it are all seen
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -1,4 +1,6 @@
-"""Hosts: calls, batches and probes over HTTP/1.1, one call a connection at a time, never sent again here."""
+"""Connections to hosts: single calls, batches and probes over HTTP/1.1, one call at a time on a connection.
+
+A call is never repeated here: retries are decided by the policy."""
 
 from __future__ import annotations
 
@@ -24,71 +26,76 @@
     Ending,
 )
 from limelatch.relay.http import HttpClientProtocol, Response, request_head
-from limelatch.relay.line_receiver import waits
+from limelatch.relay.line_receiver import has_unread_bytes
 from limelatch.relay.slots import Slots
 
 log = logger("hosts")
 
-ANSWER_MOST, OUTBOUND, REPORT_MOST = 64 * 1024, 32 * 1024, 1e6
-REPORT = re.compile(rb"\s*([0-9A-Za-z_]+)\s*=\s*([0-9]{1,9}(?:\.[0-9]{0,18})?(?:[eE]-?[0-9]{1,2})?)\s*\Z")
+MAX_RESPONSE_SIZE = 64 * 1024  # bytes of a response's body
+OUTBOUND_BUFFER_SIZE = 32 * 1024  # bytes of a connection's requests that wait to be written
+MAX_REPORT_VALUE = 1e6  # a report with a larger value is ignored
+REPORT_PATTERN = re.compile(
+    rb"\s*([0-9A-Za-z_]+)\s*=\s*([0-9]{1,9}(?:\.[0-9]{0,18})?(?:[eE]-?[0-9]{1,2})?)\s*\Z"
+)
 
 
 @dataclass(slots=True)
 class OutgoingText:
-    """One text in a call."""
+    """One text in a call; `text` is its id. Times in tenths of a millisecond."""
 
     text: bytes
     idempotency_key: bytes
     body: bytes
-    due_at: int  # when the relay stops waiting
-    idle_limit: int  # for how long the connection may stand idle afterwards
+    due_at: int  # when the relay stops waiting for the response
+    idle_limit: int  # how long the connection may stay idle after the call
 
 
 @dataclass(slots=True)
 class Outcome:
-    """How one text of a call fared."""
+    """The outcome of one text of a call; `retry_after` in tenths of a millisecond, 0 for none."""
 
     result: Result
     finished: bool = False
     retry_after: int = 0
     report: dict[str, float] = field(default_factory=dict)
-    unsent: bool = False  # held back as its connection came up
+    unsent: bool = False  # withdrawn when its connection was established, before anything was written
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call, or one probe where it has no texts."""
+    """One call, or a probe if it has no texts. Times in tenths of a millisecond."""
 
     host: HostId
     texts: list[OutgoingText]
     sent_at: int
-    batched: bool = False  # written as a batch, and so answered as one
-    idle_time: int = 0  # how long its connection had stood idle; 0 for a new one
+    batched: bool = False  # written as a batch, so the response is that of a batch
+    idle_time: int = 0  # how long its connection had been idle; 0 for a new one
     deadline: Deadline | None = None
     connection: Connection | None = None
-    response_started_at: int = 0  # when the first line of its answer was read
+    response_started_at: int = 0  # when the status line of its response was read
 
     def is_late(self, now: int) -> bool:
-        """Whether what proves a delivery was read when the relay should have stopped waiting: the first line,
-        in a batch the whole answer."""
+        """Whether the proof of a delivery was read only after the deadline: the status line, or in a batch
+        the whole response."""
         return (now if self.batched else self.response_started_at) >= self.deadline.when
 
 
 def read_retry_after(headers: dict[bytes, bytes]) -> int:
-    """Retry-After, in seconds with decimals, as tenths of a millisecond; rounded up."""
+    """The Retry-After header, in seconds with decimals, as tenths of a millisecond, rounded up; else 0."""
     match = re.fullmatch(rb"[0-9]{1,6}(\.[0-9]{1,9})?", headers.get(b"retry-after", b""))
     return -int(-float(match[0]) * SECOND // 1) if match else 0
 
 
 def read_report(headers: dict[bytes, bytes]) -> dict[str, float]:
-    """X-Pressure: names and values; a report that can't be read whole, or is beyond reason, says nothing."""
-    pairs = [REPORT.match(pair) for pair in headers.get(b"x-pressure", b"").split(b",")]
+    """The X-Pressure header: names and values; empty if any part is unreadable or over MAX_REPORT_VALUE."""
+    pairs = [REPORT_PATTERN.match(pair) for pair in headers.get(b"x-pressure", b"").split(b",")]
     found = {match[1].decode(): float(match[2]) for match in pairs if match}
-    return found if all(pairs) and all(value <= REPORT_MOST for value in found.values()) else {}
+    return found if all(pairs) and all(value <= MAX_REPORT_VALUE for value in found.values()) else {}
 
 
 def read_outcomes(call: Call, response: Response, body: bytes) -> list[Outcome]:
-    """What an answer says of each text of its call; raises ValueError where it can't be read."""
+    """The outcome of each text of a call, by its response. Raises ValueError, KeyError, TypeError or
+    AttributeError if a batch's body can't be read."""
     wait, report = read_retry_after(response.headers), read_report(response.headers)
     if call.batched and response.status == 200:
         states = {row["id"].encode(): row["state"] for row in json.loads(body)}
@@ -97,40 +104,40 @@
             for each in call.texts
         ]
     result = RESULT_OF_STATUS.get(response.status, Result.ERROR)
-    if call.batched and response.status in (410, 504):  # these speak of one text
+    if call.batched and response.status in (410, 504):  # these statuses describe a single text
         result = Result.ERROR
     if response.status == 503 and response.headers.get(b"x-no-slot") == b"1":
         result = Result.MOOT
     elif response.status == 503 and not (call.idle_time or response.keep_alive or report or wait):
-        result = Result.CONNECT  # a new connection, turned away and closed: the host holds no more of them
+        result = Result.CONNECT  # a new connection, refused and closed: the host's table is full
     if call.batched and response.status == 400:
-        result = Result.MOOT  # a batch that was not read
+        result = Result.MOOT  # the host did not read the batch
     finished = response.status in OVER_STATUS and result is not Result.ERROR
     return [Outcome(result, finished, wait, report) for _ in call.texts]
 
 
-def too_late(outcome: Outcome) -> Outcome:
-    """What an answer that ends a text is worth once the relay should have stopped waiting for it: as much as
-    a time-out, whichever of the two the reactor comes to first; a wait that it tells holds.
+def late_outcome(outcome: Outcome) -> Outcome:
+    """The outcome of a response that would finish a text but arrives after the deadline: the same as of a
+    time-out, whichever of the two the reactor handles first. Its Retry-After still holds.
 
-    Guards against a delivery that counts at the relay alone, so that a text has no end at all: nobody tells
-    whether such an answer was given in time. Another end does no harm to a text that has one."""
+    Guards against a delivery that only the relay counts, which leaves the text without any final answer:
+    whether such a response was sent in time can't be known. A second final answer does no harm."""
     result = Result.TIMEOUT if outcome.result is Result.DELIVERED else outcome.result
     return Outcome(result, False, outcome.retry_after, outcome.report)
 
 
 def write_call(call: Call, host: str, now: int) -> list[bytes]:
-    """The request of a call, a batch or a probe, in pieces."""
+    """The request of a call, a batch or a probe, as pieces to be written in order."""
     if not call.texts:
         return [request_head("GET", "/ping", host, None, [])]
     wait = max(1, (min(each.due_at for each in call.texts) - now) // MS)
     headers = [("X-Remaining", f"{wait}m")]
     if len(call.texts) == 1:
-        one = call.texts[0]
-        headers.append(("X-Txn", one.text.decode()))
-        if one.idempotency_key:
-            headers.append(("Idempotency-Key", one.idempotency_key.decode()))
-        return [request_head("POST", "/v1/messages", host, len(one.body), headers), one.body]
+        only_text = call.texts[0]
+        headers.append(("X-Txn", only_text.text.decode()))
+        if only_text.idempotency_key:
+            headers.append(("Idempotency-Key", only_text.idempotency_key.decode()))
+        return [request_head("POST", "/v1/messages", host, len(only_text.body), headers), only_text.body]
     rows = []
     for each in call.texts:
         row = {"id": each.text.decode(), "body": base64.b64encode(each.body).decode()}
@@ -141,25 +148,30 @@
 
 
 class Connection(HttpClientProtocol):
-    """One connection to a host."""
+    """One connection to a host, from the attempt to connect until it has ended."""
 
     def __init__(self, pool: HostPool, host: HostId, call: Call) -> None:
-        super().__init__(ANSWER_MOST, OUTBOUND)
+        super().__init__(MAX_RESPONSE_SIZE, OUTBOUND_BUFFER_SIZE)
         self.pool, self.host, self.call = pool, host, call
-        self.number, self.connector, self.deadline = None, None, None
-        self.up, self.rested_at, self.address = False, 0, pool.addresses.get(host)
+        self.slot, self.connector, self.deadline = None, None, None
+        self.is_connected, self.idle_since, self.address = False, 0, pool.addresses.get(host)
 
-    def clean(self) -> bool:
-        """Whether nothing is left of its last call, either way, and its peer has sent nothing since.
+    def is_reusable(self) -> bool:
+        """Whether all of its last call was written and read, and the peer has sent nothing since.
 
-        Guards against a second answer, or noise, that would pass for the answer to the next call."""
-        if self.end_reason is not None or not self.connected or self.inbound or not self.outflow.empty:
+        Guards against a second response, or stray bytes, that would pass for the next call's response."""
+        if (
+            self.end_reason is not None
+            or not self.connected
+            or self.inbound
+            or not self.outbound_writer.empty
+        ):
             return False
-        return not waits(self.transport)
+        return not has_unread_bytes(self.transport)
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.up = True
+        self.is_connected = True
         self.deadline.cancel()
         self.pool.send_on(self)
 
@@ -171,13 +183,13 @@
         self.pool.response_received(self, response, body)
 
     def connection_ended(self, end_reason: Ending) -> None:
-        if end_reason is Ending.BROKEN and not self.outflow.empty:
+        if end_reason is Ending.BROKEN and not self.outbound_writer.empty:
             end_reason = self.end_reason = Ending.CUT_SHORT
-        self.pool.lost(self, end_reason)
+        self.pool.connection_lost(self, end_reason)
 
-    def give_up(self, end_reason: Ending) -> None:
-        """Close it, whether it is up or still coming up."""
-        if self.up:
+    def abandon(self, end_reason: Ending) -> None:
+        """Close the connection, or stop the attempt to establish it."""
+        if self.is_connected:
             self.close(end_reason)
         elif self.end_reason is None:
             self.end_reason = end_reason
@@ -185,8 +197,8 @@
                 self.connector.stopConnecting()
 
 
-class Dial(ClientFactory):
-    """One try to connect."""
+class ConnectAttempt(ClientFactory):
+    """One attempt to connect."""
 
     noisy = False
 
@@ -199,11 +211,11 @@
     def clientConnectionFailed(self, connector, reason) -> None:
         connection = self.connection
         connection.end_reason = connection.end_reason or Ending.REFUSED
-        connection.pool.lost(connection, connection.end_reason)
+        connection.pool.connection_lost(connection, connection.end_reason)
 
 
 class HostPool:
-    """All connections to hosts, in numbered slots; the idle ones by host, the last used first."""
+    """All connections to hosts, in a table of limited size. Idle ones are reused, the last used first."""
 
     def __init__(
         self,
@@ -211,99 +223,101 @@
         deadlines: Deadlines,
         clock: Clock,
         driver,
-        most: int,
+        max_connections: int,
         connect_wait: int,
         probe_wait: int,
     ) -> None:
+        """`connect_wait`, `probe_wait`: in tenths of a millisecond."""
         self.reactor, self.deadlines, self.clock, self.driver = reactor, deadlines, clock, driver
         self.connect_wait, self.probe_wait = connect_wait, probe_wait
-        self.connections: Slots[Connection] = Slots(most)
+        self.connections: Slots[Connection] = Slots(max_connections)
         self.idle: defaultdict[HostId, list[Connection]] = defaultdict(list)
         self.addresses: dict[HostId, Address] = {}
         self.calls_in_flight, self.held_down = 0, HeldDown(log, clock)
 
     def send(self, host: HostId, texts: list[OutgoingText]) -> None:
-        """One call with these texts, or a probe; its outcomes go to the driver."""
+        """Start one call with these texts, or a probe without any; its outcomes go to the driver."""
         now = self.clock.now()
         call = Call(host, texts, now)
         self.calls_in_flight += 1
         due = min(each.due_at for each in texts) if texts else now + self.probe_wait
-        call.deadline = self.deadlines.at(due, lambda: self._out_of_time(call))
-        while (waiting := self.idle.get(host)) and (connection := waiting.pop()):
+        call.deadline = self.deadlines.at(due, lambda: self._call_timed_out(call))
+        while (idle_connections := self.idle.get(host)) and (connection := idle_connections.pop()):
             connection.deadline.cancel()
-            if connection.clean():
+            if connection.is_reusable():
                 call.connection, connection.call = connection, call
-                call.idle_time = max(1, now - connection.rested_at)
+                call.idle_time = max(1, now - connection.idle_since)
                 self.send_on(connection)
                 return
-            connection.give_up(Ending.GARBLED if connection.inbound else Ending.CLOSED_BY_PEER)
+            connection.abandon(Ending.GARBLED if connection.inbound else Ending.CLOSED_BY_PEER)
         self._connect(call)
 
     def _connect(self, call: Call) -> None:
         if self.connections.full:
             self._close_oldest_idle()
         connection = call.connection = Connection(self, call.host, call)
-        connection.number = self.connections.take(connection)
+        connection.slot = self.connections.take(connection)
         address = self.addresses.get(call.host)
-        if connection.number is None or address is None:
-            end_reason = Ending.CROWDED if connection.number is None else Ending.REFUSED
-            self.deadlines.after(0, lambda: self.lost(connection, end_reason))
+        if connection.slot is None or address is None:
+            end_reason = Ending.CROWDED if connection.slot is None else Ending.REFUSED
+            self.deadlines.after(0, lambda: self.connection_lost(connection, end_reason))
             return
         connection.deadline = self.deadlines.after(
-            self.connect_wait, lambda: connection.give_up(Ending.UNREACHED)
+            self.connect_wait, lambda: connection.abandon(Ending.UNREACHED)
         )
         connection.connector = self.reactor.connectTCP(
-            address.host, address.port, Dial(connection), timeout=None
+            address.host, address.port, ConnectAttempt(connection), timeout=None
         )
 
-    def set_limit(self, most: int) -> None:
-        """Hold so many connections from now on; idle ones beyond it are closed."""
-        self.connections.size = most
-        while len(self.connections) > most and any(self.idle.values()):
+    def set_limit(self, max_connections: int) -> None:
+        """Change the size of the table; idle connections beyond it are closed."""
+        self.connections.size = max_connections
+        while len(self.connections) > max_connections and any(self.idle.values()):
             self._close_oldest_idle()
 
     def _close_oldest_idle(self) -> None:
-        resting = [waiting[0] for waiting in self.idle.values() if waiting]
-        if resting:
-            oldest = min(resting, key=lambda connection: connection.rested_at)
+        oldest_by_host = [connections[0] for connections in self.idle.values() if connections]
+        if oldest_by_host:
+            oldest = min(oldest_by_host, key=lambda connection: connection.idle_since)
             self.idle[oldest.host].remove(oldest)
-            oldest.give_up(Ending.IDLE)
-            self.connections.release(oldest.number)
-            oldest.number = None
+            oldest.abandon(Ending.IDLE)
+            self.connections.release(oldest.slot)
+            oldest.slot = None
 
     def send_on(self, connection: Connection) -> None:
-        """The connection is up: write its call, less the texts that are not to go any more."""
+        """The connection is established: write its call, without the texts that must not be sent any more."""
         call, now = connection.call, self.clock.now()
-        if call is None:  # it was given up as it came up
-            connection.give_up(Ending.IDLE)
+        if call is None:  # the call was abandoned meanwhile
+            connection.abandon(Ending.IDLE)
             return
-        held = [
+        held_back = [
             each
             for each in call.texts
             if not (self.driver.may_go(now, each.text, call.host) and self.driver.going(call, each))
         ]
-        if held:
-            call.texts = [each for each in call.texts if each not in held]
-            for each in held:
+        if held_back:
+            call.texts = [each for each in call.texts if each not in held_back]
+            for each in held_back:
                 self.driver.ended(call, each, Outcome(RESULT_OF_ENDING[Ending.HELD_BACK], unsent=True))
             if not call.texts:
                 self._finish(call)
-                self._rest(connection, held[0].idle_limit)
+                self._keep_idle(connection, held_back[0].idle_limit)
                 return
         call.batched = len(call.texts) > 1
         connection.send_request(*write_call(call, str(self.addresses.get(call.host, "")), now))
 
     def response_received(self, connection: Connection, response: Response, body: bytes) -> None:
+        """Report the outcomes of the connection's call, and keep the connection if it can be reused."""
         call = connection.call
         if call is None:
-            connection.give_up(Ending.GARBLED)
+            connection.abandon(Ending.GARBLED)
             return
-        keep = min((each.idle_limit for each in call.texts), default=0)
+        idle_limit = min((each.idle_limit for each in call.texts), default=0)
         try:
             outcomes = read_outcomes(call, response, body)
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             self.held_down("answer-not-read", host=call.host, why=repr(error))
-            connection.give_up(Ending.GARBLED)
+            connection.abandon(Ending.GARBLED)
             return
         late = call.is_late(self.clock.now())
         self._finish(call)
@@ -311,30 +325,31 @@
             result = RESULT_OF_STATUS.get(response.status, Result.ERROR)
             self.driver.probed(call, result, read_report(response.headers))
         for each, outcome in zip(call.texts, outcomes, strict=True):
-            self.driver.ended(call, each, too_late(outcome) if late and outcome.finished else outcome)
-        self._rest(connection, keep if response.keep_alive else 0)
+            self.driver.ended(call, each, late_outcome(outcome) if late and outcome.finished else outcome)
+        self._keep_idle(connection, idle_limit if response.keep_alive else 0)
 
-    def _rest(self, connection: Connection, keep: int) -> None:
-        """The connection stands idle for as long as the module said.
+    def _keep_idle(self, connection: Connection, idle_limit: int) -> None:
+        """Keep the connection idle for as long as the policy allows, else close it.
 
-        Guards against one in use while its host moved: it would go on to the address that it has left."""
+        Guards against a connection that was in use while its host moved: it leads to the old address."""
         connection.call = None
         if connection.end_reason is not None:
             return
         moved = connection.address is None or self.addresses.get(connection.host) != connection.address
-        if keep <= 0 or moved or not connection.clean():
-            connection.give_up(Ending.IDLE)
+        if idle_limit <= 0 or moved or not connection.is_reusable():
+            connection.abandon(Ending.IDLE)
             return
-        connection.deadline = self.deadlines.after(keep, lambda: connection.give_up(Ending.IDLE))
-        connection.rested_at = self.clock.now()
+        connection.deadline = self.deadlines.after(idle_limit, lambda: connection.abandon(Ending.IDLE))
+        connection.idle_since = self.clock.now()
         self.idle[connection.host].append(connection)
 
     def close_idle(self, host: HostId) -> None:
+        """Close all idle connections to the host."""
         for connection in self.idle.pop(host, []):
-            connection.give_up(Ending.IDLE)
+            connection.abandon(Ending.IDLE)
 
     def set_address(self, host: HostId, address: Address | None) -> None:
-        """Where the host is reached now; nothing is kept to one that is gone, at rest or has moved."""
+        """Set the host's address, None if it is not needed; idle connections to an old address are closed."""
         if self.addresses.get(host, address) != address:
             self.close_idle(host)
         if address is None:
@@ -342,27 +357,27 @@
         else:
             self.addresses[host] = address
 
-    def _out_of_time(self, call: Call) -> None:
-        """The relay stops waiting: the call is given up whole, by closing its connection.
+    def _call_timed_out(self, call: Call) -> None:
+        """The deadline has passed: abandon the whole call by closing its connection.
 
-        Guards against a text of a batch that ends alone while its submit stays out: what the others are
-        answered after that end does not count as delivered, and a copy of it may go out beside it."""
-        call.connection.give_up(Ending.SILENT if call.connection.awaiting_response else Ending.UNREACHED)
+        Guards against a batch of which one text ends while its submit is still running: the texts answered
+        after that would not count as delivered, and a copy of the text might be sent at the same time."""
+        call.connection.abandon(Ending.SILENT if call.connection.awaiting_response else Ending.UNREACHED)
 
     def _finish(self, call: Call) -> None:
         self.calls_in_flight -= 1
         call.deadline.cancel()
 
-    def lost(self, connection: Connection, end_reason: Ending) -> None:
-        """A connection is over; a call that was out on it has its outcome now."""
+    def connection_lost(self, connection: Connection, end_reason: Ending) -> None:
+        """A connection has ended; a call that was running on it gets its outcome."""
         if connection.deadline is not None:
             connection.deadline.cancel()
-        if connection.number is not None:
-            self.connections.release(connection.number)
-            connection.number = None
-        waiting = self.idle.get(connection.host, [])
-        if connection in waiting:
-            waiting.remove(connection)
+        if connection.slot is not None:
+            self.connections.release(connection.slot)
+            connection.slot = None
+        idle_connections = self.idle.get(connection.host, [])
+        if connection in idle_connections:
+            idle_connections.remove(connection)
         call, connection.call = connection.call, None
         if end_reason in (Ending.GARBLED, Ending.CROWDED):
             self.held_down("host-connection-bad", host=connection.host, why=end_reason.value)
@@ -378,7 +393,10 @@
             and not call.batched
             and not call.is_late(call.response_started_at)
         ):
-            result, finished = Result.SPOILT, True  # its first line is true; the call may run on
+            result, finished = (
+                Result.SPOILT,
+                True,
+            )  # its status line counts; the host may still be running the call
         if not call.texts:
             self.driver.probed(call, result, {})
         for each in call.texts:
--- a/limelatch/relay/http.py
+++ b/limelatch/relay/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 from the client's side: one request at a time on a kept connection (RFC 9110, RFC 9112)."""
+"""HTTP/1.1 client protocol: one request at a time on a persistent connection (RFC 9110, RFC 9112)."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 
 from limelatch.relay.ending import Ending
-from limelatch.relay.line_receiver import RingLines
+from limelatch.relay.line_receiver import BufferedLineReceiver
 
-STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9][0-9])(?: .*)?\Z")
-HEADER = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([\t\x20-\x7e\x80-\xff]*)\Z")
-LENGTH = re.compile(rb"[0-9]{1,15}\Z")
-FRAMING = (b"content-length", b"transfer-encoding")
-HEAD_MOST = 16 * 1024  # bytes of an answer's heads and trailers, interim answers included
+STATUS_LINE_PATTERN = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9][0-9])(?: .*)?\Z")
+HEADER_PATTERN = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([\t\x20-\x7e\x80-\xff]*)\Z")
+LENGTH_PATTERN = re.compile(rb"[0-9]{1,15}\Z")
+FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
+MAX_HEAD_SIZE = 16 * 1024  # bytes of a response's heads and trailers, interim responses included
 
 
 @dataclass(slots=True)
 class Response:
-    """Status and headers, their names in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes] = field(default_factory=dict)
@@ -27,149 +27,150 @@
 def request_head(
     method: str, target: str, host: str, length: int | None, headers: list[tuple[str, str]]
 ) -> bytes:
-    """A request up to its body."""
+    """A request's head, up to and with the empty line; `length`: bytes of the body, None without a body."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"] + [f"{name}: {value}" for name, value in headers]
     if length is not None:
         lines.append(f"Content-Length: {length}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-class HttpClientProtocol(RingLines):
-    """Reads answers; a subclass takes what comes: `answered`, `body_part`, `ended`.
+class HttpClientProtocol(BufferedLineReceiver):
+    """Parses responses and calls the hooks of a subclass: `response_started`, `body_received`,
+    `response_received`, `connection_ended`."""
 
-    `parts`: a body of any length comes to `body_part`, at most so many bytes at once; else it is kept, up to
-    `body_most`, for `answered`."""
-
-    def __init__(self, body_most: int, outbound: int, parts: int | None = None) -> None:
-        super().__init__(body_most, outbound)
-        self.body_most, self._parts = body_most, parts
-        self._left = 0  # bytes of the body, or of its chunk, that are still to come
-        self.awaiting_response = False  # a request is out
+    def __init__(self, max_body_size: int, outbound: int, part_size: int | None = None) -> None:
+        """`max_body_size`, `outbound`: bytes that may be buffered in each direction. With `part_size`, a body
+        of any length goes to `body_received` in parts of at most that many bytes; without it, the body is
+        collected for `response_received`."""
+        super().__init__(max_body_size, outbound)
+        self.max_body_size, self._part_size = max_body_size, part_size
+        self._remaining = 0  # bytes of the body, or of its current chunk, still to come
+        self.awaiting_response = False  # a request has been sent
         self.response: Response | None = None
         self._body: list[bytes] = []
-        self._held = self._head = 0  # bytes of this answer's body that are kept, and of its heads so far
-        self._step = self._status
+        self._body_size = self._head_size = 0  # bytes collected of the body; of the heads so far
+        self._read_line = self._read_status
 
     def send_request(self, *pieces: bytes) -> None:
-        """Send a whole request."""
-        self.awaiting_response, self.response, self._body, self._step = True, None, [], self._status
-        self._held = self._head = 0
+        """Send a complete request, head and body."""
+        self.awaiting_response, self.response, self._body, self._read_line = True, None, [], self._read_status
+        self._body_size = self._head_size = 0
         self.send(*pieces)
 
     def response_started(self) -> None:
-        """The first line of an answer has come; that of an interim one too."""
+        """The status line of a response has arrived, or that of an interim response."""
 
     def response_received(self, response: Response, body: bytes) -> None:
-        """A whole answer has come."""
+        """A complete response has arrived."""
         raise NotImplementedError
 
     def body_received(self, part: bytes) -> bool:
-        """Part of a body that comes in parts or in chunks; True if it was used up."""
+        """Part of a body that arrives in parts or chunks; True if the subclass consumed it."""
         return False
 
     def connection_ended(self, end_reason: Ending) -> None:
-        """The connection is over."""
+        """The connection has ended, whichever side closed it."""
         raise NotImplementedError
 
     def lineReceived(self, line: bytes) -> None:
-        if self._step not in (self._chunk_size, self._chunk_end):
-            self._head += len(line) + 2
-        if not self.awaiting_response or self._head > HEAD_MOST:
-            self.close(Ending.GARBLED)  # an answer that nobody asked for, or a head that does not end
+        if self._read_line not in (self._read_chunk_size, self._read_chunk_end):
+            self._head_size += len(line) + 2
+        if not self.awaiting_response or self._head_size > MAX_HEAD_SIZE:
+            self.close(Ending.GARBLED)  # an unsolicited response, or a head that does not end
         else:
-            self._step(line)
+            self._read_line(line)
 
-    def _status(self, line: bytes) -> None:
-        match = STATUS_LINE.match(line)
+    def _read_status(self, line: bytes) -> None:
+        match = STATUS_LINE_PATTERN.match(line)
         if match is None:
             self.close(Ending.GARBLED)
             return
         self.response = Response(int(match[2]), keep_alive=match[1] == b"1")
-        self._step = self._header
+        self._read_line = self._read_header
         self.response_started()
 
-    def _header(self, line: bytes) -> None:
+    def _read_header(self, line: bytes) -> None:
         if not line:
-            self._headers_end()
+            self._end_headers()
             return
-        match = HEADER.match(line)
+        match = HEADER_PATTERN.match(line)
         name, value = (match[1].lower(), match[2].strip()) if match else (b"", b"")
-        if not match or name in FRAMING and self.response.headers.get(name, value) != value:
-            self.close(Ending.GARBLED)  # no header, or two lengths: nobody knows where the answer ends
+        if not match or name in FRAMING_HEADERS and self.response.headers.get(name, value) != value:
+            self.close(Ending.GARBLED)  # not a header, or two lengths: the response's end is unknown
             return
         self.response.headers[name] = value
 
-    def _headers_end(self) -> None:
+    def _end_headers(self) -> None:
         headers, status = self.response.headers, self.response.status
-        if status < 200:  # an interim answer
-            self._step, self.response = self._status, None
+        if status < 200:  # an interim response
+            self._read_line, self.response = self._read_status, None
             return
         options = [word.strip() for word in headers.get(b"connection", b"").lower().split(b",")]
         self.response.keep_alive = b"close" not in options and (
             self.response.keep_alive or b"keep-alive" in options
         )
         if status in (204, 304):
-            self._whole()
-        elif (coding := headers.get(b"transfer-encoding")) is not None:
-            if coding.lower() != b"chunked" or b"content-length" in headers:
+            self._finish_response()
+        elif (transfer_coding := headers.get(b"transfer-encoding")) is not None:
+            if transfer_coding.lower() != b"chunked" or b"content-length" in headers:
                 self.close(Ending.GARBLED)
-            self._step = self._chunk_size
+            self._read_line = self._read_chunk_size
         elif (length := headers.get(b"content-length")) is None:
-            self.response.keep_alive = False  # the body lasts until the connection ends, and nobody needs it
-            self._whole()
-        elif not LENGTH.match(length) or self._too_long(int(length)):
+            self.response.keep_alive = False  # the body lasts until the connection ends, and is not needed
+            self._finish_response()
+        elif not LENGTH_PATTERN.match(length) or self._is_too_long(int(length)):
             self.close(Ending.GARBLED)
         elif int(length):
-            self._step = None
+            self._read_line = None
             self._expect_part(int(length))
         else:
-            self._whole()
+            self._finish_response()
 
-    def _chunk_size(self, line: bytes) -> None:
+    def _read_chunk_size(self, line: bytes) -> None:
         size = line.partition(b";")[0].strip()
-        if not re.fullmatch(rb"[0-9a-fA-F]{1,8}", size) or self._too_long(int(size, 16)):
+        if not re.fullmatch(rb"[0-9a-fA-F]{1,8}", size) or self._is_too_long(int(size, 16)):
             self.close(Ending.GARBLED)
         elif int(size, 16):
-            self._step = self._chunk_end
+            self._read_line = self._read_chunk_end
             self._expect_part(int(size, 16))
         else:
-            self._step = self._trailer
+            self._read_line = self._read_trailer
 
-    def _too_long(self, length: int) -> bool:
-        return self._parts is None and length > self.body_most
+    def _is_too_long(self, length: int) -> bool:
+        return self._part_size is None and length > self.max_body_size
 
     def _expect_part(self, left: int) -> None:
-        part = left if self._parts is None else min(left, self._parts)
-        self._left = left - part
+        part = left if self._part_size is None else min(left, self._part_size)
+        self._remaining = left - part
         self.expect(part)
 
-    def _chunk_end(self, line: bytes) -> None:
-        self._step = self._chunk_size
+    def _read_chunk_end(self, line: bytes) -> None:
+        self._read_line = self._read_chunk_size
         if line:
             self.close(Ending.GARBLED)
 
-    def _trailer(self, line: bytes) -> None:
+    def _read_trailer(self, line: bytes) -> None:
         if not line:
-            self._whole()
+            self._finish_response()
 
     def rawDataReceived(self, data: bytes) -> None:
         self.setLineMode()
-        by_length = self._step is None
-        if by_length and self._parts is None or not self.body_received(data):
+        by_length = self._read_line is None
+        if by_length and self._part_size is None or not self.body_received(data):
             self._body.append(data)
-            self._held += len(data)
-            if self._held > self.body_most:
+            self._body_size += len(data)
+            if self._body_size > self.max_body_size:
                 self.close(Ending.GARBLED)
         if self.end_reason is not None:
             return
-        if self._left:
-            self._expect_part(self._left)
+        if self._remaining:
+            self._expect_part(self._remaining)
         elif by_length:
-            self._whole()
+            self._finish_response()
 
-    def _whole(self) -> None:
+    def _finish_response(self) -> None:
         response, body, self.awaiting_response = self.response, b"".join(self._body), False
-        self._body, self._step = [], self._status
+        self._body, self._read_line = [], self._read_status
         self.response_received(response, body)
 
     def connectionLost(self, reason) -> None:
--- a/limelatch/relay/line_receiver.py
+++ b/limelatch/relay/line_receiver.py
@@ -1,4 +1,4 @@
-"""A LineReceiver whose bytes wait in two ring buffers, one for each direction."""
+"""A LineReceiver whose bytes are buffered in two ring buffers, one for each direction."""
 
 from __future__ import annotations
 
@@ -11,96 +11,105 @@
 from zope.interface import implementer
 
 from limelatch.relay.ending import Ending
-from limelatch.relay.ring_buffer import Ring
+from limelatch.relay.ring_buffer import RingBuffer
 
-READ_SIZE = 16 * 1024  # taken from the socket at once
+READ_SIZE = 16 * 1024  # bytes read from the socket at once
 
 
-def waits(transport) -> bool:
-    """Whether the peer's bytes, or its end, have arrived and are not read yet."""
+def has_unread_bytes(transport) -> bool:
+    """Whether the peer's bytes, or its end of stream, have arrived and are not read yet."""
     try:
         transport.socket.recv(1, socket.MSG_PEEK)
     except OSError as error:
         return not isinstance(error, BlockingIOError)
-    except AttributeError:  # no socket, or none any more
+    except AttributeError:  # the transport has no socket, or not any more
         return False
     return True
 
 
 @implementer(interfaces.IPushProducer)
-class Outflow:
-    """Moves bytes from the outbound ring to the transport, which holds it back while it is choked."""
+class OutboundWriter:
+    """Moves bytes from the outbound buffer to the transport, which pauses it while its own buffer is full."""
 
-    def __init__(self, transport, ring: Ring, room: Callable[[], None]) -> None:
-        self.transport, self.ring, self.room, self.choked = transport, ring, room, False
-        self.pieces: deque[bytes] = deque()  # the source, held back while the ring is full
+    def __init__(self, transport, ring: RingBuffer, on_room: Callable[[], None]) -> None:
+        """`on_room` is called each time the transport takes bytes again."""
+        self.transport, self.ring, self.on_room, self.paused = transport, ring, on_room, False
+        self.pieces: deque[bytes] = deque()  # bytes that wait for room in the ring buffer
 
     def send(self, pieces: list[bytes]) -> None:
+        """Queue these bytes and write as much as the transport takes."""
         self.pieces.extend(pieces)
         self.move()
 
     def move(self) -> None:
+        """Move queued bytes to the ring buffer, and from there to the transport unless it is paused."""
         while self.pieces or self.ring:
             while self.pieces and self.ring.free:
                 piece, room = self.pieces.popleft(), self.ring.free
                 self.ring.write(piece[:room])
                 if len(piece) > room:
                     self.pieces.appendleft(piece[room:])
-            if self.choked:
+            if self.paused:
                 return
             self.transport.write(self.ring.read(READ_SIZE))
 
     @property
     def empty(self) -> bool:
+        """Whether all bytes have been passed to the transport."""
         return not self.pieces and not self.ring
 
     def pauseProducing(self) -> None:
-        self.choked = True
+        self.paused = True
 
     def resumeProducing(self) -> None:
-        self.choked = False
+        self.paused = False
         self.move()
-        self.room()
+        self.on_room()
 
     def finish(self) -> None:
-        """Hand on all that is left, since nothing will follow."""
-        self.choked = False
+        """Pass all remaining bytes to the transport, since nothing will follow."""
+        self.paused = False
         self.move()
 
     def stopProducing(self) -> None:
-        self.choked = True
+        self.paused = True
         self.pieces.clear()
 
 
-class RingLines(LineReceiver):
-    """Lines end with CRLF; a block of `expect` bytes comes whole. Parsing stops while `held_back` says so."""
+class BufferedLineReceiver(LineReceiver):
+    """Receives lines that end with CRLF, and blocks whose size `expect` has set. Parsing stops while
+    `is_parsing_paused` returns True."""
 
-    MAX_LENGTH = 8 * 1024
+    MAX_LENGTH = 8 * 1024  # bytes of a line
 
     def __init__(self, inbound: int, outbound: int) -> None:
-        self.inbound, self._outbound = Ring(max(inbound, self.MAX_LENGTH) + READ_SIZE), Ring(outbound)
-        self._wanted, self._pumping, self._reading = 0, False, True
-        self.outflow: Outflow | None = None
+        """`inbound`, `outbound`: bytes that may be buffered in each direction."""
+        self.inbound, self._outbound = (
+            RingBuffer(max(inbound, self.MAX_LENGTH) + READ_SIZE),
+            RingBuffer(outbound),
+        )
+        self._block_size, self._pumping, self._reading = 0, False, True
+        self.outbound_writer: OutboundWriter | None = None
         self.end_reason: Ending | None = None
 
     def connectionMade(self) -> None:
         self.transport.bufferSize = READ_SIZE
         self.transport.setTcpNoDelay(True)
-        self.outflow = Outflow(self.transport, self._outbound, self.pump)
-        self.transport.registerProducer(self.outflow, True)
+        self.outbound_writer = OutboundWriter(self.transport, self._outbound, self.pump)
+        self.transport.registerProducer(self.outbound_writer, True)
 
     def send(self, *pieces: bytes) -> None:
         """Write; nothing is written to a connection that has ended."""
         if self.end_reason is None:
-            self.outflow.send(list(pieces))
+            self.outbound_writer.send(list(pieces))
 
     def expect(self, count: int) -> None:
-        """The next `count` bytes come whole, to `rawDataReceived`."""
-        self._wanted = count
+        """Deliver the next `count` bytes as one block to `rawDataReceived`."""
+        self._block_size = count
         self.setRawMode()
 
-    def held_back(self) -> bool:
-        """True while nothing more is to be read from this peer."""
+    def is_parsing_paused(self) -> bool:
+        """Whether received bytes stay in the buffer for now."""
         return False
 
     def dataReceived(self, data: bytes) -> None:
@@ -109,12 +118,12 @@
             self.pump()
 
     def pump(self) -> None:
-        """Hand on what is whole; a ring without room for another read holds back its socket."""
+        """Parse all complete lines and blocks; stop reading while the buffer lacks room for another read."""
         if self._pumping:
             return
         self._pumping = True
         try:
-            while self.end_reason is None and not self.held_back() and (chunk := self._next_chunk()):
+            while self.end_reason is None and not self.is_parsing_paused() and (chunk := self._next_chunk()):
                 super().dataReceived(chunk)
         finally:
             self._pumping = False
@@ -125,7 +134,7 @@
 
     def _next_chunk(self) -> bytes:
         if not self.line_mode:
-            return self.inbound.read(self._wanted) if len(self.inbound) >= self._wanted else b""
+            return self.inbound.read(self._block_size) if len(self.inbound) >= self._block_size else b""
         end = self.inbound.find(self.delimiter)
         if end < 0 and len(self.inbound) > self.MAX_LENGTH:
             self.close(Ending.GARBLED)
@@ -135,12 +144,12 @@
         self.close(Ending.GARBLED)
 
     def close(self, end_reason: Ending, finish_writing: bool = False) -> None:
-        """End the connection from this side; `connectionLost` follows."""
+        """Close the connection from this side; `connectionLost` follows."""
         if self.end_reason is not None:
             return
         self.end_reason = end_reason
         if finish_writing:
-            self.outflow.finish()
+            self.outbound_writer.finish()
             self.transport.unregisterProducer()
             self.transport.loseConnection()
         else:
--- a/limelatch/relay/ring_buffer.py
+++ b/limelatch/relay/ring_buffer.py
@@ -1,72 +1,73 @@
-"""A bounded queue of bytes in a circle: one for each direction of a connection."""
+"""A bounded ring buffer of bytes: one for each direction of a connection."""
 
 from __future__ import annotations
 
-FIRST_SIZE = 1024
+FIRST_SIZE = 1024  # bytes allocated for an empty buffer
 
 
-class RingFull(Exception):
-    """More bytes were written than the ring's bound leaves room for."""
+class RingBufferFull(Exception):
+    """More bytes were written than the buffer's bound leaves room for."""
 
 
-class Ring:
-    """Bytes go in at one end and out at the other; the cells double up to the bound, until all is read."""
+class RingBuffer:
+    """A byte queue. Its storage doubles up to `bound` as needed, and shrinks once all bytes are read."""
 
     def __init__(self, bound: int) -> None:
         self.bound = bound
         self._cells = bytearray(min(bound, FIRST_SIZE))
         self._head = 0
-        self._held = 0
+        self._length = 0
 
     def __len__(self) -> int:
-        return self._held
+        return self._length
 
     @property
     def free(self) -> int:
-        return self.bound - self._held
+        """Bytes that can still be written."""
+        return self.bound - self._length
 
     def write(self, data: bytes) -> None:
-        """Append all of `data`, or raise RingFull and append nothing."""
+        """Append all of `data`, or raise RingBufferFull and append nothing."""
         if len(data) > self.free:
-            raise RingFull(f"{len(data)} bytes for a ring with {self.free} free")
-        if self._held + len(data) > len(self._cells):
-            self._grow(self._held + len(data))
-        at = (self._head + self._held) % len(self._cells)
+            raise RingBufferFull(f"{len(data)} bytes for a ring buffer with {self.free} free")
+        if self._length + len(data) > len(self._cells):
+            self._grow(self._length + len(data))
+        at = (self._head + self._length) % len(self._cells)
         first = min(len(data), len(self._cells) - at)
         self._cells[at : at + first] = data[:first]
         self._cells[: len(data) - first] = data[first:]
-        self._held += len(data)
+        self._length += len(data)
 
-    def _grow(self, least: int) -> None:
+    def _grow(self, minimum: int) -> None:
         size = len(self._cells)
-        while size < least:
+        while size < minimum:
             size *= 2
-        held = self.peek(self._held)
+        content = self.peek(self._length)
         self._cells = bytearray(min(size, self.bound))
-        self._cells[: len(held)] = held
+        self._cells[: len(content)] = content
         self._head = 0
 
     def peek(self, count: int) -> bytes:
-        """The next `count` bytes, or fewer if fewer are held."""
-        count = min(count, self._held)
+        """The next `count` bytes, or all if there are fewer; they stay in the buffer."""
+        count = min(count, self._length)
         end = self._head + count
         if end <= len(self._cells):
             return bytes(self._cells[self._head : end])
         return bytes(self._cells[self._head :]) + bytes(self._cells[: end - len(self._cells)])
 
     def read(self, count: int) -> bytes:
-        """Take the next `count` bytes, or fewer if fewer are held."""
+        """Remove and return the next `count` bytes, or all if there are fewer."""
         data = self.peek(count)
-        self._held -= len(data)
-        self._head = (self._head + len(data)) % len(self._cells) if self._held else 0
-        if not self._held and len(self._cells) > FIRST_SIZE:
-            self._cells = bytearray(min(self.bound, FIRST_SIZE))  # one large block costs no room for good
+        self._length -= len(data)
+        self._head = (self._head + len(data)) % len(self._cells) if self._length else 0
+        if not self._length and len(self._cells) > FIRST_SIZE:
+            self._cells = bytearray(min(self.bound, FIRST_SIZE))  # one large block must not keep its memory
         return data
 
-    def find(self, mark: bytes) -> int:
-        """Where `mark` begins, counted from the next byte; -1 if it is not held."""
-        end = self._head + self._held
+    def find(self, pattern: bytes) -> int:
+        """Offset of `pattern` from the next byte to read; -1 if it is not in the buffer."""
+        end = self._head + self._length
         if end <= len(self._cells):
-            at = self._cells.find(mark, self._head, end)
+            at = self._cells.find(pattern, self._head, end)
             return at - self._head if at >= 0 else -1
-        return self.peek(self._held).find(mark)
+        return self.peek(self._length).find(pattern)
--- a/limelatch/relay/transport.py
+++ b/limelatch/relay/transport.py
@@ -19,18 +19,20 @@
 log = logger("clients")
 
 RETRY_DELAY_SECONDS = 0.01
-RESOURCE_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM})  # of the machine: the connection is as it was
+RESOURCE_ERRORS = frozenset(
+    {errno.ENOBUFS, errno.ENOMEM}
+)  # shortages of the machine: the connection is intact
 ACCEPT_RESOURCE_ERRORS = RESOURCE_ERRORS | {errno.EMFILE, errno.ENFILE}
 
 
 class MonotonicClock:
-    """What held down log lines count their seconds by."""
+    """The clock that rate-limited log lines count by: a monotonic time in tenths of a millisecond."""
 
     now = staticmethod(monotonic_now)
 
 
 class PausableDescriptor:
-    """A descriptor whose reading or writing can rest, whatever else starts and stops it meanwhile."""
+    """A descriptor whose reading or writing can be paused, whatever else starts and stops it meanwhile."""
 
     reading_wanted = writing_wanted = False
     reading_paused = writing_paused = False
@@ -54,13 +56,13 @@
         super().stopWriting()
 
     def pause_reading(self) -> None:
-        """Read again after the rest, if that is wanted by then."""
+        """Pause reading for RETRY_DELAY_SECONDS, then resume it if it is wanted by then."""
         self.reading_paused = True
         super().stopReading()
         self.reactor.callLater(RETRY_DELAY_SECONDS, self._resume_reading)
 
     def pause_writing(self) -> None:
-        """Write again after the rest, if that is wanted by then."""
+        """Pause writing for RETRY_DELAY_SECONDS, then resume it if it is wanted by then."""
         self.writing_paused = True
         super().stopWriting()
         self.reactor.callLater(RETRY_DELAY_SECONDS, self._resume_writing)
@@ -77,7 +79,7 @@
 
 
 class RetryingConnection(PausableDescriptor):
-    """Reads and writes of a connection."""
+    """A TCP connection that survives resource errors of reads and writes by retrying them."""
 
     def doRead(self):
         try:
@@ -103,7 +105,7 @@
             return 0
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Where the kernel refuses it the connection goes on; small writes may come some ms later."""
+        """Set TCP_NODELAY. If the kernel refuses, the connection stays; small writes may be some ms late."""
         with suppress(OSError):
             self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, enabled)
 
@@ -113,25 +115,25 @@
 
 
 class RetryingClient(RetryingConnection, tcp.Client):
-    """A connection that the relay has made."""
+    """A connection that the relay has opened."""
 
 
 class RetryingConnector(tcp.Connector):
-    """Makes a `RetryingClient`."""
+    """Opens a `RetryingClient`."""
 
     def _makeTransport(self) -> RetryingClient:
         return RetryingClient(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 class RetryingPort(PausableDescriptor, tcp.Port):
-    """Accepts up to `numberAccepts` connections in a turn of the reactor, and rests while it can't.
+    """Accepts up to `numberAccepts` connections in a turn of the reactor, and pauses after resource errors.
 
-    Connections wait in the kernel's queue meanwhile; none is closed for it."""
+    Connections wait in the kernel's queue meanwhile; none is closed because of the pause."""
 
     transport = RetryingServer
 
-    def __init__(self, *arguments, **more) -> None:
-        super().__init__(*arguments, **more)
+    def __init__(self, *arguments, **keywords) -> None:
+        super().__init__(*arguments, **keywords)
         self.held_down = HeldDown(log, MonotonicClock())
 
     def doRead(self) -> None:
@@ -141,20 +143,20 @@
                 connection, address = self.socket.accept()
             except BlockingIOError:
                 break
-            except OSError as error:  # by accept(2) it may be one of the connection that was to come
+            except OSError as error:  # it may concern only the pending connection: accept(2)
                 failed = error
                 if error.errno in ACCEPT_RESOURCE_ERRORS:
                     break
                 continue
             accepted += 1
-            self._serve(connection, address)
+            self._serve_connection(connection, address)
         if failed is not None:
             self.held_down("accept-failed", why=failed)
             if not accepted:
                 self.pause_reading()
 
-    def _serve(self, connection: socket.socket, address: tuple[str, int]) -> None:
-        """Guards against a fault with one connection that takes those behind it along."""
+    def _serve_connection(self, connection: socket.socket, address: tuple[str, int]) -> None:
+        """Set up one accepted connection. Guards against an exception that would lose those behind it."""
         transport = None
         try:
             protocol = self.factory.buildProtocol(self._buildAddr(address))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -330,10 +330,10 @@
     listener.port = port = Port()
     clients = [listener.buildProtocol(None) for _ in range(2)]
     for client in clients:
-        client.waiting = True
+        client.awaiting_answer = True
         client.makeConnection(Wire())
     listener.stop(handed_over=True)
-    clients[0].waiting = False
+    clients[0].awaiting_answer = False
     clients[0].connectionLost(None)
     assert port.closed and listener.port is None and len(listener.connections) == 1
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -29,8 +29,10 @@
 @pytest.fixture
 def looks(monkeypatch):
     """The transports that were asked whether bytes wait, each a system call."""
-    asked, waits = [], clients.waits
-    monkeypatch.setattr(clients, "waits", lambda transport: asked.append(transport) or waits(transport))
+    asked, has_unread_bytes = [], clients.has_unread_bytes
+    monkeypatch.setattr(
+        clients, "has_unread_bytes", lambda transport: asked.append(transport) or has_unread_bytes(transport)
+    )
     return asked
 
 
@@ -130,7 +132,7 @@
     for each in come(listener, 60):
         each.connectionLost(None)
     clock.advance(0)  # the port is told what it may take in the next turn
-    assert not len(listener.connections) and not listener._by_silence
+    assert not len(listener.connections) and not listener._by_last_activity
     assert not any(deadline.call for _, _, deadline in listener.driver.deadlines._heap)
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -16,7 +16,7 @@
 from limelatch.policy import BUCKET, LESSON, REST, Policy
 from limelatch.relay import list_copy
 from limelatch.relay.catalog import Catalog, address_of
-from limelatch.relay.hash_index import Chains
+from limelatch.relay.hash_index import HashIndex
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.directory import GONE, MAX_REMOVED_ROWS, MAX_DESTINATION, READY, Directory, Row
 from limelatch.relay.ending import Ending
@@ -54,17 +54,17 @@
 
 def test_each_row_is_found_at_any_size_and_no_addition_splits_more_than_one_bucket():
     keys, asked = [key * 7919 % 4096 for key in range(3000)], []
-    chains = Chains(lambda number: asked.append(number) or keys[number])
+    index = HashIndex(lambda number: asked.append(number) or keys[number])
     for number, key in enumerate(keys):
         before = len(asked)
-        chains.add(number, key)
+        index.add(number, key)
         assert len(asked) - before <= 16  # the rows of one bucket
-    assert all(number in chains.rows(key) for number, key in enumerate(keys))
+    assert all(number in index.rows(key) for number, key in enumerate(keys))
     for number in range(0, 3000, 2):
-        chains.remove(number, keys[number])
-    assert [row for row, key in enumerate(keys) if row in chains.rows(key)] == list(range(1, 3000, 2))
+        index.remove(number, keys[number])
+    assert [row for row, key in enumerate(keys) if row in index.rows(key)] == list(range(1, 3000, 2))
     with pytest.raises(KeyError):
-        chains.remove(0, keys[0])
+        index.remove(0, keys[0])
 
 
 CHANGES = st.lists(
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -33,7 +33,7 @@
 from limelatch.relay.http import HttpClientProtocol, Response
 from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
 from limelatch.relay.records import LATER, Kind, record
-from limelatch.relay.ring_buffer import Ring, RingFull
+from limelatch.relay.ring_buffer import RingBuffer, RingBufferFull
 from limelatch.relay.slots import Slots
 
 GOOD = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "s", "settings": SETTINGS}
@@ -89,18 +89,18 @@
 
 
 def test_a_ring_goes_round_grows_and_never_passes_its_bound():
-    ring = Ring(3000)
+    ring = RingBuffer(3000)
     for start in range(0, 9000, 700):
         ring.write(bytes((start + i) % 251 for i in range(1400)))
         assert ring.read(1400) == bytes((start + i) % 251 for i in range(1400))
     ring.write(b"x" * 2990)
-    with pytest.raises(RingFull):
+    with pytest.raises(RingBufferFull):
         ring.write(b"y" * 11)
     assert len(ring) == 2990 and ring.free == 10
 
 
 def test_a_ring_finds_a_mark_that_lies_across_its_end():
-    ring = Ring(1024)
+    ring = RingBuffer(1024)
     ring.write(b"x" * 1023)
     ring.read(1020)
     ring.write(b"y\r\nz")
@@ -108,7 +108,7 @@
 
 
 def test_a_ring_gives_back_the_room_of_a_large_block_once_it_is_read():
-    ring = Ring(100_000)
+    ring = RingBuffer(100_000)
     ring.write(bytes(90_000))
     ring.read(90_000)
     assert len(ring._cells) == 1024
@@ -327,11 +327,15 @@
 def test_a_choked_transport_holds_back_ring_and_source():
     caller = Caller()
     caller.transport.clear()
-    caller.outflow.pauseProducing()
+    caller.outbound_writer.pauseProducing()
     caller.send(b"x" * 1000)
-    assert caller.transport.value() == b"" and len(caller.outflow.ring) == 256 and caller.outflow.pieces
-    caller.outflow.resumeProducing()
-    assert caller.transport.value() == b"x" * 1000 and caller.outflow.empty
+    assert (
+        caller.transport.value() == b""
+        and len(caller.outbound_writer.ring) == 256
+        and caller.outbound_writer.pieces
+    )
+    caller.outbound_writer.resumeProducing()
+    assert caller.transport.value() == b"x" * 1000 and caller.outbound_writer.empty
 
 
 def outcomes(status, body=b"", texts=(b"a",), **headers):
@@ -421,9 +425,9 @@
     pool = HostPool(reactor, deadlines, reactor, driver, 4, SECOND, SECOND)
     pool.addresses[b"s-1"], pool.calls_in_flight = "127.0.0.1:80", 1
     call = Call(b"s-1", list(texts), 0)
-    call.deadline = deadlines.at(min(each.due_at for each in texts), lambda: pool._out_of_time(call))
+    call.deadline = deadlines.at(min(each.due_at for each in texts), lambda: pool._call_timed_out(call))
     call.connection = Connection(pool, b"s-1", call)
-    call.connection.number = pool.connections.take(call.connection)
+    call.connection.slot = pool.connections.take(call.connection)
     call.connection.deadline = deadlines.at(SECOND, None)
     call.connection.makeConnection(Wire())
     return pool, call.connection
@@ -494,7 +498,7 @@
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" + raw)
     assert driver.ends == [(b"a", Result.DELIVERED)] and (connection in pool.idle[b"s-1"]) != bool(raw)
     connection.transport.peer.sendall(later)  # not read yet
-    assert connection.clean() != bool(raw or later)
+    assert connection.is_reusable() != bool(raw or later)
 
 
 @pytest.mark.parametrize("address, kept", [("127.0.0.1:80", True), ("127.0.0.1:81", False), (None, False)])
