--- a/limelatch/relay/list_copy.py
+++ b/limelatch/relay/list_copy.py
@@ -1,9 +1,9 @@
-"""The folder's copy of the list: a restart begins from it and asks the catalog for what has changed since.
+"""A copy of the list in the state directory: a restart loads it and requests only the changes since.
 
-One file, replaced whole: a head (form, catalog, index), the rows as the directory holds them, and an end with
-their checksum, without which nothing of it is believed. It is written a slice a turn; rows that change
-meanwhile are in it old or new, and are told again after a restart, since its index is the one at which the
-writing began."""
+It is one file, replaced atomically: a head (form, catalog, index), the rows as the directory stores them, and
+an end with their checksum, without which the file is ignored. One piece is written in a reactor turn. Rows
+that change meanwhile are in it in their old or new state; the catalog sends them again after a restart,
+because the index is that of the time when the writing started."""
 
 from __future__ import annotations
 
@@ -19,35 +19,37 @@
 
 log = logger("catalog")
 
-COPY_FILE, NEW_COPY_FILE = "list", "list.new"
-COPY_FORM = 1
-COPY_INTERVAL = 60 * SECOND  # between two copies at the least: the catalog tells a restart the rest
-HEAD_MOST = 4096  # bytes of the head, or of the end
+COPY_FILE = "list"
+NEW_COPY_FILE = "list.new"  # renamed to COPY_FILE once it is complete
+COPY_FORM = 1  # version of the file format
+COPY_INTERVAL = 60 * SECOND  # between two copies; after a restart the catalog sends the later changes
+MAX_HEAD_SIZE = 4096  # bytes of the head or of the end
 
 
 class BadCopy(ValueError):
-    """The copy can't be used; it says why."""
+    """The copy can't be used; the message gives the reason."""
 
 
 def read_copy(path: str) -> tuple[str, int, Directory]:
-    """The catalog's address, the index, the rows; BadCopy where it is torn or foreign, FileNotFoundError."""
+    """Returns the catalog's address, the index and the rows. Raises BadCopy if the file is damaged or of
+    another form, FileNotFoundError if there is none, or another OSError."""
     with open(path, "rb") as file:
         text = bytearray(os.fstat(file.fileno()).st_size)
         del text[file.readinto(text) :]
     try:
-        head_end = text.index(b"\n", 0, HEAD_MOST) + 1
+        head_end = text.index(b"\n", 0, MAX_HEAD_SIZE) + 1
         end_at = text.rindex(b"\n", 0, len(text) - 1) + 1
         head, end = json.loads(text[:head_end]), json.loads(text[end_at:])
         if head["form"] != COPY_FORM:
-            raise BadCopy(f"its form is {str(head['form'])[:20]}, this version reads {COPY_FORM}")
+            raise BadCopy(f"form {str(head['form'])[:20]}, but this version reads form {COPY_FORM}")
         catalog, index, rows = str(head["catalog"]), int(head["index"]), int(end["rows"])
         del text[end_at:], text[:head_end]
         if end["crc"] != crc32(text):
-            raise BadCopy("its checksum is another")
+            raise BadCopy("the checksum does not match")
         directory = Directory(rows)
         directory.load(text)
         if len(directory) != rows:
-            raise BadCopy(f"it has {len(directory)} rows of {rows}")
+            raise BadCopy(f"found {len(directory)} rows instead of {rows}")
     except BadCopy:
         raise
     except (ValueError, KeyError, TypeError, RecursionError) as error:
@@ -56,94 +58,97 @@
 
 
 class ListCopy:
-    """Writes the copy now and then, as far as the ledger leaves it room; what fails is tried later."""
+    """Writes the copy at intervals, if the ledger leaves room for it. A failed copy is retried later."""
 
     def __init__(self, folder: str, deadlines, ledger) -> None:
-        self.path, self._new = os.path.join(folder, COPY_FILE), os.path.join(folder, NEW_COPY_FILE)
+        self.path, self._new_path = os.path.join(folder, COPY_FILE), os.path.join(folder, NEW_COPY_FILE)
         self._deadlines, self._ledger = deadlines, ledger
-        self._due, self._file, self._slices, self._again = None, None, None, None
-        self._begun_at = -COPY_INTERVAL
-        self._crc = self._rows = 0
+        self._timer, self._file, self._pieces_left, self._next_source = None, None, None, None
+        self._started_at = -COPY_INTERVAL
+        self._checksum = self._row_count = 0
 
     def read(self) -> tuple[str, int, Directory] | None:
-        """What the last process left, or None; one that can't be used is logged."""
+        """The copy that the last process left, or None. One that can't be used is logged."""
         try:
-            found = read_copy(self.path)
+            copy = read_copy(self.path)
             needed = 2 * os.path.getsize(self.path)
-            if self._ledger.beside:  # the other process's copy, and the new one that it writes beside it
+            if self._ledger.beside:  # room for the other process's copy and the next one that it writes
                 self._ledger.leave_room(needed, at_once=True)
             elif not self._ledger.leave_room(needed):
-                os.remove(self.path)  # guards against a disk over its limit once the ledger is full
+                os.remove(self.path)  # guards against exceeding the disk limit once the ledger is full
         except FileNotFoundError:
             return None
         except (OSError, BadCopy) as error:
             say(log, "copy-not-read", why=error)
             return None
-        return found
+        return copy
 
     def schedule(self, source) -> None:
-        """The list has changed: a copy follows, the first at once. `source` tells address, index and rows."""
-        if self._slices is not None:
-            self._again = source
-        elif self._due is None:
-            wait = max(0, self._begun_at + COPY_INTERVAL - self._deadlines.clock.now())
-            self._due = self._deadlines.after(wait, lambda: self._begin(source))
+        """The list has changed: write a copy, the first at once. `source` is the catalog."""
+        if self._pieces_left is not None:
+            self._next_source = source
+        elif self._timer is None:
+            wait = max(0, self._started_at + COPY_INTERVAL - self._deadlines.clock.now())
+            self._timer = self._deadlines.after(wait, lambda: self._start_writing(source))
 
     def abort(self) -> None:
-        """What is being written means nothing any more: another list has begun."""
-        if self._slices is not None:
+        """Discard the copy that is being written, because another list has begun."""
+        if self._pieces_left is not None:
             self._end_writing()
 
-    def _begin(self, source) -> None:
-        self._due, self._again, directory = None, None, source.directory
-        if source.index is None or directory.reading or self._ledger.beside:
-            return  # a whole list is on its way and will call again, or the folder is another process's
-        if not self._ledger.leave_room(2 * (directory.size + HEAD_MOST)):
-            say(log, "copy-not-written", why=f"{directory.size} bytes, and no room beside the ledger")
+    def _start_writing(self, source) -> None:
+        self._timer, self._next_source, directory = None, None, source.directory
+        if source.index is None or directory.is_loading or self._ledger.beside:
+            return  # the list being read will schedule again, or the state directory is another's
+        if not self._ledger.leave_room(2 * (directory.size + MAX_HEAD_SIZE)):
+            say(log, "copy-not-written", why=f"{directory.size} bytes do not fit next to the ledger")
             return
         head = {"form": COPY_FORM, "catalog": str(source.address), "index": source.index}
         try:
-            self._file = os.open(self._new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+            self._file = os.open(self._new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         except OSError as error:
             say(log, "copy-not-written", why=error)
             return
-        self._crc = self._rows = 0
-        self._begun_at, self._slices = self._deadlines.clock.now(), self._pieces(head, directory)
-        self._write()
+        self._checksum = self._row_count = 0
+        self._started_at, self._pieces_left = self._deadlines.clock.now(), self._copy_pieces(head, directory)
+        self._write_next()
 
-    def _pieces(self, head: dict, directory: Directory) -> Iterator[bytes]:
+    def _copy_pieces(self, head: dict, directory: Directory) -> Iterator[bytes]:
         yield json.dumps(head).encode() + b"\n"
         for piece in directory.lines():
-            self._crc, self._rows = crc32(piece, self._crc), self._rows + piece.count(b"\n")
+            self._checksum, self._row_count = (
+                crc32(piece, self._checksum),
+                self._row_count + piece.count(b"\n"),
+            )
             yield piece
-        yield json.dumps({"rows": self._rows, "crc": self._crc}).encode() + b"\n"
+        yield json.dumps({"rows": self._row_count, "crc": self._checksum}).encode() + b"\n"
 
-    def _write(self) -> None:
-        """One slice a turn."""
-        if self._slices is None:
-            return  # it has been given up meanwhile
+    def _write_next(self) -> None:
+        """Write one piece, and the next one in the next reactor turn."""
+        if self._pieces_left is None:
+            return  # it was aborted meanwhile
         try:
-            piece = next(self._slices, None)
+            piece = next(self._pieces_left, None)
             if piece is None:
-                os.replace(self._new, self.path)
+                os.replace(self._new_path, self.path)
                 self._end_writing(done=True)
-                if self._again is not None:
-                    self.schedule(self._again)
+                if self._next_source is not None:
+                    self.schedule(self._next_source)
                 return
             while piece:
                 piece = piece[os.write(self._file, piece) :]
-        except OSError as error:  # a full disk: the copy before stays
+        except OSError as error:  # such as a full disk: the previous copy stays
             say(log, "copy-not-written", why=error)
             self._end_writing()
             return
-        self._deadlines.after(0, self._write)
+        self._deadlines.after(0, self._write_next)
 
     def _end_writing(self, done: bool = False) -> None:
-        with suppress(OSError):  # the descriptor is gone all the same
+        with suppress(OSError):  # the descriptor is closed even so
             os.close(self._file)
-        self._file, self._slices = None, None
+        self._file, self._pieces_left = None, None
         if not done:
             try:
-                os.remove(self._new)
+                os.remove(self._new_path)
             except OSError as error:
                 say(log, "copy-not-written", why=error)
--- a/limelatch/relay/list_reader.py
+++ b/limelatch/relay/list_reader.py
@@ -1,7 +1,7 @@
-"""Reads the catalog's objects as their bytes come, a row at a time, whatever their size.
+"""Incremental parser for the catalog's JSON objects, row by row, whatever their size.
 
-The values in them are read by the json module; this follows only where the object, its rows and the empty
-lines between two objects begin and end. An object may be indented, over many lines and cut anywhere."""
+Values are parsed by the json module; this module only finds where an object, its rows and the empty lines
+between objects begin and end. An object may be indented, span many lines and be split anywhere."""
 
 from __future__ import annotations
 
@@ -10,190 +10,203 @@
 import re
 from typing import Protocol
 
-PIECE_MOST = 64 * 1024  # characters of one row, or of one other value
-MANY = 4096  # characters of rows that are worth a try in one go
-EARLY_MOST = 4096  # rows before the index that says what they are
-NAMES_MOST = 64  # in one object
-CUT_MOST = 12  # characters of a literal or an escape, of which a part may have come
-OUTSIDE = tuple(",:]}")  # none of these begins or goes on with a value
-SPACE = re.compile(r"[ \t\r\n]*")
+MAX_VALUE_LENGTH = 64 * 1024  # characters of one row or of another value
+BULK_PARSE_LENGTH = 4096  # from so many buffered characters on, rows are parsed together
+MAX_EARLY_ROWS = 4096  # rows that arrive before the object's index
+MAX_NAMES = 64  # names in one object
+MAX_CUT_LENGTH = 12  # characters of an incomplete literal or escape
+VALUE_DELIMITERS = tuple(",:]}")  # no value starts or continues with one of these
+WHITESPACE = re.compile(r"[ \t\r\n]*")
 DECODER = json.JSONDecoder()
 
 
 class BadList(Exception):
-    """The list can't be read."""
+    """The list can't be parsed; the message gives the reason."""
 
 
-class Reading(Protocol):
-    """Who is told what is read; each call may raise BadList."""
+class ListHandler(Protocol):
+    """Receives what a ListReader parses. Each method may raise BadList."""
 
-    def began(self, index: int, whole: bool) -> None:
-        """An object's rows follow: the whole list, or what has changed up to the index."""
+    def object_started(self, index: int, is_whole_list: bool) -> None:
+        """An object's rows follow: the whole list, or the changes up to the index."""
 
-    def row(self, raw: object) -> None:
+    def row_read(self, raw: object) -> None:
         """One row."""
 
-    def whole_object(self) -> None:
-        """The object has ended."""
+    def object_finished(self) -> None:
+        """The object is complete."""
 
-    def empty_line(self) -> None:
-        """A line with nothing, between two objects."""
+    def empty_line_read(self) -> None:
+        """An empty line between two objects."""
 
 
 class ListReader:
-    """Fed with bytes, tells a Reading. BadList ends it: what follows has no meaning."""
+    """Parses bytes and calls a ListHandler. It can't be used after a BadList."""
 
-    def __init__(self, reading: Reading) -> None:
-        self._reading, self._decode = reading, codecs.getincrementaldecoder("utf-8")().decode
-        self._text, self._at = "", 0
-        self._step = self._between
-        self._line_empty = True  # nothing but spaces since the last line's end
-        self._known: dict[str, object] = {}  # of the object that is coming
-        self._early: list[object] | None = []  # its rows, until it is known what they are; then None
-        self._comma_before = self._had_rows = False
+    def __init__(self, handler: ListHandler) -> None:
+        self._handler, self._decode = handler, codecs.getincrementaldecoder("utf-8")().decode
+        self._buffer, self._position = "", 0
+        self._read_next = self._read_between_objects
+        self._is_line_empty = True  # only white space since the end of the last line
+        self._values: dict[str, object] = {}  # names and values of the present object
+        self._early_rows: list[object] | None = []  # its rows until index and snapshot are known; then None
+        self._after_comma = self._had_rows = False
 
     @property
-    def between(self) -> bool:
-        """Whether the last object is whole and none has begun since."""
-        return self._step == self._between and not self._text[self._at :].strip()
+    def is_between_objects(self) -> bool:
+        """Whether the last object is complete and no other has begun."""
+        return self._read_next == self._read_between_objects and not self._buffer[self._position :].strip()
 
     def feed(self, part: bytes) -> None:
+        """Parse as much as is complete with these bytes. Raises BadList."""
         try:
-            self._text = self._text[self._at :] + self._decode(part)
+            self._buffer = self._buffer[self._position :] + self._decode(part)
         except UnicodeDecodeError as error:
-            raise BadList(f"no text: {error.reason}") from None
-        self._at = 0
-        while self._step():
+            raise BadList(f"not UTF-8: {error.reason}") from None
+        self._position = 0
+        while self._read_next():
             pass
-        if len(self._text) - self._at > PIECE_MOST:
-            raise BadList(f"a value of over {PIECE_MOST} characters")
+        if len(self._buffer) - self._position > MAX_VALUE_LENGTH:
+            raise BadList(f"a value of more than {MAX_VALUE_LENGTH} characters")
 
-    def _space(self) -> str:
-        """Go over white space; the next character, none if it has not come."""
-        self._at = SPACE.match(self._text, self._at).end()
-        return self._text[self._at : self._at + 1]
+    def _skip_whitespace(self) -> str:
+        """Skip white space. Returns the next character, empty if it has not arrived."""
+        self._position = WHITESPACE.match(self._buffer, self._position).end()
+        return self._buffer[self._position : self._position + 1]
 
-    def _value(self) -> tuple[object] | None:
-        """The value that begins here, once something behind it shows that it is whole."""
+    def _read_value(self) -> tuple[object] | None:
+        """Parse the value that begins here, in a 1-tuple; None until a later character shows its end."""
         try:
-            value, end = DECODER.raw_decode(self._text, self._at)
+            value, end = DECODER.raw_decode(self._buffer, self._position)
         except json.JSONDecodeError as error:
-            left = self._text[error.pos :]
-            cut = len(left) <= CUT_MOST and not left.startswith(OUTSIDE)
+            left = self._buffer[error.pos :]
+            cut = len(left) <= MAX_CUT_LENGTH and not left.startswith(VALUE_DELIMITERS)
             if cut or error.msg.startswith("Unterminated string"):
                 return None
             raise BadList(str(error)) from None
-        except (ValueError, RecursionError) as error:  # a number of ten thousand digits, a thousand brackets
+        except (ValueError, RecursionError) as error:  # such as 10,000 digits, or 1,000 nested brackets
             raise BadList(str(error)) from None
-        if SPACE.match(self._text, end).end() == len(self._text):
+        if WHITESPACE.match(self._buffer, end).end() == len(self._buffer):
             return None
-        self._at = end
+        self._position = end
         return (value,)
 
-    def _between(self) -> bool:
-        start, found = self._at, self._space()
-        for _ in range(self._text.count("\n", start, self._at)):
-            if self._line_empty:
-                self._reading.empty_line()
-            self._line_empty = True
-        if found == "{":
-            self._at, self._known, self._early, self._step = self._at + 1, {}, [], self._key
-            self._comma_before = self._had_rows = False
+    def _read_between_objects(self) -> bool:
+        start, character = self._position, self._skip_whitespace()
+        for _ in range(self._buffer.count("\n", start, self._position)):
+            if self._is_line_empty:
+                self._handler.empty_line_read()
+            self._is_line_empty = True
+        if character == "{":
+            self._position, self._values, self._early_rows, self._read_next = (
+                self._position + 1,
+                {},
+                [],
+                self._read_name,
+            )
+            self._after_comma = self._had_rows = False
             return True
-        if found:
-            raise BadList(f"no object: {self._text[self._at : self._at + 20]!r}")
+        if character:
+            raise BadList(f"not an object: {self._buffer[self._position : self._position + 20]!r}")
         return False
 
-    def _key(self) -> bool:
-        """A name in the object and its colon, or the object's end."""
-        found = self._space()
-        if found == "}" and not self._comma_before:
-            self._at += 1
-            self._whole()
+    def _read_name(self) -> bool:
+        """Parse a name in the object with its colon and value, or the end of the object."""
+        character = self._skip_whitespace()
+        if character == "}" and not self._after_comma:
+            self._position += 1
+            self._finish_object()
             return True
-        if found and found != '"':
-            raise BadList(f"no name: {self._text[self._at : self._at + 20]!r}")
-        start = self._at
-        if not found or (name := self._value()) is None:
+        if character and character != '"':
+            raise BadList(f"not a name: {self._buffer[self._position : self._position + 20]!r}")
+        start = self._position
+        if not character or (name := self._read_value()) is None:
             return False
-        if self._space() != ":":
+        if self._skip_whitespace() != ":":
             raise BadList(f"no value for {name[0]!r}")
-        after = SPACE.match(self._text, self._at + 1).end()
-        if after == len(self._text):
-            self._at = start  # what kind of value follows is not known yet
+        after = WHITESPACE.match(self._buffer, self._position + 1).end()
+        if after == len(self._buffer):
+            self._position = start  # the kind of the value is not known yet
             return False
-        self._at = after
-        if name[0] == "endpoints" and self._text[after] == "[":
+        self._position = after
+        if name[0] == "endpoints" and self._buffer[after] == "[":
             if self._had_rows:
-                raise BadList("rows twice in one object")
-            self._at, self._step, self._had_rows, self._comma_before = after + 1, self._rows, True, False
-            if {"index", "snapshot"} <= self._known.keys():
-                self._begin()
+                raise BadList("two lists of rows in one object")
+            self._position, self._read_next, self._had_rows, self._after_comma = (
+                after + 1,
+                self._read_rows,
+                True,
+                False,
+            )
+            if {"index", "snapshot"} <= self._values.keys():
+                self._start_object()
             return True
-        if (value := self._value()) is None:
-            self._at = start
+        if (value := self._read_value()) is None:
+            self._position = start
             return False
-        self._known[str(name[0])] = value[0]
-        if len(self._known) > NAMES_MOST:
-            raise BadList(f"over {NAMES_MOST} names in one object")
-        return self._comma("}")
-
-    def _comma(self, end: str) -> bool:
-        """What follows a value, which has come."""
-        found = self._space()
-        self._comma_before = found == ","
-        if self._comma_before:
-            self._at += 1
-        elif found != end:
-            raise BadList(f"neither a comma nor an end: {self._text[self._at : self._at + 20]!r}")
+        self._values[str(name[0])] = value[0]
+        if len(self._values) > MAX_NAMES:
+            raise BadList(f"more than {MAX_NAMES} names in one object")
+        return self._read_separator("}")
+
+    def _read_separator(self, end: str) -> bool:
+        """Parse what follows a value: a comma, or the character `end`, which is left unread."""
+        character = self._skip_whitespace()
+        self._after_comma = character == ","
+        if self._after_comma:
+            self._position += 1
+        elif character != end:
+            raise BadList(
+                f"neither a comma nor an end: {self._buffer[self._position : self._position + 20]!r}"
+            )
         return True
 
-    def _rows(self) -> bool:
-        many = self._early is None and len(self._text) - self._at > MANY
-        if many and (end := self._text.rfind("}") + 1) > self._at:
-            try:  # all that are whole, in one go; whatever is not as usual is read one by one
-                rows = DECODER.decode(f"[{self._text[self._at : end]}]")
+    def _read_rows(self) -> bool:
+        use_bulk = self._early_rows is None and len(self._buffer) - self._position > BULK_PARSE_LENGTH
+        if use_bulk and (end := self._buffer.rfind("}") + 1) > self._position:
+            try:  # parse all complete rows together; on any error they are parsed one by one
+                rows = DECODER.decode(f"[{self._buffer[self._position : end]}]")
             except (ValueError, RecursionError):
                 rows = []
-            if rows and SPACE.match(self._text, end).end() < len(self._text):
+            if rows and WHITESPACE.match(self._buffer, end).end() < len(self._buffer):
                 for row in rows:
-                    self._reading.row(row)
-                self._at = end
-                return self._comma("]")
-        found = self._space()
-        if found == "]" and not self._comma_before:
-            self._at, self._step = self._at + 1, self._after_rows
+                    self._handler.row_read(row)
+                self._position = end
+                return self._read_separator("]")
+        character = self._skip_whitespace()
+        if character == "]" and not self._after_comma:
+            self._position, self._read_next = self._position + 1, self._read_after_rows
             return True
-        if not found or (row := self._value()) is None:
+        if not character or (row := self._read_value()) is None:
             return False
-        if self._early is None:
-            self._reading.row(row[0])
-        elif len(self._early) < EARLY_MOST:
-            self._early.append(row[0])
+        if self._early_rows is None:
+            self._handler.row_read(row[0])
+        elif len(self._early_rows) < MAX_EARLY_ROWS:
+            self._early_rows.append(row[0])
         else:
-            raise BadList(f"{EARLY_MOST} rows and no index before them")
-        return self._comma("]")
+            raise BadList(f"{MAX_EARLY_ROWS} rows before any index")
+        return self._read_separator("]")
 
-    def _after_rows(self) -> bool:
-        if not self._space():
+    def _read_after_rows(self) -> bool:
+        if not self._skip_whitespace():
             return False
-        self._step = self._key
-        return self._comma("}")
+        self._read_next = self._read_name
+        return self._read_separator("}")
 
-    def _begin(self) -> None:
-        if "snapshot" not in self._known or not self._had_rows:
-            raise BadList("no rows, or not told whether it is the whole list")
+    def _start_object(self) -> None:
+        if "snapshot" not in self._values or not self._had_rows:
+            raise BadList("endpoints or snapshot is missing")
         try:
-            index = int(self._known["index"])
+            index = int(self._values["index"])
         except (KeyError, TypeError, ValueError, OverflowError):
-            raise BadList(f"no index: {str(self._known.get('index'))[:20]!r}") from None
-        self._reading.began(index, bool(self._known["snapshot"]))
-        early, self._early = self._early, None
+            raise BadList(f"no index: {str(self._values.get('index'))[:20]!r}") from None
+        self._handler.object_started(index, bool(self._values["snapshot"]))
+        early, self._early_rows = self._early_rows, None
         for row in early:
-            self._reading.row(row)
+            self._handler.row_read(row)
 
-    def _whole(self) -> None:
-        if self._early is not None:
-            self._begin()
-        self._step, self._line_empty = self._between, False
-        self._reading.whole_object()
+    def _finish_object(self) -> None:
+        if self._early_rows is not None:
+            self._start_object()
+        self._read_next, self._is_line_empty = self._read_between_objects, False
+        self._handler.object_finished()
