--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 
 import pytest
 from conftest import HOST, NOW, REPORT, SETTINGS, TWIN, WAIT, Bench, S
-from test_parts import GOOD, NAMES, Wire
+from test_parts import VALID_CONFIG, CONFIGURED_NAMES, SocketPairTransport
 from twisted.internet.task import Clock as Reactor
 
 from limelatch.configuration import plan_of
@@ -156,14 +156,14 @@
         clock,
         Deadlines(clock, clock),
         None,
-        NAMES,
+        CONFIGURED_NAMES,
         45_000,
         9 * SECOND,
         lambda entries, whole: told.extend((each.host, each.listing.value) for each in entries),
     )
     catalog.load_known_list(page(41))
     catalog.note_activity()
-    (watch := catalog.buildProtocol(None)).makeConnection(Wire())
+    (watch := catalog.buildProtocol(None)).makeConnection(SocketPairTransport())
     watch.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     watch.told, told[:] = told, []
     return watch
@@ -222,7 +222,7 @@
     notifier = Notifier(clock, Deadlines(clock, clock), None, SECOND, SECOND, heard.append)
     reporting = notifier.buildProtocol(None)
     notifier.notice(b"a", {"result": "dead"})
-    reporting.makeConnection(Wire())
+    reporting.makeConnection(SocketPairTransport())
     notifier.notice(b"b", {"result": "dead"})  # while the request of the first is out
     reporting.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n" * 2)
     assert heard == [b"a"] and list(notifier.owed) == [b"b"] and reporting.end_reason is Ending.CLOSED_BY_PEER
@@ -236,14 +236,14 @@
 
     def __init__(self, clock):
         self.clock, self.deadlines = clock, Deadlines(clock, clock)
-        self.plan = plan_of(read_platform(GOOD)[0])
+        self.plan = plan_of(read_platform(VALID_CONFIG)[0])
 
 
 @pytest.mark.parametrize("arrived", [b"", b"*5\r\n"])
 def test_a_connection_with_a_request_not_read_yet_is_not_closed(clock, arrived):
     """To close it would reset it; what it asked for, and its last answer, would be lost."""
     listener = Listener(Doorstep(clock), 2, 10_000)
-    (client := listener.buildProtocol(None)).makeConnection(Wire())
+    (client := listener.buildProtocol(None)).makeConnection(SocketPairTransport())
     client.dataReceived(b"PING\r\n")
     client.transport.peer.send(arrived)
     listener.stop()
@@ -253,14 +253,14 @@
 @pytest.fixture
 def driver(clock, tmp_path):
     """A relay that serves, without a port."""
-    driver = Driver(plan_of(read_platform(GOOD | {"state": str(tmp_path)})[0]), clock, clock)
+    driver = Driver(plan_of(read_platform(VALID_CONFIG | {"state": str(tmp_path)})[0]), clock, clock)
     driver.ready = True
     yield driver
     driver.ledger.close()
 
 
 def test_a_request_read_as_the_relay_ends_gets_its_answer(clock, driver):
-    (client := driver.listener.buildProtocol(None)).makeConnection(Wire())
+    (client := driver.listener.buildProtocol(None)).makeConnection(SocketPairTransport())
     client.dataReceived(b"PING\r\n")
     client.transport.peer.send(b"x")  # it asks just then: it stays open
     driver.stop()
@@ -306,7 +306,7 @@
 def test_a_relay_that_ends_waits_for_what_a_connection_just_made_will_ask(clock, driver):
     driver.stop()
     clock.advance(0.49)
-    driver.listener.buildProtocol(None).makeConnection(Wire())
+    driver.listener.buildProtocol(None).makeConnection(SocketPairTransport())
     clock.advance(0.02)
     assert driver.clock.now() > driver._stop_least_at and not clock.stopped
     clock.pump([0.02] * 9)
@@ -331,7 +331,7 @@
     clients = [listener.buildProtocol(None) for _ in range(2)]
     for client in clients:
         client.awaiting_answer = True
-        client.makeConnection(Wire())
+        client.makeConnection(SocketPairTransport())
     listener.stop(handed_over=True)
     clients[0].awaiting_answer = False
     clients[0].connectionLost(None)
@@ -507,7 +507,7 @@
 
     monkeypatch.setattr(entry, "Driver", Stage)
     monkeypatch.setattr(entry, "reactor", Stage())
-    monkeypatch.setattr(entry, "relay_plan", lambda *given: plan_of(read_platform(GOOD)[0]))
+    monkeypatch.setattr(entry, "relay_plan", lambda *given: plan_of(read_platform(VALID_CONFIG)[0]))
     monkeypatch.setattr(entry, "retuned_plan", lambda *given: "the file as it is now")
     monkeypatch.setattr(entry.logs, "start", lambda plan: None)
     monkeypatch.setattr(entry.logs, "take_twisteds", lambda: None)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import WAIT
 from test_crossings import Running, until
-from test_parts import Wire
+from test_parts import SocketPairTransport
 
 from limelatch.relay import clients
 from limelatch.relay.clients import (
@@ -66,7 +66,7 @@
     made = []
     for _ in range(count):
         client = listener.buildProtocol(None)
-        client.makeConnection(Wire())
+        client.makeConnection(SocketPairTransport())
         made.append(client)
     return made
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory of destinations: rows held compact, lists read row by row, the copy, what is forgotten."""
+"""The directory of hosts, the parsing of lists, the copy of the list, and the forgetting of destinations."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_crossings import Running
-from test_parts import NAMES, Wire
+from test_parts import CONFIGURED_NAMES, SocketPairTransport
 
 from limelatch.interface import Forget, Listing, Result, Wake
 from limelatch.policy import BUCKET, LESSON, REST, Policy
@@ -28,7 +28,7 @@
     return Row(name, address, "a", "single", destination, status, 1.0)
 
 
-def told(name="s-1", group=1, status="active", address="127.0.0.1:80", **more):
+def row_json(name="s-1", group=1, status="active", address="127.0.0.1:80", **more):
     return {
         "name": name,
         "address": address,
@@ -41,24 +41,24 @@
     } | more
 
 
-def page(index, rows, whole=False, **form):
+def list_object(index, rows, whole=False, **form):
     return json.dumps({"index": index, "snapshot": whole, "endpoints": rows}, **form).encode() + b"\n"
 
 
-def listed(directory, destinations):
+def listed_hosts(directory, destinations):
     return {each.name: each.destination for number in destinations for each in directory.rows(number)}
 
 
-# Look-ups.
+# Indexes.
 
 
-def test_each_row_is_found_at_any_size_and_no_addition_splits_more_than_one_bucket():
-    keys, asked = [key * 7919 % 4096 for key in range(3000)], []
-    index = HashIndex(lambda number: asked.append(number) or keys[number])
+def test_each_row_is_found_at_any_size_and_an_addition_splits_one_bucket_at_most():
+    keys, looked_up = [key * 7919 % 4096 for key in range(3000)], []
+    index = HashIndex(lambda number: looked_up.append(number) or keys[number])
     for number, key in enumerate(keys):
-        before = len(asked)
+        before = len(looked_up)
         index.add(number, key)
-        assert len(asked) - before <= 16  # the rows of one bucket
+        assert len(looked_up) - before <= 16  # at most the rows of one bucket
     assert all(number in index.rows(key) for number, key in enumerate(keys))
     for number in range(0, 3000, 2):
         index.remove(number, keys[number])
@@ -80,30 +80,32 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(CHANGES)
-def test_any_run_of_changes_and_whole_lists_leaves_what_a_plain_table_would_hold(changes):
-    directory, plain = Directory(), {}
+def test_any_sequence_of_changes_and_whole_lists_gives_the_rows_of_a_plain_dict(changes):
+    directory, expected = Directory(), {}
     for change in changes:
         if isinstance(change, tuple):
             host, destination, status, port = change
             directory.put(row(f"s-{host}", destination, status, f"10.0.0.1:{port}"))
-            plain.pop(f"s-{host}", None)
+            expected.pop(f"s-{host}", None)
             if status != GONE:
-                plain[f"s-{host}"] = destination
+                expected[f"s-{host}"] = destination
         else:
             directory.begin_list()
             for host, destination in change:
                 directory.put(row(f"s-{host}", destination))
             directory.end_list()
-            plain = {f"s-{host}": destination for host, destination in change}
-            assert listed(directory, range(5)) == plain  # before the sweep too
+            expected = {f"s-{host}": destination for host, destination in change}
+            assert listed_hosts(directory, range(5)) == expected  # before the sweep as well
             while directory.sweep(3):
                 pass
-        assert listed(directory, range(5)) == plain and len(directory) == len(plain)
+        assert listed_hosts(directory, range(5)) == expected and len(directory) == len(expected)
         hosts = [f"s-{host}" for host in range(13)]
-        assert [host for host in hosts if directory.find(host.encode())] == [h for h in hosts if h in plain]
+        assert [host for host in hosts if directory.find(host.encode())] == [
+            h for h in hosts if h in expected
+        ]
 
 
-def test_a_row_costs_what_its_line_and_its_look_ups_take_and_changes_in_place_cost_none():
+def test_a_row_takes_the_memory_of_its_line_and_indexes_and_in_place_changes_take_none():
     directory = Directory()
     for number in range(20_000):
         directory.put(row(f"s-{number:08x}", number, address=f"10.1.{number >> 8}.{number & 255}:6379"))
@@ -114,21 +116,21 @@
     assert directory.size == size and len(directory) == 20_000
 
 
-def test_nothing_grows_with_hosts_that_are_gone_or_change_their_addresses():
+def test_memory_does_not_grow_with_removed_hosts_or_changed_addresses():
     directory = Directory()
     for number in range(30_000):
         directory.put(row(f"s-{number}", 1, address=f"10.0.0.1:{number}"))
         directory.put(row("lasting", 2, address=f"10.0.0.1:{number}"))
         directory.put(row(f"s-{number}", 1, GONE))
     assert len(directory) == 1 and directory.size < 300_000
-    assert directory.has_destination(1) and not directory.rows(1)  # its next host may be on its way
+    assert directory.has_destination(1) and not directory.rows(1)  # its next host may be about to be listed
     for number in range(MAX_REMOVED_ROWS):
         directory.put(row(f"t-{number}", 3, GONE))
     assert not directory.has_destination(1) and directory.has_destination(2)
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         row(destination=-1),
         row(destination=MAX_DESTINATION + 1),
@@ -145,11 +147,11 @@
         row(name="\ud800"),
     ],
 )
-def test_a_row_beyond_the_bounds_changes_nothing(bad):
+def test_a_row_beyond_the_limits_changes_nothing(invalid):
     directory = Directory()
-    directory.put(row(bad.name if bad.name == "s-1" else "s-2"))
+    directory.put(row(invalid.name if invalid.name == "s-1" else "s-2"))
     with pytest.raises(ValueError):
-        directory.put(bad)
+        directory.put(invalid)
     assert len(directory) == 1 and not directory.has_destination(MAX_DESTINATION)
     directory.put(row("edge", MAX_DESTINATION))
     assert directory.rows(MAX_DESTINATION) == [
@@ -157,7 +159,7 @@
     ] and not directory.has_destination(MAX_DESTINATION + 1)
 
 
-def test_a_destination_has_none_or_a_hundred_hosts_and_a_row_may_come_twice():
+def test_a_destination_may_have_no_or_a_hundred_hosts_and_repeated_rows():
     directory = Directory()
     for _ in range(2):
         for number in range(100):
@@ -175,77 +177,77 @@
 
 
 @pytest.fixture
-def make(clock):
-    """Makes a catalog whose news, and ends, are noted."""
+def make_catalog(clock):
+    """Makes a catalog whose updates are recorded in `updates`."""
 
-    def make(copy=None, address=None, wanted=lambda destination: True):
-        found = []
+    def make_catalog(copy=None, address=None, wanted=lambda destination: True):
+        updates = []
         catalog = Catalog(
             clock,
             Deadlines(clock, clock),
             address,
-            NAMES,
+            CONFIGURED_NAMES,
             45_000,
             9 * S,
-            lambda entries, whole: found.append((entries, whole)),
+            lambda entries, whole: updates.append((entries, whole)),
             None,
             copy,
             wanted,
         )
-        catalog.found = found
+        catalog.updates = updates
         return catalog
 
-    return make
+    return make_catalog
 
 
-def watch_of(catalog, asked=b""):
+def open_watch(catalog, expected_request=b""):
     watch = catalog.buildProtocol(None)
-    watch.makeConnection(Wire())
-    assert asked in watch.transport.value()
+    watch.makeConnection(SocketPairTransport())
+    assert expected_request in watch.transport.value()
     watch.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     return watch
 
 
-def say(watch, raw):
+def send_chunk(watch, raw):
     watch.dataReceived(b"%x\r\n%s\r\n" % (len(raw), raw))
 
 
-ROWS = [told(f"s-{number}", number, zone='}{"]\u20ac\\') for number in range(6)]
+ROWS = [row_json(f"s-{number}", number, zone='}{"]\u20ac\\') for number in range(6)]
 
 
 @pytest.mark.parametrize("form", [{}, {"indent": 1}, {"ensure_ascii": False, "separators": (",", ":")}])
-def test_a_list_cut_at_any_byte_is_asked_for_again_and_leaves_no_row_wrong(make, form):
-    raw = page(4, ROWS, True, **form)
+def test_a_list_truncated_at_any_byte_is_requested_again_and_leaves_no_wrong_row(make_catalog, form):
+    raw = list_object(4, ROWS, True, **form)
     for cut in range(len(raw) - 1):
-        catalog = make()
-        watch = watch_of(catalog, b"GET /catalog/members HTTP")
-        say(watch, raw[:cut] or b" ")
+        catalog = make_catalog()
+        watch = open_watch(catalog, b"GET /catalog/members HTTP")
+        send_chunk(watch, raw[:cut] or b" ")
         assert watch.end_reason is None
         watch.connectionLost(None)
         assert catalog.index is None and not catalog.is_fresh
-        again = watch_of(catalog, b"GET /catalog/members HTTP")
-        say(again, raw)
-        assert listed(catalog.directory, range(6)) == {f"s-{number}": number for number in range(6)}
-        assert catalog.index == 4 and catalog.is_fresh and again.end_reason is None
+        second_watch = open_watch(catalog, b"GET /catalog/members HTTP")
+        send_chunk(second_watch, raw)
+        assert listed_hosts(catalog.directory, range(6)) == {f"s-{number}": number for number in range(6)}
+        assert catalog.index == 4 and catalog.is_fresh and second_watch.end_reason is None
 
 
-def test_rows_are_told_before_a_long_list_has_ended_and_only_those_wanted(make):
-    catalog = make(wanted=lambda destination: destination == 2)
-    watch, raw = watch_of(catalog), page(4, ROWS, True)
-    say(watch, raw[: raw.index(b'"s-4"')])
-    assert [each.host for entries, _ in catalog.found for each in entries] == [
+def test_rows_are_reported_before_a_long_list_has_ended_and_only_wanted_ones(make_catalog):
+    catalog = make_catalog(wanted=lambda destination: destination == 2)
+    watch, raw = open_watch(catalog), list_object(4, ROWS, True)
+    send_chunk(watch, raw[: raw.index(b'"s-4"')])
+    assert [each.host for entries, _ in catalog.updates for each in entries] == [
         b"s-2"
     ] and not catalog.is_fresh
-    assert len(catalog.directory) == 4  # the others are held
+    assert len(catalog.directory) == 4  # the others are stored all the same
 
 
 @pytest.mark.parametrize("by_length", [False, True])
-def test_a_list_of_four_megabytes_is_read_in_parts_and_no_ring_holds_it(make, by_length):
-    rows = [told(f"s-{number:07}", number) for number in range(30_000)]
-    raw, catalog = page(4, rows, True), make(wanted=lambda destination: False)
+def test_a_list_of_four_megabytes_is_parsed_in_parts_and_not_buffered(make_catalog, by_length):
+    rows = [row_json(f"s-{number:07}", number) for number in range(30_000)]
+    raw, catalog = list_object(4, rows, True), make_catalog(wanted=lambda destination: False)
     assert len(raw) > 4_000_000
     watch = catalog.buildProtocol(None)
-    watch.makeConnection(Wire())
+    watch.makeConnection(SocketPairTransport())
     head = b"Content-Length: %d" % len(raw) if by_length else b"Transfer-Encoding: chunked"
     rest = raw if by_length else b"%x\r\n%s\r\n0\r\n\r\n" % (len(raw), raw)
     stream = b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n" + rest
@@ -256,44 +258,51 @@
     assert b"?stream=1&index=4" in watch.transport.value()
 
 
-def test_a_whole_list_takes_hosts_off_and_one_with_nothing_is_refused(make):
-    catalog = make()
-    say(watch_of(catalog), page(4, ROWS, True))
-    say(second := watch_of(catalog, b"index=4"), page(9, ROWS[:2], True))
-    assert listed(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1} and second.end_reason is None
-    say(third := watch_of(catalog, b"index=9"), page(10, [], True))
+def test_a_whole_list_removes_hosts_and_an_empty_one_is_rejected(make_catalog):
+    catalog = make_catalog()
+    send_chunk(open_watch(catalog), list_object(4, ROWS, True))
+    send_chunk(second := open_watch(catalog, b"index=4"), list_object(9, ROWS[:2], True))
+    assert listed_hosts(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1} and second.end_reason is None
+    send_chunk(third := open_watch(catalog, b"index=9"), list_object(10, [], True))
     assert third.end_reason is Ending.GARBLED and catalog.index is None
-    assert listed(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1}
-    say(watch_of(make()), page(1, [], True))  # where none was held it may be so
+    assert listed_hosts(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1}
+    send_chunk(
+        open_watch(make_catalog()), list_object(1, [], True)
+    )  # an empty list is accepted if there was none before
 
 
-def test_rows_left_out_are_cleared_a_slice_a_turn(make, clock):
-    catalog = make(wanted=lambda destination: False)
-    say(watch_of(catalog), page(4, [told(f"s-{number}", number) for number in range(5000)], True))
+def test_rows_missing_from_a_whole_list_are_removed_in_batches(make_catalog, clock):
+    catalog = make_catalog(wanted=lambda destination: False)
+    send_chunk(
+        open_watch(catalog), list_object(4, [row_json(f"s-{number}", number) for number in range(5000)], True)
+    )
     slices, sweep = [], catalog.directory.sweep
     catalog.directory.sweep = lambda most: slices.append(most) or sweep(most)
-    say(watch_of(catalog), page(5, [told()], True))
+    send_chunk(open_watch(catalog), list_object(5, [row_json()], True))
     assert slices[-1] <= 1024 and len(catalog.directory) == 1
-    assert catalog.directory.find(b"s-4999") is None  # though it is not cleared yet
+    assert catalog.directory.find(b"s-4999") is None  # although it is not removed yet
     clock.advance(0)
     assert slices.count(1024) >= 5 and not catalog.directory.sweep(0)
-    assert listed(catalog.directory, range(5000)) == {"s-1": 1}
+    assert listed_hosts(catalog.directory, range(5000)) == {"s-1": 1}
 
 
-def test_a_host_that_moves_leaves_its_old_destination_first(make):
-    catalog = make()
-    say(watch := watch_of(catalog), page(4, [told("s-1", 1), told("s-2", 2)], True))
-    catalog.found.clear()
-    say(watch, page(5, [told("s-1", 2)]))
-    ((entries, _),) = [each for each in catalog.found if each[0]]
+def test_a_moved_host_is_removed_from_its_old_destination_first(make_catalog):
+    catalog = make_catalog()
+    send_chunk(watch := open_watch(catalog), list_object(4, [row_json("s-1", 1), row_json("s-2", 2)], True))
+    catalog.updates.clear()
+    send_chunk(watch, list_object(5, [row_json("s-1", 2)]))
+    ((entries, _),) = [each for each in catalog.updates if each[0]]
     assert [(each.destination, each.listing) for each in entries] == [(1, Listing.GONE), (2, Listing.READY)]
-    assert listed(catalog.directory, (1, 2)) == {"s-1": 2, "s-2": 2}
+    assert listed_hosts(catalog.directory, (1, 2)) == {"s-1": 2, "s-2": 2}
 
 
-def test_a_row_that_can_t_be_held_is_left_out_and_logged(make, caplog):
-    catalog = make()
-    say(watch := watch_of(catalog), page(4, [told("s-1", MAX_DESTINATION + 1), told("s-2", 2)], True))
-    assert listed(catalog.directory, range(3)) == {"s-2": 2} and watch.end_reason is None
+def test_a_row_that_can_t_be_stored_is_left_out_and_logged(make_catalog, caplog):
+    catalog = make_catalog()
+    send_chunk(
+        watch := open_watch(catalog),
+        list_object(4, [row_json("s-1", MAX_DESTINATION + 1), row_json("s-2", 2)], True),
+    )
+    assert listed_hosts(catalog.directory, range(3)) == {"s-2": 2} and watch.end_reason is None
     assert "row-not-read" in caplog.text
 
 
@@ -318,31 +327,31 @@
         b"{" + b",".join(b'"%d":0' % number for number in range(70)) + b"}",
     ],
 )
-def test_what_is_no_list_ends_the_watch_or_is_still_to_come(make, raw):
-    catalog = make()
-    say(watch := watch_of(catalog), page(4, ROWS[:1], True))
-    say(watch, raw)
+def test_an_invalid_list_ends_the_watch_unless_it_is_merely_incomplete(make_catalog, raw):
+    catalog = make_catalog()
+    send_chunk(watch := open_watch(catalog), list_object(4, ROWS[:1], True))
+    send_chunk(watch, raw)
     assert watch.end_reason is (None if raw == b'{"index"' else Ending.GARBLED)
     assert catalog.directory.rows(0)[0].name == "s-0"
 
 
-def test_a_long_list_that_trickles_row_by_row_is_a_sign_of_life_and_half_a_row_is_none(make, clock):
-    catalog = make()
-    raw = page(4, ROWS, True)
-    say(watch := watch_of(catalog), raw[: raw.index(b"[") + 1])
+def test_each_row_of_a_slow_list_counts_as_activity_and_half_a_row_does_not(make_catalog, clock):
+    catalog = make_catalog()
+    raw = list_object(4, ROWS, True)
+    send_chunk(watch := open_watch(catalog), raw[: raw.index(b"[") + 1])
     catalog.note_activity()
     for number in range(6):  # four seconds each
         clock.advance(4)
         start = raw.index(b'{"name": "s-%d"' % number)
-        say(watch, raw[start : raw.index(b"}", raw.index(b'"since_ms"', start)) + 1] + b",")
+        send_chunk(watch, raw[start : raw.index(b"}", raw.index(b'"since_ms"', start)) + 1] + b",")
         assert watch.end_reason is None
     clock.advance(4)
-    say(watch, b'{"name":')
+    send_chunk(watch, b'{"name":')
     clock.advance(1)
     assert watch.end_reason is Ending.SILENT
 
 
-# The folder's copy.
+# The copy in the state directory.
 
 
 @pytest.fixture
@@ -350,60 +359,64 @@
     return ListCopy(str(tmp_path), Deadlines(clock, clock), Ledger(str(tmp_path), 3_000_000, 64_000_000))
 
 
-def write(catalog, clock):
-    """A minute passes, and the turns that the copy takes."""
+def write_copy(catalog, clock):
+    """Advance the clock by COPY_INTERVAL, and by the reactor turns that writing the copy takes."""
     clock.advance(COPY_INTERVAL / S)
     for _ in range(40):
         clock.advance(0)
 
 
-def test_a_restart_begins_from_the_copy_and_asks_for_changes_since(make, copy, clock):
-    catalog = make(copy, address_of(row(address="127.0.0.1:9")))
-    say(watch := watch_of(catalog), page(4, ROWS, True))
-    say(watch, page(5, [told("s-0", 0, "left"), told("s-1", 1, "leaving")]))
-    write(catalog, clock)
+def test_a_restart_loads_the_copy_and_requests_the_changes_since(make_catalog, copy, clock):
+    catalog = make_catalog(copy, address_of(row(address="127.0.0.1:9")))
+    send_chunk(watch := open_watch(catalog), list_object(4, ROWS, True))
+    send_chunk(watch, list_object(5, [row_json("s-0", 0, "left"), row_json("s-1", 1, "leaving")]))
+    write_copy(catalog, clock)
     assert sorted(os.listdir(os.path.dirname(copy.path))) == ["ledger", "list"]
-    after = make(copy, address_of(row(address="127.0.0.1:9")))
+    after = make_catalog(copy, address_of(row(address="127.0.0.1:9")))
     after.load_copy()
-    assert listed(after.directory, range(6)) == {f"s-{number}": number for number in range(1, 6)}
+    assert listed_hosts(after.directory, range(6)) == {f"s-{number}": number for number in range(1, 6)}
     assert after.entries(1)[0].listing is Listing.DRAINING and after.has_list and not after.is_fresh
-    watch_of(after, b"GET /catalog/members?stream=1&index=5 ")
+    open_watch(after, b"GET /catalog/members?stream=1&index=5 ")
 
 
-def test_another_catalog_s_copy_serves_without_an_index(make, copy, clock):
-    catalog = make(copy, address_of(row(address="127.0.0.1:9")))
-    say(watch_of(catalog), page(4, ROWS, True))
-    write(catalog, clock)
-    after = make(copy, address_of(row(address="127.0.0.1:8")))
+def test_another_catalog_s_copy_is_used_without_its_index(make_catalog, copy, clock):
+    catalog = make_catalog(copy, address_of(row(address="127.0.0.1:9")))
+    send_chunk(open_watch(catalog), list_object(4, ROWS, True))
+    write_copy(catalog, clock)
+    after = make_catalog(copy, address_of(row(address="127.0.0.1:8")))
     after.load_copy()
     assert len(after.directory) == 6 and after.index is None
-    watch_of(after, b"GET /catalog/members HTTP")
-
-
-@pytest.mark.parametrize("index, held", [(3, 6), (4, 1), (5, 1)])
-def test_of_the_configuration_s_list_and_the_copy_the_later_one_is_held(make, copy, clock, index, held):
-    catalog = make(copy, "a:1")
-    say(watch_of(catalog), page(4, ROWS, True))
-    write(catalog, clock)
-    after = make(copy, "a:1")
-    after.load_known_list({"index": index, "snapshot": True, "endpoints": [told()]})
+    open_watch(after, b"GET /catalog/members HTTP")
+
+
+@pytest.mark.parametrize("index, row_count", [(3, 6), (4, 1), (5, 1)])
+def test_of_the_configuration_s_list_and_the_copy_the_later_one_is_used(
+    make_catalog, copy, clock, index, row_count
+):
+    catalog = make_catalog(copy, "a:1")
+    send_chunk(open_watch(catalog), list_object(4, ROWS, True))
+    write_copy(catalog, clock)
+    after = make_catalog(copy, "a:1")
+    after.load_known_list({"index": index, "snapshot": True, "endpoints": [row_json()]})
     after.load_copy()
-    assert len(after.directory) == held and after.index == max(index, 4)
+    assert len(after.directory) == row_count and after.index == max(index, 4)
 
 
-def test_a_copy_torn_at_any_byte_changed_or_of_another_form_is_passed_over(make, copy, clock, caplog):
-    catalog = make(copy, "a:1")
-    say(watch_of(catalog), page(4, ROWS, True))
-    write(catalog, clock)
+def test_a_copy_that_is_truncated_changed_or_of_another_form_is_ignored(make_catalog, copy, clock, caplog):
+    catalog = make_catalog(copy, "a:1")
+    send_chunk(open_watch(catalog), list_object(4, ROWS, True))
+    write_copy(catalog, clock)
     with open(copy.path, "rb") as file:
         raw = file.read()
-    bad = [raw[:cut] for cut in range(len(raw) - 1)]
-    bad += [bytes(len(raw)), raw.replace(b'"form": 1', b'"form": 2'), raw * 2]
-    bad += [raw[:at] + bytes([raw[at] ^ 1]) + raw[at + 1 :] for at in range(raw.index(b"\n"), len(raw) - 1)]
-    for each in bad:
+    invalid = [raw[:cut] for cut in range(len(raw) - 1)]
+    invalid += [bytes(len(raw)), raw.replace(b'"form": 1', b'"form": 2'), raw * 2]
+    invalid += [
+        raw[:at] + bytes([raw[at] ^ 1]) + raw[at + 1 :] for at in range(raw.index(b"\n"), len(raw) - 1)
+    ]
+    for each in invalid:
         with open(copy.path, "wb") as file:
             file.write(each)
-        after = make(copy, "a:1")
+        after = make_catalog(copy, "a:1")
         after.load_copy()
         assert (after.index, len(after.directory)) == (None, 0)
     assert "copy-not-read" in caplog.text
@@ -412,11 +425,11 @@
     assert len(read_copy(copy.path)[2]) == 6
 
 
-def test_a_kill_at_any_step_of_writing_leaves_the_copy_before(make, copy, clock, monkeypatch):
-    catalog = make(copy, "a:1")
-    say(watch_of(catalog), page(4, ROWS, True))
-    write(catalog, clock)
-    say(watch_of(catalog), page(5, [told("s-9", 9)]))
+def test_a_kill_at_any_step_of_writing_leaves_the_previous_copy(make_catalog, copy, clock, monkeypatch):
+    catalog = make_catalog(copy, "a:1")
+    send_chunk(open_watch(catalog), list_object(4, ROWS, True))
+    write_copy(catalog, clock)
+    send_chunk(open_watch(catalog), list_object(5, [row_json("s-9", 9)]))
     steps = []
     for name in ("open", "write", "replace"):
         real = getattr(os, name)
@@ -427,54 +440,58 @@
                 steps.append((read_copy(copy.path)[1], os.path.exists(copy.path))) or real(*words)
             ),
         )
-    write(catalog, clock)  # at each step the file in place is the one before, whole
+    write_copy(catalog, clock)  # at each step the previous file is in place, complete
     assert steps == [(4, True)] * len(steps) and len(steps) >= 5 and read_copy(copy.path)[1] == 5
 
 
-def test_a_full_disk_leaves_the_copy_before_and_it_is_tried_again(make, copy, clock, monkeypatch, caplog):
-    catalog = make(copy, "a:1")
-    say(watch_of(catalog), page(4, ROWS, True))
-    write(catalog, clock)
+def test_a_full_disk_leaves_the_previous_copy_and_writing_is_retried(
+    make_catalog, copy, clock, monkeypatch, caplog
+):
+    catalog = make_catalog(copy, "a:1")
+    send_chunk(open_watch(catalog), list_object(4, ROWS, True))
+    write_copy(catalog, clock)
     real = os.write
     monkeypatch.setattr(list_copy.os, "write", lambda *words: (_ for _ in ()).throw(OSError(28, "no space")))
-    say(watch_of(catalog), page(5, [told("s-9", 9)]))
-    write(catalog, clock)
+    send_chunk(open_watch(catalog), list_object(5, [row_json("s-9", 9)]))
+    write_copy(catalog, clock)
     assert read_copy(copy.path)[1] == 4 and "copy-not-written" in caplog.text
     assert sorted(os.listdir(os.path.dirname(copy.path))) == ["ledger", "list"]
     monkeypatch.setattr(list_copy.os, "write", real)
-    say(watch_of(catalog), page(6, [told("s-8", 8)]))
-    write(catalog, clock)
+    send_chunk(open_watch(catalog), list_object(6, [row_json("s-8", 8)]))
+    write_copy(catalog, clock)
     assert read_copy(copy.path)[1] == 6
 
 
-def test_the_ledger_goes_before_the_copy(tmp_path, clock, make, caplog):
+def test_the_ledger_has_priority_over_the_copy(tmp_path, clock, make_catalog, caplog):
     ledger = Ledger(str(tmp_path), 100_000, 64_000_000)
     most = ledger.live_most
-    catalog = make(ListCopy(str(tmp_path), Deadlines(clock, clock), ledger), "a:1")
-    say(watch_of(catalog), page(4, [told(f"s-{number}", number) for number in range(400)], True))
-    write(catalog, clock)
+    catalog = make_catalog(ListCopy(str(tmp_path), Deadlines(clock, clock), ledger), "a:1")
+    send_chunk(
+        open_watch(catalog), list_object(4, [row_json(f"s-{number}", number) for number in range(400)], True)
+    )
+    write_copy(catalog, clock)
     assert os.listdir(tmp_path) == ["ledger"] and ledger.live_most == most
     assert "copy-not-written" in caplog.text
     catalog.directory = Directory()  # fewer rows
-    say(watch_of(catalog), page(5, [told()], True))
-    write(catalog, clock)
-    assert "list" in os.listdir(tmp_path) and ledger.live_most < most  # its room is the ledger's no more
+    send_chunk(open_watch(catalog), list_object(5, [row_json()], True))
+    write_copy(catalog, clock)
+    assert "list" in os.listdir(tmp_path) and ledger.live_most < most  # its space is no longer the ledger's
 
 
 @pytest.mark.parametrize("beside", [False, True])
-def test_a_copy_for_which_the_ledger_has_no_room_left_is_read_and_taken_away(make, copy, clock, beside):
-    catalog = make(copy, "a:1")
-    say(watch_of(catalog), page(4, ROWS, True))
-    write(catalog, clock)
+def test_a_copy_for_which_the_ledger_has_no_room_is_read_and_removed(make_catalog, copy, clock, beside):
+    catalog = make_catalog(copy, "a:1")
+    send_chunk(open_watch(catalog), list_object(4, ROWS, True))
+    write_copy(catalog, clock)
     full = SimpleNamespace(beside=beside, leave_room=lambda size, at_once=False: False)
-    after = make(ListCopy(os.path.dirname(copy.path), Deadlines(clock, clock), full), "a:1")
+    after = make_catalog(ListCopy(os.path.dirname(copy.path), Deadlines(clock, clock), full), "a:1")
     after.load_copy()
     assert len(after.directory) == 6
-    assert os.path.exists(copy.path) == beside  # in an upgrade it is the other's
+    assert os.path.exists(copy.path) == beside  # in an upgrade it belongs to the other process
 
 
-class Turns:
-    """Deadlines of which a test makes the calls itself, one at a time; no time passes."""
+class ManualDeadlines:
+    """Deadlines whose calls a test makes itself, one at a time; the clock stands still."""
 
     def __init__(self):
         self.calls, self.clock = [], SimpleNamespace(now=lambda: 0)
@@ -484,85 +501,93 @@
         return call
 
 
-def test_a_list_that_changes_while_the_copy_is_written_is_in_it_old_or_new(make, tmp_path):
-    chance, turns, index = random.Random(3), Turns(), 4
-    copy = ListCopy(str(tmp_path), turns, Ledger(str(tmp_path), 9_000_000, 64_000_000))
-    catalog = make(copy, "a:1", wanted=lambda destination: False)
-    say(watch := watch_of(catalog), page(4, [told(f"s-{number}", number) for number in range(3000)], True))
-    while turns.calls and not os.path.exists(copy.path):
-        turns.calls.pop()()
-        index, number = index + 1, chance.randrange(3000)
-        say(watch, page(index, [told(f"s-{number}", number, status=chance.choice(["left", "leaving"]))]))
-    address, at, held = read_copy(copy.path)
-    assert at == 4 and index > 10 and 2980 < len(held) <= 3000  # all since 4 is told again after a restart
-
-
-def test_a_copy_under_way_is_given_up_when_a_whole_list_or_another_catalog_comes(make, tmp_path):
-    for comes in ("list", "catalog"):
-        turns = Turns()
-        copy = ListCopy(str(tmp_path), turns, SimpleNamespace(beside=False, leave_room=lambda size: True))
-        catalog = make(copy, "a:1", wanted=lambda destination: False)
-        say(watch := watch_of(catalog), page(4, ROWS, True))
-        turns.calls.pop()()
-        if comes == "list":
-            say(watch, page(2, ROWS[:1], True))
+def test_rows_that_change_while_the_copy_is_written_are_in_it_old_or_new(make_catalog, tmp_path):
+    rng, deadlines, index = random.Random(3), ManualDeadlines(), 4
+    copy = ListCopy(str(tmp_path), deadlines, Ledger(str(tmp_path), 9_000_000, 64_000_000))
+    catalog = make_catalog(copy, "a:1", wanted=lambda destination: False)
+    send_chunk(
+        watch := open_watch(catalog),
+        list_object(4, [row_json(f"s-{number}", number) for number in range(3000)], True),
+    )
+    while deadlines.calls and not os.path.exists(copy.path):
+        deadlines.calls.pop()()
+        index, number = index + 1, rng.randrange(3000)
+        send_chunk(
+            watch,
+            list_object(index, [row_json(f"s-{number}", number, status=rng.choice(["left", "leaving"]))]),
+        )
+    address, at, copied = read_copy(copy.path)
+    assert (
+        at == 4 and index > 10 and 2980 < len(copied) <= 3000
+    )  # the changes since 4 are sent again after a restart
+
+
+def test_an_unfinished_copy_is_aborted_by_a_whole_list_or_another_catalog(make_catalog, tmp_path):
+    for next_event in ("list", "catalog"):
+        deadlines = ManualDeadlines()
+        copy = ListCopy(str(tmp_path), deadlines, SimpleNamespace(beside=False, leave_room=lambda size: True))
+        catalog = make_catalog(copy, "a:1", wanted=lambda destination: False)
+        send_chunk(watch := open_watch(catalog), list_object(4, ROWS, True))
+        deadlines.calls.pop()()
+        if next_event == "list":
+            send_chunk(watch, list_object(2, ROWS[:1], True))
         else:
             catalog.change_address("a:2")
-        while turns.calls:
-            turns.calls.pop()()
-        assert (read_copy(copy.path)[1] if comes == "list" else os.listdir(tmp_path)) in (2, ["list"])
+        while deadlines.calls:
+            deadlines.calls.pop()()
+        assert (read_copy(copy.path)[1] if next_event == "list" else os.listdir(tmp_path)) in (2, ["list"])
 
 
-def test_the_first_copy_follows_the_list_at_once_and_the_next_a_minute_later(make, copy, clock):
-    catalog = make(copy, "a:1")
-    say(watch := watch_of(catalog), page(4, ROWS, True))
+def test_the_first_copy_is_written_at_once_and_the_next_a_minute_later(make_catalog, copy, clock):
+    catalog = make_catalog(copy, "a:1")
+    send_chunk(watch := open_watch(catalog), list_object(4, ROWS, True))
     clock.advance(0)
     assert read_copy(copy.path)[1] == 4
-    say(watch, page(5, [told("s-9", 9)]))
+    send_chunk(watch, list_object(5, [row_json("s-9", 9)]))
     clock.advance(COPY_INTERVAL / S - 1)
     assert read_copy(copy.path)[1] == 4
     clock.advance(1)
     assert read_copy(copy.path)[1] == 5
 
 
-def test_in_the_seat_of_an_upgrade_no_copy_is_written(make, tmp_path):
-    turns = Turns()
-    copy = ListCopy(str(tmp_path), turns, SimpleNamespace(beside=True, leave_room=lambda size: True))
-    say(watch_of(make(copy, "a:1")), page(4, ROWS, True))
-    while turns.calls:
-        turns.calls.pop()()
+def test_a_standby_process_writes_no_copy(make_catalog, tmp_path):
+    deadlines = ManualDeadlines()
+    copy = ListCopy(str(tmp_path), deadlines, SimpleNamespace(beside=True, leave_room=lambda size: True))
+    send_chunk(open_watch(make_catalog(copy, "a:1")), list_object(4, ROWS, True))
+    while deadlines.calls:
+        deadlines.calls.pop()()
     assert os.listdir(tmp_path) == []
 
 
-# What the module forgets.
+# What the policy forgets.
 
 
 @pytest.fixture
 def on_demand(terms):
-    """A module that is told of destinations as it meets them."""
+    """A policy that gets the hosts of a destination when its first text arrives."""
     terms.hosts_on_demand = True
     return Bench(Policy(terms, NOW))
 
 
-def forgotten(relay, now):
+def forgotten_destinations(relay, now):
     return [action.destination for action in relay.policy.decide(now) if isinstance(action, Forget)]
 
 
-def test_a_destination_at_rest_is_forgotten_and_the_timer_sees_to_it(on_demand):
+def test_an_idle_destination_is_forgotten_by_a_timer(on_demand):
     relay = on_demand
     relay.list(HOST)
     relay.out(relay.take(), Result.DELIVERED, over=True)
     wakes = [action.after for action in relay.policy.decide(NOW) if isinstance(action, Wake)]
     assert wakes and min(wakes) <= REST
-    assert forgotten(relay, NOW + REST - 1) == []
-    keep = relay.policy.keep  # while a connection may stand idle it is known
-    assert forgotten(relay, NOW + max(REST, keep) + 1) == [1]
+    assert forgotten_destinations(relay, NOW + REST - 1) == []
+    keep = relay.policy.keep  # it is kept while a connection may stay idle
+    assert forgotten_destinations(relay, NOW + max(REST, keep) + 1) == [1]
     assert not relay.policy.dests and not relay.policy.hosts and not relay.policy.resting
     relay.list(HOST, now=NOW + 99 * S)
     assert relay.out(relay.take(now=NOW + 99 * S), now=NOW + 99 * S) == HOST
 
 
-def test_nothing_is_left_of_ten_thousand_destinations_met_once(on_demand):
+def test_ten_thousand_destinations_used_once_are_all_forgotten(on_demand):
     relay, now = on_demand, NOW
     for number in range(10_000):
         now += S // 100
@@ -582,22 +607,26 @@
 @pytest.mark.parametrize(
     "result, more, until",
     [
-        (Result.FULL, {"told_wait": 90 * S, "limit_left": 0.5}, 90 * S),  # a told wait is heeded to its end
+        (
+            Result.FULL,
+            {"told_wait": 90 * S, "limit_left": 0.5},
+            90 * S,
+        ),  # a wait asked for is observed to its end
         (Result.TIMEOUT, {}, LESSON),
     ],
-)  # a token is spent: until the lesson is old
-def test_what_the_list_does_not_say_is_kept(on_demand, result, more, until):
+)  # a token is spent: kept until that is too old to matter
+def test_a_destination_with_learned_state_is_kept(on_demand, result, more, until):
     relay, now = on_demand, NOW
     relay.list(HOST)
     text = relay.take(valid=2 * S)
     relay.out(text, result, **more)
     while now < NOW + until:
         now += 5 * S
-        assert not [number for number in forgotten(relay, now) if now < NOW + until]
+        assert not [number for number in forgotten_destinations(relay, now) if now < NOW + until]
     relay.policy.texts.clear()
 
 
-def test_a_sick_destination_is_known_until_it_has_delivered_again(on_demand):
+def test_a_destination_in_an_outage_is_kept_until_it_has_delivered_again(on_demand):
     relay, now = on_demand, NOW
     relay.list(HOST)
     for _ in range(6):
@@ -610,38 +639,38 @@
     assert relay.host().sick
     for _ in range(100):
         now += 60 * S
-        assert forgotten(relay, now) == []
+        assert forgotten_destinations(relay, now) == []
     text = relay.take(now=now)
-    assert relay.sent(now) == {text: HOST}  # one trial, and it is known as one
+    assert relay.sent(now) == {text: HOST}  # one trial submit, and it is counted as one
     relay.end(text, Result.DELIVERED, now, over=True)
     relay.policy.dests[1].tokens = BUCKET
     for _ in range(20):
         now += 60 * S
-        if forgotten(relay, now):
+        if forgotten_destinations(relay, now):
             break
     assert not relay.policy.dests
 
 
-def test_a_text_that_comes_as_its_destination_is_due_to_be_forgotten_keeps_it(on_demand):
+def test_a_text_that_arrives_as_its_destination_is_due_to_be_forgotten_keeps_it(on_demand):
     relay = on_demand
     relay.list(HOST)
     relay.out(relay.take(), Result.DELIVERED, over=True)
     later = NOW + 99 * S
     text = relay.take(now=later)
-    assert forgotten(relay, later) == [] and relay.held(text).call.host is relay.host()
+    assert forgotten_destinations(relay, later) == [] and relay.held(text).call.host is relay.host()
 
 
-def test_a_notice_heard_after_its_destination_was_forgotten_brings_nothing_back(on_demand):
+def test_a_notice_acknowledged_after_its_destination_was_forgotten_restores_nothing(on_demand):
     relay = on_demand
     text = relay.take(valid=S // 2)
-    relay.decide(now=NOW + S)  # ended, and its notice is still to be heard
-    assert forgotten(relay, NOW + LESSON) in ([], [1])
+    relay.decide(now=NOW + S)  # ended, and its notice is not acknowledged yet
+    assert forgotten_destinations(relay, NOW + LESSON) in ([], [1])
     relay.policy.dests.pop(1, None)
     relay.policy.text_over(NOW + LESSON, text)
     assert not relay.policy.dests and not relay.policy.unheard
 
 
-def test_a_host_that_has_moved_ends_what_is_out_at_its_old_destination(relay):
+def test_a_moved_host_finishes_the_submits_of_its_old_destination(relay):
     relay.list(HOST)
     text = relay.take()
     relay.sent()
@@ -669,7 +698,7 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_a_relay_without_a_list_takes_nothing_on_and_says_so(plan, agent, party):
+def test_a_relay_without_a_list_accepts_nothing_and_logs_it(plan, agent, party):
     agent.act = lambda request: (200, b'{"index": 1, "snapshot": true, "endpoints": [{"name"')
     agent.reply = agent.act
     program = plan(list_ms=50)
@@ -677,7 +706,7 @@
     assert client.submit("t1") == "-BUSY" and "no list" in program.says("event=no-list")
 
 
-def test_a_restart_serves_from_the_folder_s_copy_while_the_catalog_is_silent(plan, agent, party, clock):
+def test_a_restart_serves_from_the_copy_while_the_catalog_is_silent(plan, agent, party, clock):
     host = party()
     program = plan(list_ms=50)
     ledger = SimpleNamespace(beside=False, leave_room=lambda size: True)
@@ -685,15 +714,15 @@
         clock,
         Deadlines(clock, clock),
         agent.address,
-        NAMES,
+        CONFIGURED_NAMES,
         9,
         9,
         lambda entries, whole: None,
         None,
         ListCopy(str(program.state), Deadlines(clock, clock), ledger),
     )
-    say(watch_of(source), page(4, [told("s-1", 70_000, address=host.address)], True))
-    write(source, clock)
+    send_chunk(open_watch(source), list_object(4, [row_json("s-1", 70_000, address=host.address)], True))
+    write_copy(source, clock)
     agent.reply = lambda request: request.hang()
     client = program.start()
     assert client.submit("t1", dest=70_000) == "+OK" and host.next().headers["X-Txn"] == "t1"
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The relay's parts, one call each, without the program."""
+"""Unit tests of the relay's modules, without its process."""
 
 import logging
 import os
@@ -36,27 +36,29 @@
 from limelatch.relay.ring_buffer import RingBuffer, RingBufferFull
 from limelatch.relay.slots import Slots
 
-GOOD = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "s", "settings": SETTINGS}
-NAMES = plan_of(read_platform(GOOD)[0]).names
+VALID_CONFIG = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "s", "settings": SETTINGS}
+CONFIGURED_NAMES = plan_of(read_platform(VALID_CONFIG)[0]).names
 
 
-class Caller(HttpClientProtocol):
-    """Keeps what a peer's bytes became."""
+class RecordingClient(HttpClientProtocol):
+    """An HTTP client that records the responses and the end of its connection."""
 
     def __init__(self):
         super().__init__(1024, 256)
-        self.got = []
-        self.makeConnection(Wire())
+        self.received = []
+        self.makeConnection(SocketPairTransport())
         self.send_request(b"GET / HTTP/1.1\r\n\r\n")
 
     def response_received(self, response, body):
-        self.got.append((response.status, body, response.keep_alive))
+        self.received.append((response.status, body, response.keep_alive))
 
     def connection_ended(self, ending):
-        self.got.append(ending)
+        self.received.append(ending)
 
 
-class Wire(StringTransport):
+class SocketPairTransport(StringTransport):
+    """Records what is written; has a real socket whose other end is `peer`, for unread bytes."""
+
     def __init__(self):
         super().__init__()
         self.socket, self.peer = socket.socketpair()
@@ -77,18 +79,18 @@
     return Ledger(str(tmp_path), 100_000, 10_000_000)
 
 
-def take(ledger, text, body=b"body", key="k1"):
+def accept_text(ledger, text, body=b"body", key="k1"):
     ledger.taken(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
 
 
-def again(ledger):
-    """The ledger as the next process finds it: a copy, since the folder is held while this one lives."""
+def reopen(ledger):
+    """The ledger as the next process finds it; a copy, because this process locks the state directory."""
     folder = tempfile.mkdtemp(dir=ledger.path.removesuffix("/ledger") + "/..")
     shutil.copy(ledger.path, folder)
     return Ledger(folder, 100_000, 10_000_000)
 
 
-def test_a_ring_goes_round_grows_and_never_passes_its_bound():
+def test_ring_buffer_wraps_grows_and_never_exceeds_its_bound():
     ring = RingBuffer(3000)
     for start in range(0, 9000, 700):
         ring.write(bytes((start + i) % 251 for i in range(1400)))
@@ -99,7 +101,7 @@
     assert len(ring) == 2990 and ring.free == 10
 
 
-def test_a_ring_finds_a_mark_that_lies_across_its_end():
+def test_ring_buffer_finds_a_pattern_that_wraps_around():
     ring = RingBuffer(1024)
     ring.write(b"x" * 1023)
     ring.read(1020)
@@ -107,14 +109,14 @@
     assert ring.find(b"\r\n") == 4 and ring.read(6) == b"xxxy\r\n" and ring.find(b"\r\n") == -1
 
 
-def test_a_ring_gives_back_the_room_of_a_large_block_once_it_is_read():
+def test_ring_buffer_frees_the_memory_of_a_large_block_once_read():
     ring = RingBuffer(100_000)
     ring.write(bytes(90_000))
     ring.read(90_000)
     assert len(ring._cells) == 1024
 
 
-def test_warnings_that_outsiders_cause_are_held_down_and_counted(deadlines, caplog):
+def test_warnings_caused_from_outside_are_rate_limited_and_counted(deadlines, caplog):
     held_down = HeldDown(logging.getLogger("x"), deadlines[1])
     for _ in range(9):
         held_down("command-bad")
@@ -123,7 +125,7 @@
     assert [each.pairs for each in caplog.records] == [{}] * 5 + [{"left_out": 4}]
 
 
-def test_slots_are_numbered_used_again_and_bounded():
+def test_slots_are_numbered_reused_and_bounded():
     slots = Slots(2)
     assert [slots.take("a"), slots.take("b"), slots.take("c")] == [0, 1, None]
     slots.release(0)
@@ -140,7 +142,7 @@
     return Deadlines(reactor, reactor), reactor
 
 
-def test_deadlines_share_one_timer_and_come_in_order(deadlines):
+def test_deadlines_share_one_timer_and_fire_in_order(deadlines):
     deadlines, reactor = deadlines
     done = []
     deadlines.at(2 * SECOND, lambda: done.append("late"))
@@ -153,7 +155,7 @@
     assert done == ["early", "late"] and reactor.getDelayedCalls() == []
 
 
-def test_a_fault_in_one_call_leaves_the_other_deadlines_due(deadlines):
+def test_an_exception_in_one_deadline_does_not_stop_the_others(deadlines):
     deadlines, reactor = deadlines
     done = []
     deadlines.at(SECOND, lambda: 1 // 0)
@@ -162,9 +164,9 @@
     assert done == [1]
 
 
-def test_the_ledger_tells_what_is_owed_in_the_order_it_was_taken(ledger):
+def test_the_ledger_restores_unfinished_texts_in_the_order_of_acceptance(ledger):
     for text in (b"a", b"b", b"c", b"d"):
-        take(ledger, text, b"body of " + text)
+        accept_text(ledger, text, b"body of " + text)
     ledger.going(b"a", 5, 1)
     ledger.going(b"b", 6, 0)
     ledger.ended(b"b", ran=True)
@@ -172,116 +174,116 @@
     ledger.ended(b"b", ran=False)
     ledger.owed(b"c", {"result": "dead"})
     ledger.over(b"d")
-    a, b, c = again(ledger).entries.values()
+    a, b, c = reopen(ledger).entries.values()
     assert (a.id, a.body, a.submits, a.out, a.ran_at, a.ran_zone) == (b"a", b"body of a", 1, True, 5, 1)
     assert (b.submits, b.out, b.ran_at, b.ran_zone) == (2, False, 6, 0)
     assert (c.notice, c.pairs["key"]) == ({"result": "dead"}, "k1")
 
 
-def test_a_new_file_keeps_each_text_s_state_in_the_room_that_is_kept_free_for_it(ledger):
-    """Every submit once kept its records, with room for 2 KB a text: others were refused untaken."""
-    take(ledger, b"a" * 64)
+def test_compaction_keeps_each_text_s_state_within_its_reserved_space(ledger):
+    """Each submit once kept its own records, at up to 2 KB a text, so that other texts were refused."""
+    accept_text(ledger, b"a" * 64)
     for at in range(40):
         ledger.going(b"a" * 64, at, 1)
         ledger.ended(b"a" * 64, ran=at > 2)
     ledger.going(b"a" * 64, 99, 2)
     before = ledger.entries[b"a" * 64]
     ledger.compact()
-    after, taken = again(ledger).entries[b"a" * 64], len(before.taken)
+    after, taken = reopen(ledger).entries[b"a" * 64], len(before.taken)
     assert (after.submits, after.out, after.ran, after.ran_at, after.ran_zone) == (41, True, True, 3, 1)
     ledger.owed(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
     ledger.compact()
-    assert again(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= LATER
+    assert reopen(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= LATER
     while ledger.has_room(10):
-        take(ledger, b"t%d" % len(ledger.entries), b"x" * 10)
+        accept_text(ledger, b"t%d" % len(ledger.entries), b"x" * 10)
     assert len(ledger.entries) > 60 and ledger.size <= 100_000
 
 
-def test_a_submit_that_never_ran_is_forgotten(ledger):
-    take(ledger, b"a")
+def test_a_submit_that_did_not_run_leaves_no_run_time(ledger):
+    accept_text(ledger, b"a")
     ledger.going(b"a", 5, 1)
     ledger.ended(b"a", ran=False)
-    assert again(ledger).entries[b"a"].ran_at is None
+    assert reopen(ledger).entries[b"a"].ran_at is None
 
 
-def test_a_folder_is_one_relays_and_its_successors_until_they_end(ledger):
+def test_a_state_directory_admits_one_relay_and_one_successor(ledger):
     folder = ledger.path.removesuffix("/ledger")
-    beside = Ledger(folder, 100_000, 10_000_000)  # an upgrade's new process, in the seat
-    assert beside.beside and ledger.successor()
+    standby = Ledger(folder, 100_000, 10_000_000)  # an upgrade's new process
+    assert standby.beside and ledger.successor()
     with pytest.raises(FolderInUse):
         Ledger(folder, 100_000, 10_000_000)
-    assert beside.take_over() is None  # the first still holds the folder
+    assert standby.take_over() is None  # the first still locks the state directory
     ledger.close()
-    assert beside.take_over() == [] and not beside.beside
-    beside.close()
+    assert standby.take_over() == [] and not standby.beside
+    standby.close()
     Ledger(folder, 100_000, 10_000_000).close()
 
 
-def test_whole_records_of_another_version_are_refused_and_not_cut(ledger):
-    take(ledger, b"a")
+def test_records_of_another_version_are_refused_and_not_truncated(ledger):
+    accept_text(ledger, b"a")
     before = ledger.size
     with open(ledger.path, "ab") as file:
         file.write(record(Kind.STATE, b"a", {"tries": 3}))
     with pytest.raises(ForeignLedger):
-        again(ledger)
+        reopen(ledger)
     assert os.path.getsize(ledger.path) > before
 
 
 @pytest.mark.parametrize("cut", range(1, 30, 7))
-def test_a_torn_tail_is_cut_and_the_ledger_goes_on(ledger, cut):
-    take(ledger, b"a")
-    kept = ledger.size
-    take(ledger, b"b")
+def test_a_torn_tail_is_truncated_and_the_ledger_continues(ledger, cut):
+    accept_text(ledger, b"a")
+    size_before = ledger.size
+    accept_text(ledger, b"b")
     with open(ledger.path, "r+b") as file:
         file.truncate(ledger.size - cut)
-    torn = again(ledger)
-    assert list(torn.entries) == [b"a"] and torn.size == kept and torn.cut > 0
-    take(torn, b"c")
-    assert list(again(torn).entries) == [b"a", b"c"]
+    reopened = reopen(ledger)
+    assert list(reopened.entries) == [b"a"] and reopened.size == size_before and reopened.cut > 0
+    accept_text(reopened, b"c")
+    assert list(reopen(reopened).entries) == [b"a", b"c"]
 
 
-def test_a_changed_byte_is_not_taken_for_a_record(ledger):
-    take(ledger, b"a")
+def test_a_record_with_a_changed_byte_is_rejected(ledger):
+    accept_text(ledger, b"a")
     with open(ledger.path, "r+b") as file:
         file.seek(ledger.size - 1)
         file.write(b"X")
-    assert list(again(ledger).entries) == []
+    assert list(reopen(ledger).entries) == []
 
 
 def test_compaction_keeps_old_and_new_file_under_the_disk_limit(ledger, monkeypatch, tmp_path):
-    most, replace = [], os.replace
+    peak_sizes, replace = [], os.replace
 
-    def watched(old, new):
-        most.append(sum(-(-each.stat().st_size // BLOCK) * BLOCK for each in tmp_path.iterdir()))
+    def measured_replace(old, new):
+        peak_sizes.append(sum(-(-each.stat().st_size // BLOCK) * BLOCK for each in tmp_path.iterdir()))
         replace(old, new)
 
-    monkeypatch.setattr(os, "replace", watched)
-    take(ledger, b"stays", b"s" * 9000)
+    monkeypatch.setattr(os, "replace", measured_replace)
+    accept_text(ledger, b"stays", b"s" * 9000)
     for number in range(300):
         text = b"t%d" % number
-        take(ledger, text, b"x" * 900)
+        accept_text(ledger, text, b"x" * 900)
         ledger.over(text)
-    assert len(most) > 2 and max(most) <= 100_000 and ledger.size <= 100_000
-    take(ledger, b"last")
-    assert list(again(ledger).entries) == [b"stays", b"last"]
+    assert len(peak_sizes) > 2 and max(peak_sizes) <= 100_000 and ledger.size <= 100_000
+    accept_text(ledger, b"last")
+    assert list(reopen(ledger).entries) == [b"stays", b"last"]
 
 
-def test_without_room_no_text_is_taken(ledger):
+def test_no_text_is_accepted_without_disk_space(ledger):
     assert ledger.has_room(30_000)
-    take(ledger, b"a", b"x" * 30_000)
+    accept_text(ledger, b"a", b"x" * 30_000)
     assert not ledger.has_room(30_000)
     ledger.over(b"a")
     assert ledger.has_room(30_000)
 
 
-def test_every_ending_means_something_to_the_module():
+def test_every_end_reason_has_a_result():
     assert set(RESULT_OF_ENDING) == set(Ending)
     assert RESULT_OF_ENDING[Ending.CUT_SHORT] is Result.CONNECT
     assert RESULT_OF_ENDING[Ending.BROKEN] is Result.RESET
 
 
 @pytest.mark.parametrize(
-    "raw, got",
+    "raw, received",
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", (200, b"hi", True)),
         (b"HTTP/1.1 204 No Content\r\n\r\n", (204, b"", True)),
@@ -293,12 +295,12 @@
         ),
     ],
 )
-def test_answers_are_read_however_they_are_cut(raw, got):
+def test_responses_are_parsed_however_they_are_split(raw, received):
     for size in (1, 7, len(raw)):
-        caller = Caller()
+        caller = RecordingClient()
         for at in range(0, len(raw), size):
             caller.dataReceived(raw[at : at + size])
-        assert caller.got == [got]
+        assert caller.received == [received]
 
 
 @pytest.mark.parametrize(
@@ -317,15 +319,15 @@
         b"HTTP/1.1 100 Go\r\n\r\n" * 2000,
     ],
 )
-def test_a_garbled_answer_ends_the_connection(raw):
-    caller = Caller()
+def test_a_malformed_response_ends_the_connection(raw):
+    caller = RecordingClient()
     for at in range(0, len(raw), 1000):
         caller.dataReceived(raw[at : at + 1000])
     assert caller.end_reason is Ending.GARBLED and caller.transport.disconnecting
 
 
-def test_a_choked_transport_holds_back_ring_and_source():
-    caller = Caller()
+def test_a_paused_transport_leaves_bytes_in_the_buffer_and_its_queue():
+    caller = RecordingClient()
     caller.transport.clear()
     caller.outbound_writer.pauseProducing()
     caller.send(b"x" * 1000)
@@ -341,8 +343,8 @@
 def outcomes(status, body=b"", texts=(b"a",), **headers):
     call = Call(b"s-1", [OutgoingText(text, b"", b"", 0, 0) for text in texts], 0)
     call.batched = len(texts) > 1
-    told = {name.replace("_", "-").encode(): value for name, value in headers.items()}
-    return read_outcomes(call, Response(status, told), body)
+    encoded_headers = {name.replace("_", "-").encode(): value for name, value in headers.items()}
+    return read_outcomes(call, Response(status, encoded_headers), body)
 
 
 @pytest.mark.parametrize(
@@ -365,7 +367,7 @@
         (200, {"x_pressure": b"x0=0.4,x1=9e99"}, Outcome(Result.DELIVERED, True)),
     ],
 )
-def test_an_answer_says_how_a_call_fared(status, headers, outcome):
+def test_a_response_determines_the_outcome_of_a_call(status, headers, outcome):
     assert outcomes(status, **headers) == [outcome]
 
 
@@ -378,73 +380,73 @@
         (0, False, {b"x-pressure": b"x0=0,x1=9"}, Result.FULL),
     ],
 )
-def test_a_new_connection_that_is_turned_away_and_closed_met_a_full_table(idle, keeps, headers, result):
-    """Full tables once passed for used-up limits: paces were cut where much of a limit was left."""
+def test_a_refused_and_closed_new_connection_means_a_full_table(idle, keeps, headers, result):
+    """Full tables were once mistaken for exhausted limits, and paces were reduced although much was left."""
     call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, idle_time=idle)
     assert read_outcomes(call, Response(503, headers, keeps), b"")[0].result is result
 
 
-def test_a_batch_answer_says_how_each_text_fared():
+def test_a_batch_response_determines_the_outcome_of_each_text():
     body = b'[{"id":"b","state":"refused"},{"id":"a","state":"delivered"}]'
     assert outcomes(200, body, (b"a", b"b"), retry_after=b"1") == [
         Outcome(Result.DELIVERED, True, SECOND),
         Outcome(Result.FULL, False, SECOND),
     ]
     assert outcomes(413, b"", (b"a", b"b")) == [Outcome(Result.MOOT)] * 2
-    assert outcomes(410, b"", (b"a", b"b")) == [Outcome(Result.ERROR)] * 2  # this speaks of one text
+    assert outcomes(410, b"", (b"a", b"b")) == [Outcome(Result.ERROR)] * 2  # 410 describes a single text
     with pytest.raises(KeyError):
         outcomes(200, body, (b"a", b"c"))
 
 
-def test_a_batch_of_which_one_text_is_left_is_still_answered_as_a_batch():
-    call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other's validity ended
+def test_a_batch_with_one_text_left_still_gets_a_batch_response():
+    call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other text has expired
     body = b'[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]'
     assert read_outcomes(call, Response(200), body) == [Outcome(Result.FULL)]
 
 
-class Ears:
-    """A driver that only listens."""
+class RecordingDriver:
+    """A driver that records the outcomes of texts."""
 
-    def __init__(self, goes=True):
-        self.goes, self.ends, self.over = goes, [], []
+    def __init__(self, may_send=True):
+        self.may_send, self.outcomes, self.finished = may_send, [], []
 
     def may_go(self, now, text, host):
-        return self.goes
+        return self.may_send
 
     def going(self, call, outgoing):
         return True
 
     def ended(self, call, outgoing, outcome):
-        self.ends.append((outgoing.text, outcome.result))
-        self.over += [outgoing.text] if outcome.finished else []
+        self.outcomes.append((outgoing.text, outcome.result))
+        self.finished += [outgoing.text] if outcome.finished else []
 
 
-def call_out(deadlines, driver, *texts):
-    """A connection that has just come up for a call with these texts."""
+def start_call(deadlines, driver, *texts):
+    """A host pool and a connection, just established for a call with these texts."""
     deadlines, reactor = deadlines
-    pool = HostPool(reactor, deadlines, reactor, driver, 4, SECOND, SECOND)
-    pool.addresses[b"s-1"], pool.calls_in_flight = "127.0.0.1:80", 1
+    host_pool = HostPool(reactor, deadlines, reactor, driver, 4, SECOND, SECOND)
+    host_pool.addresses[b"s-1"], host_pool.calls_in_flight = "127.0.0.1:80", 1
     call = Call(b"s-1", list(texts), 0)
-    call.deadline = deadlines.at(min(each.due_at for each in texts), lambda: pool._call_timed_out(call))
-    call.connection = Connection(pool, b"s-1", call)
-    call.connection.slot = pool.connections.take(call.connection)
+    call.deadline = deadlines.at(min(each.due_at for each in texts), lambda: host_pool._call_timed_out(call))
+    call.connection = Connection(host_pool, b"s-1", call)
+    call.connection.slot = host_pool.connections.take(call.connection)
     call.connection.deadline = deadlines.at(SECOND, None)
-    call.connection.makeConnection(Wire())
-    return pool, call.connection
+    call.connection.makeConnection(SocketPairTransport())
+    return host_pool, call.connection
 
 
-def test_a_text_held_back_as_the_connection_comes_up_writes_nothing(deadlines):
-    driver = Ears(goes=False)
-    pool, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
-    assert driver.ends == [(b"a", Result.MOOT)] and connection.transport.value() == b""
-    assert pool.idle[b"s-1"] == [connection] and pool.calls_in_flight == 0
+def test_a_text_withdrawn_while_connecting_is_not_written(deadlines):
+    driver = RecordingDriver(may_send=False)
+    host_pool, connection = start_call(deadlines, driver, OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
+    assert driver.outcomes == [(b"a", Result.MOOT)] and connection.transport.value() == b""
+    assert host_pool.idle[b"s-1"] == [connection] and host_pool.calls_in_flight == 0
     deadlines[1].advance(1)
     assert connection.end_reason is Ending.IDLE
 
 
-def test_a_batch_is_given_up_whole_when_the_time_of_one_text_is_over(deadlines):
-    driver = Ears()
-    pool, connection = call_out(
+def test_a_whole_batch_is_abandoned_at_the_first_deadline_of_its_texts(deadlines):
+    driver = RecordingDriver()
+    host_pool, connection = start_call(
         deadlines,
         driver,
         OutgoingText(b"a", b"", b"x", SECOND, 0),
@@ -453,80 +455,86 @@
     assert connection.transport.value().startswith(b"POST /v1/messages:batch HTTP/1.1\r\n")
     deadlines[1].advance(1)
     assert (
-        connection.end_reason is Ending.SILENT and driver.ends == []
-    )  # no text ends while its submit is out
+        connection.end_reason is Ending.SILENT and driver.outcomes == []
+    )  # no text ends while its submit is running
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_in_flight == 0
+    assert (
+        driver.outcomes == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and host_pool.calls_in_flight == 0
+    )
 
 
-def test_a_first_line_of_200_delivers_though_the_connection_breaks(deadlines):
-    driver = Ears()
-    _, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
+def test_a_status_line_of_200_delivers_although_the_connection_breaks(deadlines):
+    driver = RecordingDriver()
+    _, connection = start_call(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Le")
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.SPOILT)] and driver.over == [b"a"]
+    assert driver.outcomes == [(b"a", Result.SPOILT)] and driver.finished == [b"a"]
 
 
-def test_a_text_in_order_never_ends_while_its_call_stays_out(deadlines):
-    """The next text of its key would go out beside it."""
-    driver = Ears()
-    _, connection = call_out(
+def test_an_ordered_text_does_not_end_while_its_call_is_running(deadlines):
+    """Else the next text of its key would be sent at the same time."""
+    driver = RecordingDriver()
+    _, connection = start_call(
         deadlines,
         driver,
         OutgoingText(b"a", b"", b"x", SECOND, 0),
         OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     deadlines[1].advance(1)
-    assert connection.end_reason is Ending.SILENT and driver.ends == []
+    assert connection.end_reason is Ending.SILENT and driver.outcomes == []
 
 
 @pytest.mark.parametrize(
-    "line, over", [(b"200 OK", [b"a"]), (b"503 No", []), (b"429 No", []), (b"410 No", [])]
+    "line, finished", [(b"200 OK", [b"a"]), (b"503 No", []), (b"429 No", []), (b"410 No", [])]
 )
-def test_of_a_spoilt_answer_only_a_first_line_of_200_is_true(deadlines, line, over):
-    driver = Ears()
-    _, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
+def test_of_a_malformed_response_only_a_status_line_of_200_counts(deadlines, line, finished):
+    driver = RecordingDriver()
+    _, connection = start_call(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 " + line + b"\r\nContent-Length: 3000000000\r\n\r\nxx")
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.SPOILT)] and driver.over == over
+    assert driver.outcomes == [(b"a", Result.SPOILT)] and driver.finished == finished
 
 
 @pytest.mark.parametrize("raw, later", [(b"no more", b""), (b"", b"HTTP/1.1 200 OK\r\n\r\n"), (b"", b"")])
-def test_a_connection_with_more_than_its_answer_is_never_used_again(deadlines, raw, later):
-    driver = Ears()
-    pool, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, SECOND))
+def test_a_connection_with_extra_bytes_after_its_response_is_not_reused(deadlines, raw, later):
+    driver = RecordingDriver()
+    host_pool, connection = start_call(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, SECOND))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" + raw)
-    assert driver.ends == [(b"a", Result.DELIVERED)] and (connection in pool.idle[b"s-1"]) != bool(raw)
+    assert driver.outcomes == [(b"a", Result.DELIVERED)] and (connection in host_pool.idle[b"s-1"]) != bool(
+        raw
+    )
     connection.transport.peer.sendall(later)  # not read yet
     assert connection.is_reusable() != bool(raw or later)
 
 
 @pytest.mark.parametrize("address, kept", [("127.0.0.1:80", True), ("127.0.0.1:81", False), (None, False)])
-def test_a_connection_in_use_while_its_host_moves_is_not_kept_for_it(deadlines, address, kept):
-    pool, connection = call_out(deadlines, Ears(), OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
-    pool.set_address(b"s-1", address)
+def test_a_connection_in_use_while_its_host_moves_is_not_kept(deadlines, address, kept):
+    host_pool, connection = start_call(
+        deadlines, RecordingDriver(), OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND)
+    )
+    host_pool.set_address(b"s-1", address)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.end_reason is None) == kept
+    assert (host_pool.idle[b"s-1"] == [connection]) == kept and (connection.end_reason is None) == kept
 
 
 @pytest.mark.parametrize("valid_for", [7_200_000, 0.5, 24_000, 999_999.125])
-def test_a_client_s_command_says_any_validity_as_the_relay_reads_it(valid_for):
+def test_the_relay_reads_any_validity_as_the_client_writes_it(valid_for):
     raw = HandedText("notice", 7, valid_for, b"x").command()
     assert read_submit(raw.split(b"\r\n")[2::2][:5]).valid_for == int(valid_for * 10)
 
 
-def test_a_probe_asks_for_the_hosts_health():
+def test_a_probe_requests_the_host_s_health():
     assert write_call(Call(b"s-1", [], 0), "127.0.0.1:80", 0) == [
         b"GET /ping HTTP/1.1\r\nHost: 127.0.0.1:80\r\n\r\n"
     ]
 
 
-def test_a_told_wait_is_rounded_up_and_a_date_is_none():
+def test_retry_after_is_rounded_up_and_a_date_is_ignored():
     assert read_retry_after({b"retry-after": b"0.00001"}) == 1
     assert read_retry_after({b"retry-after": b"Tue, 01 Dec 2026 12:00:00 GMT"}) == 0
 
 
-def test_submit_names_what_it_hands_in():
+def test_a_submit_command_is_parsed():
     names = b"c=notice,t=acme,d=80.5,k=5c,dest=7,r=1"
     submission = read_submit([b"SUBMIT", b"0000", b"9b1f", names, b"\r\n\0"])
     assert (submission.id, submission.key, submission.destination, submission.valid_for) == (
@@ -541,7 +549,7 @@
         read_submit([b"SUBMIT", b"0", b"a\r\nX-Evil: 1", b"d=1,dest=7", b""])
 
 
-ROW = {
+CATALOG_ROW = {
     "name": "s-1",
     "address": "127.0.0.1:80",
     "zone": "b",
@@ -551,12 +559,12 @@
 }
 
 
-def test_the_list_is_read_in_the_modules_numbers(deadlines):
+def test_the_list_is_converted_to_the_policy_s_numbers(deadlines):
     deadlines, _ = deadlines
-    rows, told = [ROW, ROW | {"name": "s-2", "type": "unheard of"}], []
-    catalog = Catalog(None, deadlines, None, NAMES, 9, 9, lambda *news: told.append(news))
+    rows, updates = [CATALOG_ROW, CATALOG_ROW | {"name": "s-2", "type": "unheard of"}], []
+    catalog = Catalog(None, deadlines, None, CONFIGURED_NAMES, 9, 9, lambda *update: updates.append(update))
     catalog.load_known_list({"index": 4, "snapshot": True, "endpoints": rows})
-    ((entries, whole),) = told
+    ((entries, whole),) = updates
     assert (catalog.index, whole, len(entries), str(catalog.host_address(b"s-1"))) == (
         4,
         True,
@@ -573,18 +581,18 @@
         [1],
         {"index": 1},
         {"index": 1, "snapshot": True, "endpoints": [{"name": "x"}]},
-        {"index": 1, "snapshot": True, "endpoints": [ROW, ROW | {"group": "x"}]},
+        {"index": 1, "snapshot": True, "endpoints": [CATALOG_ROW, CATALOG_ROW | {"group": "x"}]},
     ],
 )
-def test_a_list_that_cannot_be_read_is_named_so_and_nothing_of_it_is_held(raw, deadlines):
+def test_an_unreadable_list_is_rejected_as_a_whole(raw, deadlines):
     deadlines, _ = deadlines
-    catalog = Catalog(None, deadlines, None, NAMES, 9, 9, lambda entries, whole: None)
+    catalog = Catalog(None, deadlines, None, CONFIGURED_NAMES, 9, 9, lambda entries, whole: None)
     with pytest.raises(BadList):
         catalog.load_known_list(raw)
     assert catalog.index is None and not catalog.directory.rows(3) and not catalog.has_list
 
 
-def test_settings_get_defaults_and_unknown_effects_never_run_twice():
+def test_settings_get_defaults_and_unknown_effects_are_once_only():
     terms = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
     assert terms.products[0].effect is Effect.ONCE_ONLY and (terms.slots, terms.max_texts) == (16, 500)
 
@@ -607,14 +615,14 @@
         ),
     ],
 )
-def test_a_wrong_value_is_named_by_its_key(raw, key):
-    assert read_platform(GOOD)[0].limits.slots == 8
-    found, faults, _ = read_platform(GOOD | raw)
+def test_an_invalid_value_is_reported_by_its_key(raw, key):
+    assert read_platform(VALID_CONFIG)[0].limits.slots == 8
+    found, faults, _ = read_platform(VALID_CONFIG | raw)
     assert found is None and [each.path for each in faults] == [key]
 
 
 @pytest.mark.parametrize(
-    "known, asked",
+    "known_list, request_line",
     [
         (
             {"index": 41, "snapshot": True, "endpoints": []},
@@ -623,8 +631,8 @@
         ({}, b"GET /catalog/members HTTP/1.1"),
     ],
 )
-def test_a_start_is_one_call_for_the_list_where_the_one_held_has_a_version(known, asked):
-    catalog = Catalog(None, None, None, NAMES, 9, 9, lambda entries, whole: None)
-    catalog.load_known_list(known)
-    (watch := catalog.buildProtocol(None)).makeConnection(Wire())
-    assert watch.transport.value().split(b"\r\n")[0] == asked
+def test_a_start_sends_one_list_request_with_the_known_index(known_list, request_line):
+    catalog = Catalog(None, None, None, CONFIGURED_NAMES, 9, 9, lambda entries, whole: None)
+    catalog.load_known_list(known_list)
+    (watch := catalog.buildProtocol(None)).makeConnection(SocketPairTransport())
+    assert watch.transport.value().split(b"\r\n")[0] == request_line
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -6,7 +6,7 @@
 import pytest
 from conftest import HOST, REPORT, Bench, S
 from test_crossings import Running
-from test_parts import GOOD, Wire
+from test_parts import VALID_CONFIG, SocketPairTransport
 
 from limelatch.configuration import plan_of
 from limelatch.configuration.platform import read_platform
@@ -40,7 +40,7 @@
 
     def _up(self, factory, port):
         line = factory.buildProtocol(None)
-        line.makeConnection(Wire())  # the end that is asked of it is told later
+        line.makeConnection(SocketPairTransport())  # the end that is asked of it is told later
         if port == 8000:
             self.lines.append(line)
 
@@ -53,7 +53,7 @@
 @pytest.fixture
 def driver(loop, tmp_path):
     """A relay that serves, with a host that takes one text a call and one that takes five."""
-    driver = Driver(plan_of(read_platform(GOOD | {"state": str(tmp_path)})[0]), loop, loop)
+    driver = Driver(plan_of(read_platform(VALID_CONFIG | {"state": str(tmp_path)})[0]), loop, loop)
     driver.ready = True
     rows = [
         {
@@ -75,7 +75,7 @@
 
 def hand_in(driver, *texts, dest=1, product="report", d=1800):
     for text in texts:
-        (client := driver.listener.buildProtocol(None)).makeConnection(Wire())
+        (client := driver.listener.buildProtocol(None)).makeConnection(SocketPairTransport())
         client.dataReceived(f"SUBMIT 0 {text} c={product},d={d},dest={dest} x\r\n".encode())
 
 
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -13,7 +13,7 @@
 import pytest
 from conftest import WAIT, Agent, Client, Program
 from test_crossings import Doorstep, Running, until
-from test_parts import GOOD, Wire
+from test_parts import VALID_CONFIG, SocketPairTransport
 
 from limelatch.configuration import plan_of
 from limelatch.configuration.plan import OWN, SOCKETS_LEAST, Shares
@@ -39,7 +39,7 @@
     listener, made = Listener(Doorstep(Running()), 10, 10_000, 14), []
     for _ in range(100):
         if (client := listener.buildProtocol(Peer)) is not None:
-            client.makeConnection(Wire())
+            client.makeConnection(SocketPairTransport())
             made.append(client)
     assert len(made) == listener.open == 14 and sum(each.end_reason is None for each in made) == 9
     for each in made:
@@ -52,7 +52,7 @@
     door, made = Door(Doorstep(Running()), None, 2), []
     for _ in range(100):
         if (caller := door.buildProtocol(Peer)) is not None:
-            caller.makeConnection(Wire())
+            caller.makeConnection(SocketPairTransport())
             made.append(caller)
     assert len(made) == door.open == 4
     for each in made[:2]:
@@ -251,5 +251,5 @@
 
 
 def test_shares_are_those_of_the_configuration(tmp_path):
-    raw = GOOD | {"state": str(tmp_path), "limits": {"sockets": 1024}}
+    raw = VALID_CONFIG | {"state": str(tmp_path), "limits": {"sockets": 1024}}
     assert plan_of(read_platform(raw)[0]).shares == Shares.of(1024) == Shares(256, 64, 16, 512, 652)
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import SETTINGS
 from test_crossings import Running, page
-from test_parts import GOOD, Wire
+from test_parts import VALID_CONFIG, SocketPairTransport
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError, UserError
 from twisted.python.failure import Failure
 
@@ -47,7 +47,7 @@
         self.state, self.protocol = "connected", self.factory.buildProtocol(None)
         call = self
 
-        class Line(Wire):
+        class Line(SocketPairTransport):
             def write(self, data):
                 super().write(data)
                 call.agent.callLater(0, call.heard)
@@ -218,7 +218,7 @@
     def make(agent, seed=7, **settings):
         folder = tmp_path / str(len(made))
         folder.mkdir()
-        raw = GOOD | {
+        raw = VALID_CONFIG | {
             "state": str(folder),
             "seed": f"{seed:x}",
             "known": page(41, True),
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import SETTINGS, WAIT, S
 from test_crossings import Running, until
-from test_parts import GOOD
+from test_parts import VALID_CONFIG
 
 from limelatch.configuration import plan_of
 from limelatch.configuration.platform import read_platform
@@ -52,7 +52,7 @@
 
     def start(self, zones=("a",)):
         """The process starts, and has the list at once: a host a zone."""
-        plan = plan_of(read_platform(GOOD | {"settings": SHORT, "state": str(self.folder)})[0])
+        plan = plan_of(read_platform(VALID_CONFIG | {"settings": SHORT, "state": str(self.folder)})[0])
         self.driver = driver = Driver(plan, self.clock, self.clock)
         self.out, self.ended = [], {}
         driver.pool.send = self.send
