--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""Idle clients that come again as soon as they are closed: room for a new one costs little, texts go on."""
+"""Idle clients that reconnect as soon as they are closed: making room is cheap, texts are still served."""
 
 import os
 import resource
@@ -22,13 +22,13 @@
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.ending import Ending
 
-TABLE = 300
+TABLE = 300  # connections in the table
 ASKED = b"SUBMIT 0 t1 c=report,d=9000,dest=1 x\r\n"
 
 
 @pytest.fixture
-def looks(monkeypatch):
-    """The transports that were asked whether bytes wait, each a system call."""
+def unread_checks(monkeypatch):
+    """The transports that were checked for unread bytes, each a system call."""
     asked, has_unread_bytes = [], clients.has_unread_bytes
     monkeypatch.setattr(
         clients, "has_unread_bytes", lambda transport: asked.append(transport) or has_unread_bytes(transport)
@@ -36,8 +36,8 @@
     return asked
 
 
-class Gate:
-    """A port; whether it is read."""
+class FakePort:
+    """A port that records whether it is accepting."""
 
     reading = True
 
@@ -58,11 +58,11 @@
     plan = SimpleNamespace(client_idle=20_000, client_command=20_000)
     driver = SimpleNamespace(clock=clock, deadlines=Deadlines(clock, clock), plan=plan)
     listener = Listener(driver, 40, 10_000)
-    listener.port = Gate()
+    listener.port = FakePort()
     return listener
 
 
-def come(listener, count=1):
+def connect_clients(listener, count=1):
     made = []
     for _ in range(count):
         client = listener.buildProtocol(None)
@@ -71,84 +71,85 @@
     return made
 
 
-def test_room_for_a_new_client_asks_few_of_the_others_whether_they_wait(listener, looks):
-    """Each once asked the whole table: 1,200 idle ones were 363,000 system calls, and no text went on."""
-    come(listener, 40)
-    looks.clear()
-    come(listener, 400)
-    assert len(looks) <= 400
+def test_making_room_for_a_client_checks_few_others_for_unread_requests(listener, unread_checks):
+    """Each new client had the whole table checked: 1,200 idle clients cost 363,000 system calls, and no text
+    was served."""
+    connect_clients(listener, 40)
+    unread_checks.clear()
+    connect_clients(listener, 400)
+    assert len(unread_checks) <= 400
 
 
-def test_the_one_that_was_heard_of_longest_ago_makes_room(listener, clock):
-    made = come(listener, 39)
+def test_the_longest_idle_connection_makes_room(listener, clock):
+    made = connect_clients(listener, 39)
     clock.advance(0.1)
-    made[0].dataReceived(b"PING")  # begun
-    come(listener)
+    made[0].dataReceived(b"PING")  # an incomplete command
+    connect_clients(listener)
     assert [each for each in made if each.end_reason is Ending.CROWDED] == [made[1]]
 
 
-def test_no_connection_with_a_request_unread_makes_room_while_another_rests(listener, looks):
-    made = come(listener, 39)
+def test_no_connection_with_an_unread_request_is_closed_while_another_is_idle(listener, unread_checks):
+    made = connect_clients(listener, 39)
     for each in made[:5]:
         each.transport.peer.send(ASKED)
-    come(listener, 30)
+    connect_clients(listener, 30)
     assert not any(each.end_reason for each in made[:5])
     assert sum(each.end_reason is Ending.CROWDED for each in made) == 30
-    assert len(looks) <= 30 + 5
+    assert len(unread_checks) <= 30 + 5
 
 
-def test_where_all_have_a_request_unread_the_port_waits_until_they_are_answered(listener, clock, looks):
-    """The longest silent was once closed under its request."""
-    made = come(listener, 39)
+def test_accepting_is_paused_while_all_connections_have_unread_requests(listener, clock, unread_checks):
+    """The longest idle connection was closed although it had an unread request."""
+    made = connect_clients(listener, 39)
     for each in made:
         each.transport.peer.send(ASKED)
-    made += come(listener)
+    made += connect_clients(listener)
     assert (
         not listener.port.reading
         and not any(each.end_reason for each in made)
-        and len(looks) == MAX_UNREAD_CHECKS
+        and len(unread_checks) == MAX_UNREAD_CHECKS
     )
     made[-1].transport.peer.send(ASKED)
     clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
     assert not listener.port.reading and not any(each.end_reason for each in made)
-    made[7].transport.socket.recv(99)  # read and answered
+    made[7].transport.socket.recv(99)  # its request is read
     clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
     assert listener.port.reading and [each for each in made if each.end_reason] == [made[7]]
 
 
-def test_a_client_whose_text_awaits_its_answer_gives_way_for_no_memory(listener):
-    """A refusal would pass for the answer, and the client would hand in again what may be taken on."""
+def test_a_client_whose_text_awaits_its_answer_is_not_closed_for_memory(listener):
+    """The client would take the refusal for the answer, and submit again a text that may be accepted."""
     handed = []
     listener.driver.handed_in = lambda text, client: handed.append(client)
-    waiting, partial = come(listener, 2)
+    waiting, partial = connect_clients(listener, 2)
     waiting.dataReceived(ASKED + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
     partial.dataReceived(b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 6000)
     assert handed == [waiting] and waiting.end_reason is None and partial.end_reason is Ending.CROWDED
     assert b"-BUSY" not in waiting.transport.value() and b"-BUSY" in partial.transport.value()
 
 
-def test_a_client_that_has_left_is_kept_by_nothing(listener, clock):
-    """What closes a client that reads no more once held each for half a second after it had gone."""
-    for each in come(listener, 60):
+def test_nothing_refers_to_a_client_that_has_left(listener, clock):
+    """The timer that aborts a client which reads no more kept each for half a second after it had left."""
+    for each in connect_clients(listener, 60):
         each.connectionLost(None)
-    clock.advance(0)  # the port is told what it may take in the next turn
+    clock.advance(0)  # the port's limit of accepts is updated
     assert not len(listener.connections) and not listener._by_last_activity
     assert not any(deadline.call for _, _, deadline in listener.driver.deadlines._heap)
 
 
-BACKED_OFF = 60  # seconds: what the kernel's queue had no room for is sent again after 1, 3, 7, 15 s
+BACKOFF_TIMEOUT = 60  # seconds; the kernel repeats a SYN that found the queue full after 1, 3, 7 and 15 s
 
 
 class Crowd:
-    """Idle connections, more than the table holds; one that the relay closes comes again at once."""
+    """Idle connections, more than the table has room for; one that the relay closes reconnects at once."""
 
     def __init__(self, program, count):
         self.address, self.descriptors = (program.address, program.port), f"/proc/{program.process.pid}/fd"
-        self.over, self.selector = threading.Event(), selectors.DefaultSelector()
+        self.stopped, self.selector = threading.Event(), selectors.DefaultSelector()
         self.peak = self.opened = 0
         for _ in range(count):
             self._open()
-        self.threads = [threading.Thread(target=each) for each in (self._stay, self._count)]
+        self.threads = [threading.Thread(target=each) for each in (self._reconnect_closed, self._track_peak)]
         for each in self.threads:
             each.start()
 
@@ -159,8 +160,8 @@
         self.opened += 1
         self.selector.register(one, selectors.EVENT_READ)
 
-    def _stay(self):
-        while not self.over.is_set():
+    def _reconnect_closed(self):
+        while not self.stopped.is_set():
             for key, _ in self.selector.select(0.05):
                 try:
                     key.fileobj.recv(9)
@@ -170,12 +171,12 @@
                 key.fileobj.close()
                 self._open()
 
-    def _count(self):
-        while not self.over.is_set():
+    def _track_peak(self):
+        while not self.stopped.is_set():
             self.peak = max(self.peak, len(os.listdir(self.descriptors)))
 
     def end(self):
-        self.over.set()
+        self.stopped.set()
         for each in self.threads:
             each.join(WAIT)
         for key in list(self.selector.get_map().values()):
@@ -185,30 +186,30 @@
 
 @pytest.fixture
 def descriptors():
-    """As many as a crowd needs on the clients' side."""
+    """Raises the limit of descriptors for the clients' side."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     yield
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_under_a_crowd_that_comes_again_texts_are_answered_and_few_connections_come_in_a_turn(
+def test_with_many_reconnecting_clients_texts_are_answered_and_accepts_in_a_turn_are_few(
     descriptors, plan, agent, party
 ):
-    """A turn of the reactor once took 20 connections more each time, each closed only after it."""
+    """Each reactor turn accepted 20 connections more than the one before, and closed them only afterwards."""
     host, program = party(), plan(limits={"disk_mb": 3, "sockets": 2 * TABLE})
     agent.list(host.address)
     program.start().socket.close()
     crowd = Crowd(program, 3 * TABLE)
     try:
-        until(lambda: crowd.opened > 6 * TABLE, BACKED_OFF)
+        until(lambda: crowd.opened > 6 * TABLE, BACKOFF_TIMEOUT)
         texts = [f"t{number}" for number in range(20)]
         for text in texts:
             client = program.client()
             with client.socket:
                 assert client.submit(text, d=20_000) == "+OK"
         assert sorted(host.next().headers["X-Txn"] for _ in texts) == sorted(texts)
-        until(lambda: crowd.opened > 12 * TABLE, BACKED_OFF)
+        until(lambda: crowd.opened > 12 * TABLE, BACKOFF_TIMEOUT)
         assert crowd.peak < TABLE + 3 * MAX_ACCEPTS_PER_TURN
     finally:
         crowd.end()
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients may fill the descriptors: catalog, hosts, platform and ledger always have theirs."""
+"""Idle clients may use up their descriptors; catalog, hosts, platform and ledger always keep their own."""
 
 import os
 import queue
@@ -21,11 +21,11 @@
 from limelatch.relay.clients import Listener
 from limelatch.relay.door import Door
 
-TOLD_WITHIN = 6.0  # seconds after which a change counts as told
-TRIES = 8  # at discovery that are refused while clients crowd the relay
+MAX_CHANGE_DELAY = 6.0  # seconds within which a change of the list has to be known
+REFUSED_CONNECTIONS = 8  # refused connections to discovery while idle clients fill the relay
 
 
-def test_the_shares_of_all_parties_fit_into_the_descriptors():
+def test_the_shares_of_all_parties_fit_the_descriptor_limit():
     for sockets in (*range(SOCKETS_LEAST, 2000), 4096, 1 << 20):
         shares = Shares.of(sockets)
         taken = shares.clients_most + shares.hosts + shares.closing + 2 * shares.operators + OWN
@@ -34,8 +34,8 @@
         assert sockets < 400 or shares.hosts == sockets // 4
 
 
-def test_a_burst_in_one_turn_takes_no_more_descriptors_than_clients_may_have():
-    """Those that make room are closed only once the reactor has gone round."""
+def test_a_burst_in_one_turn_stays_within_the_clients_descriptors():
+    """Connections that make room are closed only after the reactor turn."""
     listener, made = Listener(Doorstep(Running()), 10, 10_000, 14), []
     for _ in range(100):
         if (client := listener.buildProtocol(Peer)) is not None:
@@ -48,7 +48,7 @@
     assert listener.open == 9 and listener.buildProtocol(Peer) is not None
 
 
-def test_a_burst_at_the_operators_door_takes_no_more_either():
+def test_a_burst_at_the_operators_port_stays_within_its_descriptors():
     door, made = Door(Doorstep(Running()), None, 2), []
     for _ in range(100):
         if (caller := door.buildProtocol(Peer)) is not None:
@@ -64,11 +64,11 @@
     host = "127.0.0.1"
 
 
-class Tight(Program):
-    """A relay's process that may hold so many descriptors."""
+class LimitedProgram(Program):
+    """A relay's process with a limit of open descriptors (`ulimit -n`)."""
 
-    def __init__(self, folder, agent, most, sockets):
-        gone = {
+    def __init__(self, folder, agent, descriptor_limit, sockets):
+        leaving_host = {
             "name": "s-0",
             "address": "127.0.0.1:1",
             "zone": "a",
@@ -77,19 +77,19 @@
             "status": "leaving",
             "weight": 50.0,
             "since_ms": 0,
-        }  # texts are taken on, and none can go
+        }  # texts are accepted, but none can be sent
         super().__init__(
             folder,
             agent,
             limits={"disk_mb": 3, "sockets": sockets},
             reconnect_ms=250,
-            known={"index": 1, "snapshot": True, "endpoints": [gone]},
+            known={"index": 1, "snapshot": True, "endpoints": [leaving_host]},
         )
-        self.most, self.lines = most, []
+        self.descriptor_limit, self.lines = descriptor_limit, []
 
     def launch(self):
         self.process = subprocess.Popen(
-            ["sh", "-c", f"ulimit -n {self.most} && exec {sys.executable} -m limelatch.relay"],
+            ["sh", "-c", f"ulimit -n {self.descriptor_limit} && exec {sys.executable} -m limelatch.relay"],
             stderr=subprocess.PIPE,
             text=True,
             env=os.environ | {"RELAY_CONFIG": str(self.file)},
@@ -105,16 +105,16 @@
 
 
 class Crowd:
-    """More idle connections than there are descriptors: half of them ask PING, and say nothing more. One that
-    the relay closes comes again at once."""
+    """More idle connections than there are descriptors: half of them send PING and nothing more. One that the
+    relay closes reconnects at once."""
 
     def __init__(self, program, count):
         self.address, self.descriptors = (program.address, program.port), f"/proc/{program.process.pid}/fd"
-        self.over, self.selector = threading.Event(), selectors.DefaultSelector()
+        self.stopped, self.selector = threading.Event(), selectors.DefaultSelector()
         self.peak = self.opened = 0
         for _ in range(count):
             self._open()
-        self.threads = [threading.Thread(target=each) for each in (self._stay, self._count)]
+        self.threads = [threading.Thread(target=each) for each in (self._reconnect_closed, self._track_peak)]
         for each in self.threads:
             each.start()
 
@@ -126,8 +126,8 @@
         asks = selectors.EVENT_WRITE if self.opened % 2 else 0
         self.selector.register(one, selectors.EVENT_READ | asks)
 
-    def _stay(self):
-        while not self.over.is_set():
+    def _reconnect_closed(self):
+        while not self.stopped.is_set():
             for key, events in self.selector.select(0.1):
                 try:
                     if events & selectors.EVENT_WRITE:
@@ -140,12 +140,12 @@
                     key.fileobj.close()
                     self._open()
 
-    def _count(self):
-        while not self.over.is_set():
+    def _track_peak(self):
+        while not self.stopped.is_set():
             self.peak = max(self.peak, len(os.listdir(self.descriptors)))
 
     def end(self):
-        self.over.set()
+        self.stopped.set()
         for each in self.threads:
             each.join(WAIT)
         for key in list(self.selector.get_map().values()):
@@ -153,8 +153,8 @@
         self.selector.close()
 
 
-class Place:
-    """Discovery's address; nobody listens there yet."""
+class DiscoveryAddress:
+    """Discovery's address, where nothing listens yet."""
 
     def __init__(self):
         self.held = socket.socket()
@@ -162,39 +162,39 @@
         self.port = self.held.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
 
-    def back(self, host):
-        """Discovery with this host on its list."""
+    def start(self, host):
+        """Start discovery at the address, with this host on its list."""
         self.held.close()
         port = self.port
 
-        class Back(Agent):
+        class DiscoveryAgent(Agent):
             def server_bind(self):
                 self.server_address = ("127.0.0.1", port)
                 self.list(host)
                 super().server_bind()
 
-        return Back()
+        return DiscoveryAgent()
 
 
 @pytest.fixture
-def tight(tmp_path):
-    """Makes a relay whose discovery refuses; what a test has begun is ended with it."""
+def limited_relay(tmp_path):
+    """Makes relays whose discovery refuses connections; they are stopped with the test."""
     made = []
 
-    def make(most, sockets):
-        place = Place()
-        program = Tight(tmp_path, place, most, sockets)
+    def make(descriptor_limit, sockets):
+        discovery = DiscoveryAddress()
+        program = LimitedProgram(tmp_path, discovery, descriptor_limit, sockets)
         program.start()
-        made.extend([program.kill, (crowd := Crowd(program, most + 30)).end])
-        return program, place, crowd
+        made.extend([program.kill, (crowd := Crowd(program, descriptor_limit + 30)).end])
+        return program, discovery, crowd
 
     yield make
     for end in reversed(made):
         end()
 
 
-def hand_in(program, text):
-    """What a new client is answered; nothing where the relay turns its connection away."""
+def submit_once(program, text):
+    """The answer to a new client's text; empty if the relay refuses its connection."""
     try:
         client = Client((program.address, program.port))
         with client.socket:
@@ -203,20 +203,23 @@
         return ""
 
 
-@pytest.mark.parametrize("most, sockets", [(64, 64), (128, 128), (100, 1024)])
-def test_with_idle_clients_at_the_limit_the_list_is_read_and_texts_are_delivered(tight, party, most, sockets):
-    """At a limit below the configured one clients once got it all; at the same one bursts did, for a turn."""
-    host, (program, place, crowd) = party(), tight(most, sockets)
-    answers = {text: hand_in(program, text) for text in map("d{}".format, range(12))}
-    for _ in range(TRIES):
+@pytest.mark.parametrize("descriptor_limit, sockets", [(64, 64), (128, 128), (100, 1024)])
+def test_with_idle_clients_at_the_limit_the_list_is_read_and_texts_are_sent(
+    limited_relay, party, descriptor_limit, sockets
+):
+    """Guards against clients that use up all descriptors: at a process limit below the configured one for good,
+    at an equal one for the length of a reactor turn."""
+    host, (program, discovery, crowd) = party(), limited_relay(descriptor_limit, sockets)
+    answers = {text: submit_once(program, text) for text in map("d{}".format, range(12))}
+    for _ in range(REFUSED_CONNECTIONS):
         program.says("event=catalog-lost why=refused")
     back_at = time.monotonic()
-    agent = place.back(host.address)
+    agent = discovery.start(host.address)
     try:
-        assert agent.asked.get(timeout=WAIT).at - back_at < TOLD_WITHIN
+        assert agent.asked.get(timeout=WAIT).at - back_at < MAX_CHANGE_DELAY
         first = host.next()
-        assert first.at - back_at < TOLD_WITHIN
-        answers |= {text: hand_in(program, text) for text in map("b{}".format, range(12))}
+        assert first.at - back_at < MAX_CHANGE_DELAY
+        answers |= {text: submit_once(program, text) for text in map("b{}".format, range(12))}
         taken = {text for text, answer in answers.items() if answer == "+OK"}
         got = {first.headers["X-Txn"]}
         until(
@@ -225,7 +228,7 @@
                 or got >= taken
             )
         )
-        assert crowd.peak < most, f"{crowd.opened} connections were opened"
+        assert crowd.peak < descriptor_limit, f"{crowd.opened} connections were opened"
         assert agent.notices.empty() and set(answers.values()) <= {"+OK", "-BUSY", ""} and len(taken) >= 20
         assert not [line for line in program.lines if "EMFILE" in line or "many open files" in line]
     finally:
@@ -240,8 +243,8 @@
         return None
 
 
-def test_a_relay_with_too_few_descriptors_says_so_and_ends(tmp_path):
-    program = Tight(tmp_path, Place(), SOCKETS_LEAST - 1, 1024)
+def test_a_relay_with_too_few_descriptors_logs_it_and_exits(tmp_path):
+    program = LimitedProgram(tmp_path, DiscoveryAddress(), SOCKETS_LEAST - 1, 1024)
     program.launch()
     try:
         assert program.process.wait(WAIT) == 2
@@ -250,6 +253,6 @@
     until(lambda: any("64 descriptors are needed" in line for line in program.lines))
 
 
-def test_shares_are_those_of_the_configuration(tmp_path):
+def test_shares_follow_the_configured_socket_limit(tmp_path):
     raw = VALID_CONFIG | {"state": str(tmp_path), "limits": {"sockets": 1024}}
     assert plan_of(read_platform(raw)[0]).shares == Shares.of(1024) == Shares(256, 64, 16, 512, 652)
