--- a/limelatch/lab/stages/terms.py
+++ b/limelatch/lab/stages/terms.py
@@ -5,7 +5,7 @@
 import zlib
 
 from limelatch import interface as li
-from limelatch.configuration.model import Falls, Known, Rates
+from limelatch.configuration.model import RevenueDecay, RepeatScope, RateQuality
 from limelatch.lab.scenario.model import PartnerKeys, Scenario
 
 
@@ -17,9 +17,9 @@
             validity_period=row.validity_period,
             revenue=row.revenue,
             late_share=row.late_share,
-            by_halves=scenario.revenue.falls is Falls.HALVES,
-            repeat_window=row.repeat_window,
-            repeats_anywhere=row.repeat_known is Known.DESTINATION,
+            by_halves=scenario.revenue.falls is RevenueDecay.HALVES,
+            retry_window=row.repeat_window,
+            retry_anywhere=row.repeat_known is RepeatScope.DESTINATION,
             in_order=row.in_order,
         )
         for row in scenario.products
@@ -32,10 +32,10 @@
     return min(group.idle_time for group in groups)
 
 
-def terms_of(scenario: Scenario, seed: int, relay: int, start: int) -> li.Terms:
+def terms_of(scenario: Scenario, seed: int, relay: int, start: int) -> li.PolicySettings:
     """What the module of one relay is told at its start; `start` counts its starts."""
     relays, rules = scenario.relays, scenario.rules
-    return li.Terms(
+    return li.PolicySettings(
         seed=zlib.crc32(f"{seed} {relay} {start}".encode()) << 16 | 1,
         relays=relays.count,
         slots=relays.slots,
@@ -46,11 +46,11 @@
         kinds=[li.HostKind(row.texts_per_call, row.routes_apart) for row in scenario.kinds]
         or [li.HostKind()],
         zone_fees=[0.0] * len(scenario.floors),
-        rates_listed=scenario.catalog.rates is not Rates.NONE,
+        rates_listed=scenario.catalog.rates is not RateQuality.NONE,
         cold_share=rules.cold_share,
         cold_time=rules.cold_time,
         fall_multiple=rules.fall_multiple,
         fall_time=rules.fall_time,
-        turn_gap=rules.key_rest,
-        conn_idle=idle_time(scenario),
+        key_cooldown=rules.key_rest,
+        connection_idle_limit=idle_time(scenario),
     )
--- a/limelatch/relay/catalog.py
+++ b/limelatch/relay/catalog.py
@@ -10,9 +10,9 @@
 
 from limelatch.configuration import Address, Names
 from limelatch.interface import HostEntry, HostId, Listing
-from limelatch.logs import HeldDown, logger, say
+from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.relay.directory import DRAINING, GONE, READY, Directory, Row
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.http import HttpClientProtocol, Response, request_head
 from limelatch.relay.list_copy import ListCopy
 from limelatch.relay.list_reader import BadList, ListReader
@@ -84,14 +84,14 @@
     def response_received(self, response: Response, body: bytes) -> None:
         object_count, self._object_count = self._object_count, 0
         if response.status != 200 or not object_count and self._reader.is_between_objects:
-            self.close(Ending.CLOSED_BY_PEER)  # the watch has ended, or there is no list
+            self.close(EndReason.CLOSED_BY_PEER)  # the watch has ended, or there is no list
         elif not self._reader.is_between_objects:
-            say(log, "list-not-read", why="the response ended within an object")
-            self.close(Ending.GARBLED)
+            log_event(log, "list-not-read", why="the response ended within an object")
+            self.close(EndReason.MALFORMED)
         elif response.keep_alive:
             self._request_list(self.catalog.index)
         else:
-            self.close(Ending.CLOSED_BY_PEER)
+            self.close(EndReason.CLOSED_BY_PEER)
 
     def body_received(self, part: bytes) -> bool:
         """Parse rows as they arrive: neither the size nor the speed of a list blocks a reactor turn."""
@@ -99,8 +99,8 @@
             try:
                 self._reader.feed(part)
             except BadList as error:
-                say(log, "list-not-read", why=error)
-                self.close(Ending.GARBLED)
+                log_event(log, "list-not-read", why=error)
+                self.close(EndReason.MALFORMED)
             self.catalog.report_rows_so_far()
         return True
 
@@ -122,7 +122,7 @@
         self.catalog.finish_object()
         self.catalog.note_activity()
 
-    def connection_ended(self, end_reason: Ending) -> None:
+    def connection_ended(self, end_reason: EndReason) -> None:
         self.catalog.watch_lost(end_reason)
 
 
@@ -159,7 +159,7 @@
         )
         self._changes: list[HostEntry] = []  # read and not reported yet
         self._row_count = self._reported_row_count = 0  # of the object being read
-        self.held_down = HeldDown(log, deadlines.clock) if deadlines is not None else None
+        self.limited_log = LimitedLog(log, deadlines.clock) if deadlines is not None else None
         self._watch: Watch | None = None
         self._deadline, self._connector = None, None
         self.last_activity_at = NEVER  # last activity, or the last attempt to connect
@@ -200,7 +200,7 @@
             if self.copy is not None:
                 self.copy.abort()
             if self._watch is not None:
-                self._watch.close(Ending.MOVED)
+                self._watch.close(EndReason.ADDRESS_CHANGED)
             elif self._connector is not None and self._connector.state == "connecting":
                 self._connector.stopConnecting()
             elif self.on_watch_lost is not None:
@@ -220,7 +220,7 @@
 
     def _silence_exceeded(self) -> None:
         if self._watch is not None:
-            self._watch.close(Ending.SILENT)
+            self._watch.close(EndReason.ANSWER_TIMEOUT)
         else:
             self._connector.stopConnecting()
 
@@ -242,12 +242,12 @@
         row = parse_row(raw)
         self._row_count += 1
         if row.kind not in self.names.kinds:
-            self.held_down("kind-unknown", host=row.name, kind=row.kind)
+            self.limited_log("kind-unknown", host=row.name, kind=row.kind)
             return
         try:
             previous = self.directory.put(row)
         except ValueError as error:
-            self.held_down("row-not-read", host=row.name[:64], why=error)
+            self.limited_log("row-not-read", host=row.name[:64], why=error)
             return
         has_moved = previous is not None and previous.destination != row.destination
         if has_moved and self.is_wanted(previous.destination) and previous.kind in self.names.kinds:
@@ -306,17 +306,17 @@
         return self._watch
 
     def clientConnectionFailed(self, connector, reason) -> None:
-        self.watch_lost(Ending.REFUSED)
+        self.watch_lost(EndReason.REFUSED)
 
-    def watch_lost(self, end_reason: Ending) -> None:
+    def watch_lost(self, end_reason: EndReason) -> None:
         """The watch has ended: reconnect after a wait, or let `on_watch_lost` decide when."""
         self._watch = None
         if self._deadline is not None:
             self._deadline.cancel()
         if not self.reactor.running:
             return  # the relay is stopping
-        say(log, "catalog-lost", why=end_reason.value, index=self.index)
+        log_event(log, "catalog-lost", why=end_reason.value, index=self.index)
         if self.on_watch_lost is not None:
             self.on_watch_lost()
         else:
-            self.deadlines.after(0 if end_reason is Ending.MOVED else self.reconnect_wait, self.connect)
+            self.deadlines.after(0 if end_reason is EndReason.ADDRESS_CHANGED else self.reconnect_wait, self.connect)
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -13,8 +13,8 @@
 from zope.interface import implementer
 
 from limelatch.interface import MS, SECOND
-from limelatch.logs import HeldDown, logger, say
-from limelatch.relay.ending import Ending
+from limelatch.logs import LimitedLog, logger, log_event
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.line_receiver import BufferedLineReceiver, has_unread_bytes
 from limelatch.relay.slots import Slots
 
@@ -118,7 +118,7 @@
         self.listener.count_open(1)
         self.slot = self.listener.connections.take(self)
         if self.slot is None:
-            self.end(Ending.CROWDED)
+            self.end(EndReason.NO_SLOT)
         else:
             self.listener.note_activity(self)
             self.deadline = self.listener.driver.deadlines.after(MAX_CHECK_INTERVAL, self._check_idle)
@@ -129,10 +129,10 @@
         """When this connection is closed as idle. The first command, and one begun, have their own limit."""
         plan = self.listener.driver.plan
         if self.has_sent_command and self.between_requests():
-            return self.last_received_at + plan.client_idle // (
+            return self.last_received_at + plan.client_idle_timeout // (
                 CROWDED_IDLE_DIVISOR if self.listener.is_crowded else 1
             )
-        return self.command_started_at + plan.client_command
+        return self.command_started_at + plan.client_command_timeout
 
     def _check_idle(self) -> None:
         """Guards against connections that send nothing, or half a command, and keep a descriptor for good."""
@@ -143,13 +143,13 @@
         if now >= due and not self.awaiting_answer and not has_input:
             if not self.between_requests():
                 self.reply("-ERR the command did not come whole in its time")
-            self.end(Ending.SILENT)
+            self.end(EndReason.ANSWER_TIMEOUT)
         else:
             self.deadline = self.listener.driver.deadlines.at(
                 min(max(due, now + SECOND // 10), now + MAX_CHECK_INTERVAL), self._check_idle
             )
 
-    def end(self, end_reason: Ending) -> None:
+    def end(self, end_reason: EndReason) -> None:
         """Close the connection after what was written; abort it if that takes longer than LINGER_TIMEOUT."""
         if self.end_reason is not None:
             return
@@ -163,7 +163,7 @@
             LINGER_TIMEOUT, self.transport.abortConnection
         )
 
-    def _close_lingering(self, end_reason: Ending) -> None:
+    def _close_lingering(self, end_reason: EndReason) -> None:
         """Close for writing, and discard further input until the client closes as well.
 
         Guards against a close with unread input: it resets the connection, and the last answer may be lost
@@ -238,7 +238,7 @@
 
     def _protocol_error(self, why: str) -> None:
         self.reply(f"-ERR Protocol error: {why}")
-        self.end(Ending.GARBLED)
+        self.end(EndReason.MALFORMED)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.bytes_to_skip:
@@ -270,7 +270,7 @@
             if name == b"SUBMIT":
                 submission = read_submit(arguments)
                 self.awaiting_answer = True
-                self.listener.driver.handed_in(submission, self)
+                self.listener.driver.submission_received(submission, self)
             elif name == b"PING":
                 self.reply(
                     "-ERR stopping"
@@ -281,15 +281,15 @@
                 )
             elif name == b"QUIT":
                 self.reply("+OK")
-                self.end(Ending.CLOSED_BY_PEER)
+                self.end(EndReason.CLOSED_BY_PEER)
             else:
                 raise BadCommand(f"unknown command {name[:20].decode(errors='replace')!r}")
         except BadCommand as error:
             self.awaiting_answer, self.bad_command_count = False, self.bad_command_count + 1
-            self.listener.held_down("command-bad", why=error, peer=self.transport.getPeer().host)
+            self.listener.limited_log("command-bad", why=error, peer=self.transport.getPeer().host)
             self.reply(f"-ERR {error}")
             if self.bad_command_count >= MAX_BAD_COMMANDS:
-                self.end(Ending.GARBLED)
+                self.end(EndReason.MALFORMED)
 
     def reply(self, line: str) -> None:
         """Write one line to the client."""
@@ -301,7 +301,7 @@
         self.reply(line)
         self.pump()
         if (self.listener.stopping or self.listener.closing) and self.is_idle():
-            self.end(Ending.STOPPING)
+            self.end(EndReason.STOPPING)
         elif self.input_closed:
             self.readConnectionLost()
 
@@ -311,16 +311,16 @@
         if self.is_lingering:
             self.transport.loseConnection()
         elif not self.awaiting_answer:
-            self.end(Ending.CLOSED_BY_PEER)
+            self.end(EndReason.CLOSED_BY_PEER)
 
     def writeConnectionLost(self) -> None:
-        self.end(Ending.CLOSED_BY_PEER)
+        self.end(EndReason.CLOSED_BY_PEER)
 
     def connectionLost(self, reason) -> None:
         self.listener.count_open(-1)
-        self.end_reason = self.end_reason or Ending.CLOSED_BY_PEER
-        if self.end_reason in (Ending.GARBLED, Ending.CROWDED, Ending.SILENT):
-            self.listener.held_down(
+        self.end_reason = self.end_reason or EndReason.CLOSED_BY_PEER
+        if self.end_reason in (EndReason.MALFORMED, EndReason.NO_SLOT, EndReason.ANSWER_TIMEOUT):
+            self.listener.limited_log(
                 "client-ended", why=self.end_reason.value, peer=self.transport.getPeer().host
             )
         if self.deadline is not None:
@@ -331,7 +331,7 @@
             self.listener.remove(self)
         self.listener.resume_accepting()
         if self.awaiting_answer:
-            self.listener.driver.client_gone(self)
+            self.listener.driver.client_disconnected(self)
 
 
 class Listener(ServerFactory):
@@ -354,7 +354,7 @@
         self.stopping, self.port, self._accepting_paused = False, None, False
         self.paused = self.closing = False  # paused: PING is refused; closing: idle connections are closed
         self._grace = self._room_check = None
-        self.buffered_bytes, self.held_down = 0, HeldDown(log, driver.clock)
+        self.buffered_bytes, self.limited_log = 0, LimitedLog(log, driver.clock)
 
     def buildProtocol(self, address) -> Client | None:
         """None closes the connection at once, unread.
@@ -362,7 +362,7 @@
         Guards against a burst in one turn of the reactor: connections that make room are closed only after
         the turn, and the burst would use up the descriptors of all other parties meanwhile."""
         if self.open >= self.max_open:
-            self.held_down("client-ended", why=Ending.CROWDED.value, peer=address.host)
+            self.limited_log("client-ended", why=EndReason.NO_SLOT.value, peer=address.host)
             return None
         return Client(self)
 
@@ -426,7 +426,7 @@
             largest = max(partial, key=lambda each: each.buffered_bytes)
             self.buffered_bytes, largest.buffered_bytes = self.buffered_bytes - largest.buffered_bytes, 0
             largest.reply("-BUSY")
-            largest.end(Ending.CROWDED)
+            largest.end(EndReason.NO_SLOT)
 
     @property
     def is_crowded(self) -> bool:
@@ -449,7 +449,7 @@
         """The table is full: close the longest idle connection; pause accepting if none is idle."""
         idle = self._longest_idle(newest)
         if idle is not None:
-            idle.end(Ending.CROWDED)
+            idle.end(EndReason.NO_SLOT)
             self.remove(idle)
             self.resume_accepting()
         elif self.port is not None:
@@ -463,7 +463,7 @@
         """Change the limits. Idle connections beyond them are closed now, the others once they are idle."""
         self.connections.size, self.max_open = max_connections, max_open
         while len(self.connections) > max_connections and (idle := self._longest_idle(None)) is not None:
-            idle.end(Ending.CROWDED)
+            idle.end(EndReason.NO_SLOT)
             self.remove(idle)
         if self.connections.full:
             self.make_room()
@@ -543,13 +543,13 @@
     def _close_idle(self) -> None:
         for client in self.connections:
             if client.is_idle():
-                client.end(Ending.STOPPING)
+                client.end(EndReason.STOPPING)
 
     def pause(self) -> None:
         """Start a drain: PING is refused at once; after PAUSE_GRACE idle connections are closed."""
         if not self.paused:
             self.paused = True
-            say(log, "paused", owed=len(self.driver.owed))
+            log_event(log, "paused", owed=len(self.driver.accepted))
             self._grace = self.driver.deadlines.after(PAUSE_GRACE, self._start_closing)
 
     def _start_closing(self) -> None:
@@ -560,7 +560,7 @@
         """End a drain."""
         if self.paused:
             self.paused = self.closing = False
-            say(log, "resumed", owed=len(self.driver.owed))
+            log_event(log, "resumed", owed=len(self.driver.accepted))
             if self._grace is not None:
                 self._grace.cancel()
                 self._grace = None
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -14,16 +14,16 @@
 
 from limelatch.configuration import Address
 from limelatch.interface import MS, SECOND, HostId, Result
-from limelatch.logs import HeldDown, logger, say
+from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadline, Deadlines
-from limelatch.relay.ending import (
-    OVER_STATE,
-    OVER_STATUS,
-    RESULT_OF_ENDING,
-    RESULT_OF_STATE,
-    RESULT_OF_STATUS,
-    Ending,
+from limelatch.relay.end_reason import (
+    FINISHED_STATES,
+    FINISHED_STATUSES,
+    RESULT_BY_END_REASON,
+    RESULT_BY_STATE,
+    RESULT_BY_STATUS,
+    EndReason,
 )
 from limelatch.relay.http import HttpClientProtocol, Response, request_head
 from limelatch.relay.line_receiver import has_unread_bytes
@@ -100,19 +100,19 @@
     if call.batched and response.status == 200:
         states = {row["id"].encode(): row["state"] for row in json.loads(body)}
         return [
-            Outcome(RESULT_OF_STATE[states[each.text]], states[each.text] in OVER_STATE, wait, report)
+            Outcome(RESULT_BY_STATE[states[each.text]], states[each.text] in FINISHED_STATES, wait, report)
             for each in call.texts
         ]
-    result = RESULT_OF_STATUS.get(response.status, Result.ERROR)
+    result = RESULT_BY_STATUS.get(response.status, Result.ERROR)
     if call.batched and response.status in (410, 504):  # these statuses describe a single text
         result = Result.ERROR
     if response.status == 503 and response.headers.get(b"x-no-slot") == b"1":
-        result = Result.MOOT
+        result = Result.NOT_SENT
     elif response.status == 503 and not (call.idle_time or response.keep_alive or report or wait):
         result = Result.CONNECT  # a new connection, refused and closed: the host's table is full
     if call.batched and response.status == 400:
-        result = Result.MOOT  # the host did not read the batch
-    finished = response.status in OVER_STATUS and result is not Result.ERROR
+        result = Result.NOT_SENT  # the host did not read the batch
+    finished = response.status in FINISHED_STATUSES and result is not Result.ERROR
     return [Outcome(result, finished, wait, report) for _ in call.texts]
 
 
@@ -182,12 +182,12 @@
     def response_received(self, response: Response, body: bytes) -> None:
         self.pool.response_received(self, response, body)
 
-    def connection_ended(self, end_reason: Ending) -> None:
-        if end_reason is Ending.BROKEN and not self.outbound_writer.empty:
-            end_reason = self.end_reason = Ending.CUT_SHORT
+    def connection_ended(self, end_reason: EndReason) -> None:
+        if end_reason is EndReason.CONNECTION_LOST and not self.outbound_writer.empty:
+            end_reason = self.end_reason = EndReason.REQUEST_INCOMPLETE
         self.pool.connection_lost(self, end_reason)
 
-    def abandon(self, end_reason: Ending) -> None:
+    def abandon(self, end_reason: EndReason) -> None:
         """Close the connection, or stop the attempt to establish it."""
         if self.is_connected:
             self.close(end_reason)
@@ -210,7 +210,7 @@
 
     def clientConnectionFailed(self, connector, reason) -> None:
         connection = self.connection
-        connection.end_reason = connection.end_reason or Ending.REFUSED
+        connection.end_reason = connection.end_reason or EndReason.REFUSED
         connection.pool.connection_lost(connection, connection.end_reason)
 
 
@@ -233,7 +233,7 @@
         self.connections: Slots[Connection] = Slots(max_connections)
         self.idle: defaultdict[HostId, list[Connection]] = defaultdict(list)
         self.addresses: dict[HostId, Address] = {}
-        self.calls_in_flight, self.held_down = 0, HeldDown(log, clock)
+        self.calls_in_flight, self.limited_log = 0, LimitedLog(log, clock)
 
     def send(self, host: HostId, texts: list[OutgoingText]) -> None:
         """Start one call with these texts, or a probe without any; its outcomes go to the driver."""
@@ -249,7 +249,7 @@
                 call.idle_time = max(1, now - connection.idle_since)
                 self.send_on(connection)
                 return
-            connection.abandon(Ending.GARBLED if connection.inbound else Ending.CLOSED_BY_PEER)
+            connection.abandon(EndReason.MALFORMED if connection.inbound else EndReason.CLOSED_BY_PEER)
         self._connect(call)
 
     def _connect(self, call: Call) -> None:
@@ -259,11 +259,11 @@
         connection.slot = self.connections.take(connection)
         address = self.addresses.get(call.host)
         if connection.slot is None or address is None:
-            end_reason = Ending.CROWDED if connection.slot is None else Ending.REFUSED
+            end_reason = EndReason.NO_SLOT if connection.slot is None else EndReason.REFUSED
             self.deadlines.after(0, lambda: self.connection_lost(connection, end_reason))
             return
         connection.deadline = self.deadlines.after(
-            self.connect_wait, lambda: connection.abandon(Ending.UNREACHED)
+            self.connect_wait, lambda: connection.abandon(EndReason.CONNECT_TIMEOUT)
         )
         connection.connector = self.reactor.connectTCP(
             address.host, address.port, ConnectAttempt(connection), timeout=None
@@ -280,7 +280,7 @@
         if oldest_by_host:
             oldest = min(oldest_by_host, key=lambda connection: connection.idle_since)
             self.idle[oldest.host].remove(oldest)
-            oldest.abandon(Ending.IDLE)
+            oldest.abandon(EndReason.IDLE)
             self.connections.release(oldest.slot)
             oldest.slot = None
 
@@ -288,17 +288,19 @@
         """The connection is established: write its call, without the texts that must not be sent any more."""
         call, now = connection.call, self.clock.now()
         if call is None:  # the call was abandoned meanwhile
-            connection.abandon(Ending.IDLE)
+            connection.abandon(EndReason.IDLE)
             return
         held_back = [
             each
             for each in call.texts
-            if not (self.driver.may_go(now, each.text, call.host) and self.driver.going(call, each))
+            if not (self.driver.may_send(now, each.text, call.host) and self.driver.start_submit(call, each))
         ]
         if held_back:
             call.texts = [each for each in call.texts if each not in held_back]
             for each in held_back:
-                self.driver.ended(call, each, Outcome(RESULT_OF_ENDING[Ending.HELD_BACK], unsent=True))
+                self.driver.submit_ended(
+                    call, each, Outcome(RESULT_BY_END_REASON[EndReason.NOT_SENT], unsent=True)
+                )
             if not call.texts:
                 self._finish(call)
                 self._keep_idle(connection, held_back[0].idle_limit)
@@ -310,22 +312,22 @@
         """Report the outcomes of the connection's call, and keep the connection if it can be reused."""
         call = connection.call
         if call is None:
-            connection.abandon(Ending.GARBLED)
+            connection.abandon(EndReason.MALFORMED)
             return
         idle_limit = min((each.idle_limit for each in call.texts), default=0)
         try:
             outcomes = read_outcomes(call, response, body)
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-            self.held_down("answer-not-read", host=call.host, why=repr(error))
-            connection.abandon(Ending.GARBLED)
+            self.limited_log("answer-not-read", host=call.host, why=repr(error))
+            connection.abandon(EndReason.MALFORMED)
             return
         late = call.is_late(self.clock.now())
         self._finish(call)
         if not call.texts:
-            result = RESULT_OF_STATUS.get(response.status, Result.ERROR)
-            self.driver.probed(call, result, read_report(response.headers))
+            result = RESULT_BY_STATUS.get(response.status, Result.ERROR)
+            self.driver.probe_ended(call, result, read_report(response.headers))
         for each, outcome in zip(call.texts, outcomes, strict=True):
-            self.driver.ended(call, each, late_outcome(outcome) if late and outcome.finished else outcome)
+            self.driver.submit_ended(call, each, late_outcome(outcome) if late and outcome.finished else outcome)
         self._keep_idle(connection, idle_limit if response.keep_alive else 0)
 
     def _keep_idle(self, connection: Connection, idle_limit: int) -> None:
@@ -337,16 +339,16 @@
             return
         moved = connection.address is None or self.addresses.get(connection.host) != connection.address
         if idle_limit <= 0 or moved or not connection.is_reusable():
-            connection.abandon(Ending.IDLE)
+            connection.abandon(EndReason.IDLE)
             return
-        connection.deadline = self.deadlines.after(idle_limit, lambda: connection.abandon(Ending.IDLE))
+        connection.deadline = self.deadlines.after(idle_limit, lambda: connection.abandon(EndReason.IDLE))
         connection.idle_since = self.clock.now()
         self.idle[connection.host].append(connection)
 
     def close_idle(self, host: HostId) -> None:
         """Close all idle connections to the host."""
         for connection in self.idle.pop(host, []):
-            connection.abandon(Ending.IDLE)
+            connection.abandon(EndReason.IDLE)
 
     def set_address(self, host: HostId, address: Address | None) -> None:
         """Set the host's address, None if it is not needed; idle connections to an old address are closed."""
@@ -362,13 +364,15 @@
 
         Guards against a batch of which one text ends while its submit is still running: the texts answered
         after that would not count as delivered, and a copy of the text might be sent at the same time."""
-        call.connection.abandon(Ending.SILENT if call.connection.awaiting_response else Ending.UNREACHED)
+        call.connection.abandon(
+            EndReason.ANSWER_TIMEOUT if call.connection.awaiting_response else EndReason.CONNECT_TIMEOUT
+        )
 
     def _finish(self, call: Call) -> None:
         self.calls_in_flight -= 1
         call.deadline.cancel()
 
-    def connection_lost(self, connection: Connection, end_reason: Ending) -> None:
+    def connection_lost(self, connection: Connection, end_reason: EndReason) -> None:
         """A connection has ended; a call that was running on it gets its outcome."""
         if connection.deadline is not None:
             connection.deadline.cancel()
@@ -379,14 +383,14 @@
         if connection in idle_connections:
             idle_connections.remove(connection)
         call, connection.call = connection.call, None
-        if end_reason in (Ending.GARBLED, Ending.CROWDED):
-            self.held_down("host-connection-bad", host=connection.host, why=end_reason.value)
+        if end_reason in (EndReason.MALFORMED, EndReason.NO_SLOT):
+            self.limited_log("host-connection-bad", host=connection.host, why=end_reason.value)
         else:
-            say(log, "host-connection-ended", host=connection.host, why=end_reason.value)
+            log_event(log, "host-connection-ended", host=connection.host, why=end_reason.value)
         if call is None:
             return
         self._finish(call)
-        result, finished, response = RESULT_OF_ENDING[end_reason], False, connection.response
+        result, finished, response = RESULT_BY_END_REASON[end_reason], False, connection.response
         if (
             response is not None
             and response.status == 200
@@ -394,10 +398,10 @@
             and not call.is_late(call.response_started_at)
         ):
             result, finished = (
-                Result.SPOILT,
+                Result.MALFORMED,
                 True,
             )  # its status line counts; the host may still be running the call
         if not call.texts:
-            self.driver.probed(call, result, {})
+            self.driver.probe_ended(call, result, {})
         for each in call.texts:
-            self.driver.ended(call, each, Outcome(result, finished))
+            self.driver.submit_ended(call, each, Outcome(result, finished))
--- a/limelatch/relay/http.py
+++ b/limelatch/relay/http.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass, field
 
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.line_receiver import BufferedLineReceiver
 
 STATUS_LINE_PATTERN = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9][0-9])(?: .*)?\Z")
@@ -68,7 +68,7 @@
         """Part of a body that arrives in parts or chunks; True if the subclass consumed it."""
         return False
 
-    def connection_ended(self, end_reason: Ending) -> None:
+    def connection_ended(self, end_reason: EndReason) -> None:
         """The connection has ended, whichever side closed it."""
         raise NotImplementedError
 
@@ -76,14 +76,14 @@
         if self._read_line not in (self._read_chunk_size, self._read_chunk_end):
             self._head_size += len(line) + 2
         if not self.awaiting_response or self._head_size > MAX_HEAD_SIZE:
-            self.close(Ending.GARBLED)  # an unsolicited response, or a head that does not end
+            self.close(EndReason.MALFORMED)  # an unsolicited response, or a head that does not end
         else:
             self._read_line(line)
 
     def _read_status(self, line: bytes) -> None:
         match = STATUS_LINE_PATTERN.match(line)
         if match is None:
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
             return
         self.response = Response(int(match[2]), keep_alive=match[1] == b"1")
         self._read_line = self._read_header
@@ -96,7 +96,7 @@
         match = HEADER_PATTERN.match(line)
         name, value = (match[1].lower(), match[2].strip()) if match else (b"", b"")
         if not match or name in FRAMING_HEADERS and self.response.headers.get(name, value) != value:
-            self.close(Ending.GARBLED)  # not a header, or two lengths: the response's end is unknown
+            self.close(EndReason.MALFORMED)  # not a header, or two lengths: the response's end is unknown
             return
         self.response.headers[name] = value
 
@@ -113,13 +113,13 @@
             self._finish_response()
         elif (transfer_coding := headers.get(b"transfer-encoding")) is not None:
             if transfer_coding.lower() != b"chunked" or b"content-length" in headers:
-                self.close(Ending.GARBLED)
+                self.close(EndReason.MALFORMED)
             self._read_line = self._read_chunk_size
         elif (length := headers.get(b"content-length")) is None:
             self.response.keep_alive = False  # the body lasts until the connection ends, and is not needed
             self._finish_response()
         elif not LENGTH_PATTERN.match(length) or self._is_too_long(int(length)):
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
         elif int(length):
             self._read_line = None
             self._expect_part(int(length))
@@ -129,7 +129,7 @@
     def _read_chunk_size(self, line: bytes) -> None:
         size = line.partition(b";")[0].strip()
         if not re.fullmatch(rb"[0-9a-fA-F]{1,8}", size) or self._is_too_long(int(size, 16)):
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
         elif int(size, 16):
             self._read_line = self._read_chunk_end
             self._expect_part(int(size, 16))
@@ -147,7 +147,7 @@
     def _read_chunk_end(self, line: bytes) -> None:
         self._read_line = self._read_chunk_size
         if line:
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
 
     def _read_trailer(self, line: bytes) -> None:
         if not line:
@@ -160,7 +160,7 @@
             self._body.append(data)
             self._body_size += len(data)
             if self._body_size > self.max_body_size:
-                self.close(Ending.GARBLED)
+                self.close(EndReason.MALFORMED)
         if self.end_reason is not None:
             return
         if self._remaining:
@@ -175,5 +175,7 @@
 
     def connectionLost(self, reason) -> None:
         if self.end_reason is None:
-            self.end_reason = Ending.BROKEN if self.awaiting_response else Ending.CLOSED_BY_PEER
+            self.end_reason = (
+                EndReason.CONNECTION_LOST if self.awaiting_response else EndReason.CLOSED_BY_PEER
+            )
         self.connection_ended(self.end_reason)
--- a/limelatch/relay/line_receiver.py
+++ b/limelatch/relay/line_receiver.py
@@ -10,7 +10,7 @@
 from twisted.protocols.basic import LineReceiver
 from zope.interface import implementer
 
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.ring_buffer import RingBuffer
 
 READ_SIZE = 16 * 1024  # bytes read from the socket at once
@@ -90,7 +90,7 @@
         )
         self._block_size, self._pumping, self._reading = 0, False, True
         self.outbound_writer: OutboundWriter | None = None
-        self.end_reason: Ending | None = None
+        self.end_reason: EndReason | None = None
 
     def connectionMade(self) -> None:
         self.transport.bufferSize = READ_SIZE
@@ -137,13 +137,13 @@
             return self.inbound.read(self._block_size) if len(self.inbound) >= self._block_size else b""
         end = self.inbound.find(self.delimiter)
         if end < 0 and len(self.inbound) > self.MAX_LENGTH:
-            self.close(Ending.GARBLED)
+            self.close(EndReason.MALFORMED)
         return self.inbound.read(end + len(self.delimiter)) if end >= 0 else b""
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        self.close(Ending.GARBLED)
+        self.close(EndReason.MALFORMED)
 
-    def close(self, end_reason: Ending, finish_writing: bool = False) -> None:
+    def close(self, end_reason: EndReason, finish_writing: bool = False) -> None:
         """Close the connection from this side; `connectionLost` follows."""
         if self.end_reason is not None:
             return
--- a/limelatch/relay/list_copy.py
+++ b/limelatch/relay/list_copy.py
@@ -14,7 +14,7 @@
 from zlib import crc32
 
 from limelatch.interface import SECOND
-from limelatch.logs import logger, say
+from limelatch.logs import logger, log_event
 from limelatch.relay.directory import Directory
 
 log = logger("catalog")
@@ -72,14 +72,14 @@
         try:
             copy = read_copy(self.path)
             needed = 2 * os.path.getsize(self.path)
-            if self._ledger.beside:  # room for the other process's copy and the next one that it writes
-                self._ledger.leave_room(needed, at_once=True)
-            elif not self._ledger.leave_room(needed):
+            if self._ledger.is_standby:  # room for the other process's copy and the next one that it writes
+                self._ledger.reserve_disk(needed, at_once=True)
+            elif not self._ledger.reserve_disk(needed):
                 os.remove(self.path)  # guards against exceeding the disk limit once the ledger is full
         except FileNotFoundError:
             return None
         except (OSError, BadCopy) as error:
-            say(log, "copy-not-read", why=error)
+            log_event(log, "copy-not-read", why=error)
             return None
         return copy
 
@@ -98,16 +98,16 @@
 
     def _start_writing(self, source) -> None:
         self._timer, self._next_source, directory = None, None, source.directory
-        if source.index is None or directory.is_loading or self._ledger.beside:
+        if source.index is None or directory.is_loading or self._ledger.is_standby:
             return  # the list being read will schedule again, or the state directory is another's
-        if not self._ledger.leave_room(2 * (directory.size + MAX_HEAD_SIZE)):
-            say(log, "copy-not-written", why=f"{directory.size} bytes do not fit next to the ledger")
+        if not self._ledger.reserve_disk(2 * (directory.size + MAX_HEAD_SIZE)):
+            log_event(log, "copy-not-written", why=f"{directory.size} bytes do not fit next to the ledger")
             return
         head = {"form": COPY_FORM, "catalog": str(source.address), "index": source.index}
         try:
             self._file = os.open(self._new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         except OSError as error:
-            say(log, "copy-not-written", why=error)
+            log_event(log, "copy-not-written", why=error)
             return
         self._checksum = self._row_count = 0
         self._started_at, self._pieces_left = self._deadlines.clock.now(), self._copy_pieces(head, directory)
@@ -138,7 +138,7 @@
             while piece:
                 piece = piece[os.write(self._file, piece) :]
         except OSError as error:  # such as a full disk: the previous copy stays
-            say(log, "copy-not-written", why=error)
+            log_event(log, "copy-not-written", why=error)
             self._end_writing()
             return
         self._deadlines.after(0, self._write_next)
@@ -151,4 +151,4 @@
             try:
                 os.remove(self._new_path)
             except OSError as error:
-                say(log, "copy-not-written", why=error)
+                log_event(log, "copy-not-written", why=error)
--- a/limelatch/relay/peers.py
+++ b/limelatch/relay/peers.py
@@ -13,7 +13,7 @@
 
 from limelatch.configuration.plan import MembershipPlan
 from limelatch.interface import MS, SECOND
-from limelatch.logs import HeldDown, logger, say
+from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.membership.codec import DATAGRAM_MOST
 from limelatch.membership.member import Member
 from limelatch.membership.messages import (
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Members:
+class MembershipSummary:
     """What one relay holds of all: how many in each state, and the first that is not alive."""
 
     counts: dict[str, int]
@@ -63,7 +63,7 @@
         self.file, self.random = IncarnationFile(state), Random(seed)
         self.addresses = [(each.host, each.port) for each in plan.peers]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
-        self.held_down, self.closed_ports = HeldDown(log, clock), ClosedPorts()
+        self.limited_log, self.closed_ports = LimitedLog(log, clock), ClosedPorts()
         self.member: Member | None = None
         self.port = None
         self._timer: Deadline | None = None
@@ -78,7 +78,7 @@
             self.port = self.reactor.listenUDP(listen.port, self, listen.host, PACKET_MOST)
         except (CannotListenError, OSError) as error:
             why = getattr(error, "socketError", error)
-            self.held_down("membership-not-listening", listen=listen, why=why)
+            self.limited_log("membership-not-listening", listen=listen, why=why)
             self.deadlines.after(BIND_WAIT, self.start)
             return
         self._stored = self.file.read()
@@ -104,18 +104,18 @@
         if self.port is not None:
             self.port.stopListening()
 
-    def members(self) -> Members:
+    def members(self) -> MembershipSummary:
         """What is held of all of them now."""
         if self.member is None:
             counts = {state.name.lower(): 0 for state in State} | {"unknown": len(self.addresses)}
-            return Members(counts, 0, NOT_LISTENING, "")
+            return MembershipSummary(counts, 0, NOT_LISTENING, "")
         view = self.member.view
         counts = {state.name.lower(): view.counts[state] for state in State}
         counts["unknown"] = len(self.addresses) - sum(counts.values())
         isolation = self.member.hearing.isolation
         first = next((number for number in range(len(self.addresses)) if not view.is_alive(number)), None)
         named = "" if first is None else f"{self.plan.peers[first]}:{self._state(first)}"
-        return Members(counts, self.member.incarnation, isolation.value if isolation else "", named)
+        return MembershipSummary(counts, self.member.incarnation, isolation.value if isolation else "", named)
 
     def _state(self, number: int) -> str:
         view = self.member.view
@@ -138,7 +138,7 @@
             return
         drop = self.member.received(now, datagram, self.numbers.get(address))
         if drop is not None:
-            self.held_down("datagram-dropped", why=drop.value, peer=address[0])
+            self.limited_log("datagram-dropped", why=drop.value, peer=address[0])
         self._acted()
 
     def _read_on(self) -> None:
@@ -180,16 +180,16 @@
             try:
                 self.transport.write(each.data, self.addresses[each.to])
             except OSError as error:
-                self.held_down("datagram-not-sent", why=error, member=self.plan.peers[each.to])
+                self.limited_log("datagram-not-sent", why=error, member=self.plan.peers[each.to])
 
     def _log(self, event: Event) -> None:
         if isinstance(event, MemberChanged):
             self._log_change(event)
         elif isinstance(event, IsolationChanged):
             why = event.why.value if event.why else "answered"
-            self.held_down("membership-isolated", why=why, after_ms=event.after // MS)
+            self.limited_log("membership-isolated", why=why, after_ms=event.after // MS)
         elif isinstance(event, Joined):
-            say(
+            log_event(
                 log,
                 "membership-joined",
                 member=self.plan.peers[self.plan.number],
@@ -200,10 +200,10 @@
         peer, incarnation = self.plan.peers[event.member], event.incarnation
         why, after = event.why, event.after // MS
         if event.state is State.ALIVE:
-            self.held_down("member-alive", member=peer, incarnation=incarnation, why=why, after_ms=after)
+            self.limited_log("member-alive", member=peer, incarnation=incarnation, why=why, after_ms=after)
         elif event.state is State.SUSPECT:
-            self.held_down("member-suspect", member=peer, incarnation=incarnation, why=why, after_ms=after)
+            self.limited_log("member-suspect", member=peer, incarnation=incarnation, why=why, after_ms=after)
         elif event.state is State.DEAD:
-            self.held_down("member-dead", member=peer, incarnation=incarnation, why=why, after_ms=after)
+            self.limited_log("member-dead", member=peer, incarnation=incarnation, why=why, after_ms=after)
         else:
-            self.held_down("member-left", member=peer, incarnation=incarnation, why=why, after_ms=after)
+            self.limited_log("member-left", member=peer, incarnation=incarnation, why=why, after_ms=after)
--- a/limelatch/relay/transport.py
+++ b/limelatch/relay/transport.py
@@ -13,7 +13,7 @@
 
 from twisted.internet import main, tcp
 
-from limelatch.logs import HeldDown, logger, say
+from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.relay.clock import monotonic_now
 
 log = logger("clients")
@@ -134,7 +134,7 @@
 
     def __init__(self, *arguments, **keywords) -> None:
         super().__init__(*arguments, **keywords)
-        self.held_down = HeldDown(log, MonotonicClock())
+        self.limited_log = LimitedLog(log, MonotonicClock())
 
     def doRead(self) -> None:
         accepted, failed = 0, None
@@ -151,7 +151,7 @@
             accepted += 1
             self._serve_connection(connection, address)
         if failed is not None:
-            self.held_down("accept-failed", why=failed)
+            self.limited_log("accept-failed", why=failed)
             if not accepted:
                 self.pause_reading()
 
@@ -167,5 +167,5 @@
             transport = self.transport(connection, protocol, address, self, number, self.reactor)
             protocol.makeConnection(transport)
         except Exception:
-            say(log, "connection-not-served", trace=True)
+            log_event(log, "connection-not-served", trace=True)
             (connection.close if transport is None else transport.abortConnection)()
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 
 PARTS = 40  # clients, whose requests are completed at different moments around the close
 COMMAND_MS = 150  # time limit of a command
@@ -24,9 +24,9 @@
         return repr(error)
 
 
-def test_a_command_completed_as_its_time_limit_passes_is_answered(plan, agent, party):
+def test_a_command_completed_as_its_time_limit_passes_is_answered(make_program, agent, make_host):
     """The last byte is written around the moment when an incomplete command is closed."""
-    program, host = plan(client_command_ms=COMMAND_MS), party()
+    program, host = make_program(client_command_ms=COMMAND_MS), make_host()
     agent.list(host.address)
     program.start()
     clients = [program.client() for _ in range(PARTS)]
@@ -57,7 +57,7 @@
     program.start()
     for _ in range(20):
         client = program.client()
-        client.socket.settimeout(WAIT)
+        client.socket.settimeout(WAIT_TIMEOUT)
         client.socket.sendall(b"*x\r\n" + more)
         assert read_reply(client).startswith(b"-ERR Protocol error")
         for _ in range(3):
@@ -77,8 +77,8 @@
             client.socket.sendall(b"x" * 15_000)
 
 
-def test_a_client_closed_for_lack_of_memory_gets_busy_although_it_goes_on_writing(plan, agent):
-    program = plan(limits={"memory_mb": 1})  # an eighth of it is for clients' incomplete commands
+def test_a_client_closed_for_lack_of_memory_gets_busy_although_it_goes_on_writing(make_program, agent):
+    program = make_program(limits={"memory_mb": 1})  # an eighth of it is for clients' incomplete commands
     client = program.start()
     half = b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$2\r\nt1\r\n$20\r\nc=report,d=9000,dest\r\n$60000\r\n"
     large, others = program.client(), [program.client() for _ in range(2)]
@@ -90,24 +90,24 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_a_command_being_received_at_a_stop_is_answered(plan, agent):
+def test_a_command_being_received_at_a_stop_is_answered(make_program, agent):
     """No text is unfinished, so that the relay could stop at once."""
-    program = plan(stop_least_ms=100)
+    program = make_program(stop_least_ms=100)
     agent.list("127.0.0.1:1")
     program.start()
     client, whole = program.client(), request("t1")
     client.socket.sendall(whole[:30])
     threading.Event().wait(0.1)
     program.terminate()
-    program.says("event=stopping")
+    program.wait_for_log("event=stopping")
     threading.Event().wait(0.25)
     client.socket.sendall(whole[30:])
     assert read_reply(client) == b"-BUSY\r\n"
-    assert program.process.wait(WAIT) == 0
+    assert program.process.wait(WAIT_TIMEOUT) == 0
 
 
-def test_pipelined_commands_are_all_answered_before_a_stop_closes_the_connection(plan, agent, party):
-    program, host = plan(stop_least_ms=50), party()
+def test_pipelined_commands_are_all_answered_before_a_stop_closes_the_connection(make_program, agent, make_host):
+    program, host = make_program(stop_least_ms=50), make_host()
     agent.list(host.address)
     program.start()
     clients = [program.client() for _ in range(8)]
@@ -122,8 +122,8 @@
         assert len(replies) == 10, answers
 
 
-def test_a_lingering_connection_is_closed_within_half_a_second(plan, agent):
-    program = plan(client_command_ms=COMMAND_MS)
+def test_a_lingering_connection_is_closed_within_half_a_second(make_program, agent):
+    program = make_program(client_command_ms=COMMAND_MS)
     agent.list("127.0.0.1:1")
     program.start()
     bad = program.client()
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 
 import pytest
-from conftest import SETTINGS, WAIT
+from conftest import SETTINGS, WAIT_TIMEOUT
 
 from limelatch.client import wire
 from limelatch.client.wire import Ending
 from limelatch.relay.ledger import Ledger
-from limelatch.relay.records import HEAD
+from limelatch.relay.records import RECORD_HEADER
 
 ROOT = Path(__file__).parent.parent
 DONE, WRONG, BAD_USE = 0, 1, 2
@@ -34,7 +34,7 @@
     )
 
 
-def run(*words, given=None, wait=WAIT):
+def run(*words, given=None, wait=WAIT_TIMEOUT):
     """Exit code, standard output and standard error."""
     process = start(*words, stdin=subprocess.PIPE)
     out, err = process.communicate(given, wait)
@@ -47,7 +47,7 @@
     ledger = Ledger(str(tmp_path), 100_000, 10_000_000)
     until = int(time.time() + 60) * 10_000
     for text, product in ((b"t1", "report"), (b"t2", "charge"), (b"t3", "notice")):
-        ledger.taken(
+        ledger.record_accepted(
             text,
             b"body of " + text,
             key="",
@@ -57,8 +57,8 @@
             customer=0,
             until=until,
         )
-    ledger.going(b"t2", until - 500_000, 1)
-    ledger.owed(b"t3", {"result": "bounced", "wait_ms": 500})
+    ledger.record_submit(b"t2", until - 500_000, 1)
+    ledger.record_notice(b"t3", {"result": "bounced", "wait_ms": 500})
     yield ledger
     ledger.close()
 
@@ -158,7 +158,7 @@
 
 def test_a_torn_a_changed_and_a_foreign_ledger_are_told_apart(folder):
     with open(folder.path, "ab") as file:
-        file.write(HEAD.pack(99, 0) + b"torn")
+        file.write(RECORD_HEADER.pack(99, 0) + b"torn")
     before = files_of(path_of(folder))
     code, out, err = run("ledger", "verify", path_of(folder))
     assert code == WRONG and "5 records" in out and "12 bytes are no whole record" in err
@@ -184,27 +184,29 @@
         number = 0
         while not over.is_set():
             text = b"c%d" % (number := number + 1)
-            folder.taken(text, b"x" * 3000, key="", mark="m", dest=1, product="report", customer=0, until=9)
-            folder.over(text)
+            folder.record_accepted(
+                text, b"x" * 3000, key="", mark="m", dest=1, product="report", customer=0, until=9
+            )
+            folder.record_finished(text)
 
     writer = threading.Thread(target=churn)
     writer.start()
     try:
-        views = [look(path_of(folder)) for _ in range(200)]
+        views = [inspect_ledger(path_of(folder)) for _ in range(200)]
     finally:
         over.set()
         writer.join()
-    assert all(list(view.entries)[:3] == [b"t1", b"t2", b"t3"] and not view.wrongs for view in views)
+    assert all(list(view.entries)[:3] == [b"t1", b"t2", b"t3"] and not view.problems for view in views)
 
 
-def look(path):
-    from limelatch.relay.inspection import look
+def inspect_ledger(path):
+    from limelatch.relay.inspection import inspect_ledger
 
-    return look(path)
+    return inspect_ledger(path)
 
 
-def test_relay_run_serves_a_toml_file_a_second_beside_it_and_a_third_is_kept_off(tmp_path, agent, party):
-    agent.list((host := party()).address)
+def test_relay_run_serves_a_toml_file_a_second_beside_it_and_a_third_is_kept_off(tmp_path, agent, make_host):
+    agent.list((host := make_host()).address)
     address = f"127.77.1.{os.getpid() % 250 + 1}:{20000 + os.getpid() % 20000}"
     (tmp_path / "state").mkdir()
     path = tmp_path / "relay.toml"
@@ -235,7 +237,7 @@
         third = run("relay", "run", "--config", path)
         assert third[0] == BAD_USE and third[2].count("\n") == 1 and "another relay uses" in third[2]
         beside.stdin.close()
-        assert beside.wait(WAIT) == DONE
+        assert beside.wait(WAIT_TIMEOUT) == DONE
         beside.stdout.close(), beside.stderr.close()
         code, out, err = run(
             "text", "submit", "--relay", address, "--product", "report", "--dest", "1", given="hi"
@@ -263,7 +265,7 @@
         )
         assert code == WRONG and json.loads(out.splitlines()[0])["ending"] == "error"
         relay.stdin.close()  # whoever started it has ended
-        assert relay.wait(WAIT) == DONE
+        assert relay.wait(WAIT_TIMEOUT) == DONE
         events = [json.loads(line)["event"] for line in relay.stderr]
         assert events[0] == "started" and "serving" in events and events[-1] == "stopped"
     finally:
@@ -346,7 +348,7 @@
 def test_the_demo_ends_by_itself_each_text_with_its_one_end(tmp_path, terminal):
     process, master = demo(tmp_path, terminal)
     shown = output(master)
-    assert process.wait(WAIT) == DONE, shown
+    assert process.wait(WAIT_TIMEOUT) == DONE, shown
     assert "each text got its one end: yes" in shown and left_behind(tmp_path) == []
     assert ("\x1b[" in shown) == terminal and re.search(r"partner 3 .* [1-9]\d* delivered", shown)
 
@@ -361,4 +363,8 @@
         assert (part := os.read(master, 65536)), shown  # it ended first: this once read on for ever
         shown += part.decode()
     process.send_signal(sent)
-    assert process.wait(WAIT) == 130 and "Traceback" not in output(master) and left_behind(tmp_path) == []
+    assert (
+        process.wait(WAIT_TIMEOUT) == 130
+        and "Traceback" not in output(master)
+        and left_behind(tmp_path) == []
+    )
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 from test_crossings import Running, until
 from test_parts import SocketPairTransport
 
@@ -20,7 +20,7 @@
     Listener,
 )
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import EndReason
 
 TABLE = 300  # connections in the table
 ASKED = b"SUBMIT 0 t1 c=report,d=9000,dest=1 x\r\n"
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 def listener(clock):
-    plan = SimpleNamespace(client_idle=20_000, client_command=20_000)
+    plan = SimpleNamespace(client_idle_timeout=20_000, client_command_timeout=20_000)
     driver = SimpleNamespace(clock=clock, deadlines=Deadlines(clock, clock), plan=plan)
     listener = Listener(driver, 40, 10_000)
     listener.port = FakePort()
@@ -85,7 +85,7 @@
     clock.advance(0.1)
     made[0].dataReceived(b"PING")  # an incomplete command
     connect_clients(listener)
-    assert [each for each in made if each.end_reason is Ending.CROWDED] == [made[1]]
+    assert [each for each in made if each.end_reason is EndReason.NO_SLOT] == [made[1]]
 
 
 def test_no_connection_with_an_unread_request_is_closed_while_another_is_idle(listener, unread_checks):
@@ -94,7 +94,7 @@
         each.transport.peer.send(ASKED)
     connect_clients(listener, 30)
     assert not any(each.end_reason for each in made[:5])
-    assert sum(each.end_reason is Ending.CROWDED for each in made) == 30
+    assert sum(each.end_reason is EndReason.NO_SLOT for each in made) == 30
     assert len(unread_checks) <= 30 + 5
 
 
@@ -120,11 +120,11 @@
 def test_a_client_whose_text_awaits_its_answer_is_not_closed_for_memory(listener):
     """The client would take the refusal for the answer, and submit again a text that may be accepted."""
     handed = []
-    listener.driver.handed_in = lambda text, client: handed.append(client)
+    listener.driver.submission_received = lambda text, client: handed.append(client)
     waiting, partial = connect_clients(listener, 2)
     waiting.dataReceived(ASKED + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
     partial.dataReceived(b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 6000)
-    assert handed == [waiting] and waiting.end_reason is None and partial.end_reason is Ending.CROWDED
+    assert handed == [waiting] and waiting.end_reason is None and partial.end_reason is EndReason.NO_SLOT
     assert b"-BUSY" not in waiting.transport.value() and b"-BUSY" in partial.transport.value()
 
 
@@ -178,7 +178,7 @@
     def end(self):
         self.stopped.set()
         for each in self.threads:
-            each.join(WAIT)
+            each.join(WAIT_TIMEOUT)
         for key in list(self.selector.get_map().values()):
             key.fileobj.close()
         self.selector.close()
@@ -194,10 +194,10 @@
 
 
 def test_with_many_reconnecting_clients_texts_are_answered_and_accepts_in_a_turn_are_few(
-    descriptors, plan, agent, party
+    descriptors, make_program, agent, make_host
 ):
     """Each reactor turn accepted 20 connections more than the one before, and closed them only afterwards."""
-    host, program = party(), plan(limits={"disk_mb": 3, "sockets": 2 * TABLE})
+    host, program = make_host(), make_program(limits={"disk_mb": 3, "sockets": 2 * TABLE})
     agent.list(host.address)
     program.start().socket.close()
     crowd = Crowd(program, 3 * TABLE)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -6,20 +6,20 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import HOST, NOW, Bench, S
+from conftest import HOST, NOW, PolicyHarness, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_crossings import Running
 from test_parts import CONFIGURED_NAMES, SocketPairTransport
 
 from limelatch.interface import Forget, Listing, Result, Wake
-from limelatch.policy import BUCKET, LESSON, REST, Policy
+from limelatch.policy import DESTINATION_IDLE_TIME, LEARNED_STATE_LIFETIME, TOKEN_BUCKET_SIZE, Policy
 from limelatch.relay import list_copy
 from limelatch.relay.catalog import Catalog, address_of
 from limelatch.relay.hash_index import HashIndex
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.directory import GONE, MAX_REMOVED_ROWS, MAX_DESTINATION, READY, Directory, Row
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import EndReason
 from limelatch.relay.ledger import Ledger
 from limelatch.relay.list_copy import COPY_INTERVAL, ListCopy, read_copy
 
@@ -264,7 +264,7 @@
     send_chunk(second := open_watch(catalog, b"index=4"), list_object(9, ROWS[:2], True))
     assert listed_hosts(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1} and second.end_reason is None
     send_chunk(third := open_watch(catalog, b"index=9"), list_object(10, [], True))
-    assert third.end_reason is Ending.GARBLED and catalog.index is None
+    assert third.end_reason is EndReason.MALFORMED and catalog.index is None
     assert listed_hosts(catalog.directory, range(6)) == {"s-0": 0, "s-1": 1}
     send_chunk(
         open_watch(make_catalog()), list_object(1, [], True)
@@ -331,7 +331,7 @@
     catalog = make_catalog()
     send_chunk(watch := open_watch(catalog), list_object(4, ROWS[:1], True))
     send_chunk(watch, raw)
-    assert watch.end_reason is (None if raw == b'{"index"' else Ending.GARBLED)
+    assert watch.end_reason is (None if raw == b'{"index"' else EndReason.MALFORMED)
     assert catalog.directory.rows(0)[0].name == "s-0"
 
 
@@ -348,7 +348,7 @@
     clock.advance(4)
     send_chunk(watch, b'{"name":')
     clock.advance(1)
-    assert watch.end_reason is Ending.SILENT
+    assert watch.end_reason is EndReason.ANSWER_TIMEOUT
 
 
 # The copy in the state directory.
@@ -464,18 +464,18 @@
 
 def test_the_ledger_has_priority_over_the_copy(tmp_path, clock, make_catalog, caplog):
     ledger = Ledger(str(tmp_path), 100_000, 64_000_000)
-    most = ledger.live_most
+    most = ledger.max_live_bytes
     catalog = make_catalog(ListCopy(str(tmp_path), Deadlines(clock, clock), ledger), "a:1")
     send_chunk(
         open_watch(catalog), list_object(4, [row_json(f"s-{number}", number) for number in range(400)], True)
     )
     write_copy(catalog, clock)
-    assert os.listdir(tmp_path) == ["ledger"] and ledger.live_most == most
+    assert os.listdir(tmp_path) == ["ledger"] and ledger.max_live_bytes == most
     assert "copy-not-written" in caplog.text
     catalog.directory = Directory()  # fewer rows
     send_chunk(open_watch(catalog), list_object(5, [row_json()], True))
     write_copy(catalog, clock)
-    assert "list" in os.listdir(tmp_path) and ledger.live_most < most  # its space is no longer the ledger's
+    assert "list" in os.listdir(tmp_path) and ledger.max_live_bytes < most  # its space is no longer the ledger's
 
 
 @pytest.mark.parametrize("beside", [False, True])
@@ -483,7 +483,7 @@
     catalog = make_catalog(copy, "a:1")
     send_chunk(open_watch(catalog), list_object(4, ROWS, True))
     write_copy(catalog, clock)
-    full = SimpleNamespace(beside=beside, leave_room=lambda size, at_once=False: False)
+    full = SimpleNamespace(is_standby=beside, reserve_disk=lambda size, at_once=False: False)
     after = make_catalog(ListCopy(os.path.dirname(copy.path), Deadlines(clock, clock), full), "a:1")
     after.load_copy()
     assert len(after.directory) == 6
@@ -525,7 +525,9 @@
 def test_an_unfinished_copy_is_aborted_by_a_whole_list_or_another_catalog(make_catalog, tmp_path):
     for next_event in ("list", "catalog"):
         deadlines = ManualDeadlines()
-        copy = ListCopy(str(tmp_path), deadlines, SimpleNamespace(beside=False, leave_room=lambda size: True))
+        copy = ListCopy(
+            str(tmp_path), deadlines, SimpleNamespace(is_standby=False, reserve_disk=lambda size: True)
+        )
         catalog = make_catalog(copy, "a:1", wanted=lambda destination: False)
         send_chunk(watch := open_watch(catalog), list_object(4, ROWS, True))
         deadlines.calls.pop()()
@@ -552,7 +554,7 @@
 
 def test_a_standby_process_writes_no_copy(make_catalog, tmp_path):
     deadlines = ManualDeadlines()
-    copy = ListCopy(str(tmp_path), deadlines, SimpleNamespace(beside=True, leave_room=lambda size: True))
+    copy = ListCopy(str(tmp_path), deadlines, SimpleNamespace(is_standby=True, reserve_disk=lambda size: True))
     send_chunk(open_watch(make_catalog(copy, "a:1")), list_object(4, ROWS, True))
     while deadlines.calls:
         deadlines.calls.pop()()
@@ -563,10 +565,10 @@
 
 
 @pytest.fixture
-def on_demand(terms):
+def on_demand(policy_settings):
     """A policy that gets the hosts of a destination when its first text arrives."""
-    terms.hosts_on_demand = True
-    return Bench(Policy(terms, NOW))
+    policy_settings.hosts_on_demand = True
+    return PolicyHarness(Policy(policy_settings, NOW))
 
 
 def forgotten_destinations(relay, now):
@@ -576,13 +578,13 @@
 def test_an_idle_destination_is_forgotten_by_a_timer(on_demand):
     relay = on_demand
     relay.list(HOST)
-    relay.out(relay.take(), Result.DELIVERED, over=True)
+    relay.out(relay.take(), Result.DELIVERED, finished=True)
     wakes = [action.after for action in relay.policy.decide(NOW) if isinstance(action, Wake)]
-    assert wakes and min(wakes) <= REST
-    assert forgotten_destinations(relay, NOW + REST - 1) == []
-    keep = relay.policy.keep  # it is kept while a connection may stay idle
-    assert forgotten_destinations(relay, NOW + max(REST, keep) + 1) == [1]
-    assert not relay.policy.dests and not relay.policy.hosts and not relay.policy.resting
+    assert wakes and min(wakes) <= DESTINATION_IDLE_TIME
+    assert forgotten_destinations(relay, NOW + DESTINATION_IDLE_TIME - 1) == []
+    keep = relay.policy.max_idle_time  # it is kept while a connection may stay idle
+    assert forgotten_destinations(relay, NOW + max(DESTINATION_IDLE_TIME, keep) + 1) == [1]
+    assert not relay.policy.destinations and not relay.policy.hosts and not relay.policy.idle_destinations
     relay.list(HOST, now=NOW + 99 * S)
     assert relay.out(relay.take(now=NOW + 99 * S), now=NOW + 99 * S) == HOST
 
@@ -592,13 +594,16 @@
     for number in range(10_000):
         now += S // 100
         relay.list(b"s-%d" % number, dest=number, now=now)
-        relay.out(relay.take(dest=number, now=now), Result.DELIVERED, now=now, over=True)
-    assert len(relay.policy.dests) < 2 * (REST + relay.policy.keep) // (S // 100) + 100
+        relay.out(relay.take(dest=number, now=now), Result.DELIVERED, now=now, finished=True)
+    assert (
+        len(relay.policy.destinations)
+        < 2 * (DESTINATION_IDLE_TIME + relay.policy.max_idle_time) // (S // 100) + 100
+    )
     for _ in range(40):
         now += 10 * S
         relay.policy.decide(now)
     policy = relay.policy
-    assert not policy.dests and not policy.hosts and not policy.resting and not policy.active
+    assert not policy.destinations and not policy.hosts and not policy.idle_destinations and not policy.active
 
 
 REFUSED = {"limit_left": 0.5, "limit_rate": 8.0}
@@ -609,10 +614,10 @@
     [
         (
             Result.FULL,
-            {"told_wait": 90 * S, "limit_left": 0.5},
+            {"retry_after": 90 * S, "limit_left": 0.5},
             90 * S,
         ),  # a wait asked for is observed to its end
-        (Result.TIMEOUT, {}, LESSON),
+        (Result.TIMEOUT, {}, LEARNED_STATE_LIFETIME),
     ],
 )  # a token is spent: kept until that is too old to matter
 def test_a_destination_with_learned_state_is_kept(on_demand, result, more, until):
@@ -632,42 +637,42 @@
     for _ in range(6):
         text = relay.take(now=now, valid=4 * S)
         relay.decide(now=now)
-        if relay.held(text).call:
+        if relay.pending(text).call:
             relay.end(text, Result.ERROR, now)
         now += 9 * S
         relay.decide(now=now)
-    assert relay.host().sick
+    assert relay.host().in_outage
     for _ in range(100):
         now += 60 * S
         assert forgotten_destinations(relay, now) == []
     text = relay.take(now=now)
     assert relay.sent(now) == {text: HOST}  # one trial submit, and it is counted as one
-    relay.end(text, Result.DELIVERED, now, over=True)
-    relay.policy.dests[1].tokens = BUCKET
+    relay.end(text, Result.DELIVERED, now, finished=True)
+    relay.policy.destinations[1].tokens = TOKEN_BUCKET_SIZE
     for _ in range(20):
         now += 60 * S
         if forgotten_destinations(relay, now):
             break
-    assert not relay.policy.dests
+    assert not relay.policy.destinations
 
 
 def test_a_text_that_arrives_as_its_destination_is_due_to_be_forgotten_keeps_it(on_demand):
     relay = on_demand
     relay.list(HOST)
-    relay.out(relay.take(), Result.DELIVERED, over=True)
+    relay.out(relay.take(), Result.DELIVERED, finished=True)
     later = NOW + 99 * S
     text = relay.take(now=later)
-    assert forgotten_destinations(relay, later) == [] and relay.held(text).call.host is relay.host()
+    assert forgotten_destinations(relay, later) == [] and relay.pending(text).call.host is relay.host()
 
 
 def test_a_notice_acknowledged_after_its_destination_was_forgotten_restores_nothing(on_demand):
     relay = on_demand
     text = relay.take(valid=S // 2)
     relay.decide(now=NOW + S)  # ended, and its notice is not acknowledged yet
-    assert forgotten_destinations(relay, NOW + LESSON) in ([], [1])
-    relay.policy.dests.pop(1, None)
-    relay.policy.text_over(NOW + LESSON, text)
-    assert not relay.policy.dests and not relay.policy.unheard
+    assert forgotten_destinations(relay, NOW + LEARNED_STATE_LIFETIME) in ([], [1])
+    relay.policy.destinations.pop(1, None)
+    relay.policy.text_finished(NOW + LEARNED_STATE_LIFETIME, text)
+    assert not relay.policy.destinations and not relay.policy.unacknowledged
 
 
 def test_a_moved_host_finishes_the_submits_of_its_old_destination(relay):
@@ -677,17 +682,17 @@
     relay.list(HOST, dest=2)
     other = relay.take(dest=2)
     assert relay.sent(NOW + S)[other] == HOST
-    relay.end(text, Result.DELIVERED, NOW + S, over=True)
-    relay.end(other, Result.DELIVERED, NOW + S, over=True)
+    relay.end(text, Result.DELIVERED, NOW + S, finished=True)
+    relay.end(other, Result.DELIVERED, NOW + S, finished=True)
     assert relay.policy.slots_used == 0 and not relay.policy.texts
-    assert relay.policy.hosts[HOST] in relay.policy.dests[2].hosts
+    assert relay.policy.hosts[HOST] in relay.policy.destinations[2].hosts
 
 
 # The program.
 
 
-def test_numbers_over_65535_and_lists_over_a_megabyte_are_served(program, agent, party):
-    host = party()
+def test_numbers_over_65535_and_lists_over_a_megabyte_are_served(program, agent, make_host):
+    host = make_host()
     for number in range(9000):
         agent.list("127.0.0.1:1", f"s-{number:05}", dest=number)
     agent.list(host.address, "far", dest=180_000_000)
@@ -698,18 +703,20 @@
     assert client.ask("PING") == "+PONG"
 
 
-def test_a_relay_without_a_list_accepts_nothing_and_logs_it(plan, agent, party):
+def test_a_relay_without_a_list_accepts_nothing_and_logs_it(make_program, agent, make_host):
     agent.act = lambda request: (200, b'{"index": 1, "snapshot": true, "endpoints": [{"name"')
     agent.reply = agent.act
-    program = plan(list_ms=50)
+    program = make_program(list_ms=50)
     client = program.start()
-    assert client.submit("t1") == "-BUSY" and "no list" in program.says("event=no-list")
+    assert client.submit("t1") == "-BUSY" and "no list" in program.wait_for_log("event=no-list")
 
 
-def test_a_restart_serves_from_the_copy_while_the_catalog_is_silent(plan, agent, party, clock):
-    host = party()
-    program = plan(list_ms=50)
-    ledger = SimpleNamespace(beside=False, leave_room=lambda size: True)
+def test_a_restart_serves_from_the_copy_while_the_catalog_is_silent(
+    make_program, agent, make_host, clock
+):
+    host = make_host()
+    program = make_program(list_ms=50)
+    ledger = SimpleNamespace(is_standby=False, reserve_disk=lambda size: True)
     source = Catalog(
         clock,
         Deadlines(clock, clock),
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -5,14 +5,14 @@
 import time
 
 import pytest
-from conftest import WAIT
+from conftest import WAIT_TIMEOUT
 from faults.flow import Flow
 
-from limelatch.folder_gate import FolderGate
+from limelatch.storage_gate import StorageGate
 from limelatch.interface import SECOND
-from limelatch.relay import door
-from limelatch.relay.door import HostsOut
-from limelatch.relay.ledger import FILE, SEAT, Ledger
+from limelatch.relay import operator_server
+from limelatch.relay.operator_server import SuspendedHosts
+from limelatch.relay.ledger import FILE, STANDBY_DIR, Ledger
 
 SPANS = [0.4, 3.0]  # seconds
 OTHER_CELLS = [("open", "ENOSPC"), ("write", "EIO"), ("rename", "EROFS"), ("unlink", "EIO")]
@@ -22,8 +22,8 @@
 
 
 @pytest.fixture
-def flow(faulty, agent, party):
-    made = Flow(faulty(), agent, party)
+def flow(make_faulty_program, agent, make_host):
+    made = Flow(make_faulty_program(), agent, make_host)
     made.start()
     return made
 
@@ -33,7 +33,7 @@
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         try:
-            flow.hand_in()
+            flow.submit_text()
         except AssertionError:
             threading.Event().wait(0.02)
 
@@ -41,7 +41,7 @@
 def held_over_a_kill(flow):
     """A text that is open at a kill has its end after the restart: its records can be read."""
     flow.host.reply = lambda request: request.hang()
-    held = flow.hand_in(within=BACK)
+    held = flow.submit_text(within=BACK)
     flow.program.kill()
     flow.host.reply = flow._called
     flow.restart()
@@ -54,14 +54,14 @@
 def test_a_ledger_that_cannot_be_written_for_a_span(flow, faults, call, name, most, span):
     """Whole and in part; the cut of a torn record fails as well. Texts go on once it can be written."""
     for _ in range(3):
-        flow.hand_in()
+        flow.submit_text()
     bounds = {"path": LEDGER, "seconds": span}
     faults.fail(call, getattr(errno, name), most=most, **bounds)
     faults.fail("ftruncate", getattr(errno, name), **bounds)
     hand_in_for(flow, span)
     for _ in range(3):
-        flow.hand_in(within=BACK)
-    flow.program.says("event=folder-mended")
+        flow.submit_text(within=BACK)
+    flow.program.wait_for_log("event=folder-mended")
     held_over_a_kill(flow)
     assert flow.check() == []
 
@@ -72,7 +72,7 @@
 def test_a_kill_within_a_failing_span_loses_repeats_and_reorders_nothing(flow, faults, moment, span, most):
     """The n-th record of the ledger fails, and all after it; then the process is killed and started again."""
     skip = {"taken": 0, "going": 1, "ended": 2, "owed": 3}[moment]
-    flow.hand_in()
+    flow.submit_text()
     flow.settle()
     faults.fail("write", errno.ENOSPC, path=LEDGER, skip=skip, most=most)
     faults.fail("ftruncate", errno.EIO, path=LEDGER)
@@ -81,7 +81,7 @@
     faults.clear_all()
     flow.restart()
     for _ in range(4):
-        flow.hand_in(within=BACK)
+        flow.submit_text(within=BACK)
     flow.settle()
     assert flow.check() == []
 
@@ -90,7 +90,7 @@
     """A span longer than all waits of the four submits that a text has."""
     flow.valid = 15.0
     flow.host.reply = lambda request: (503,)
-    text = flow.hand_in()
+    text = flow.submit_text()
     threading.Event().wait(0.05)
     faults.fail("write", errno.EIO, path=LEDGER, seconds=8.0)
     flow.host.reply = flow._called
@@ -99,14 +99,16 @@
     assert text.delivered and text.notice is None and flow.check() == []
 
 
-def test_an_early_end_is_told_only_once_a_restart_would_know_it(faulty, faults, agent, party):
+def test_an_early_end_is_told_only_once_a_restart_would_know_it(
+    make_faulty_program, faults, agent, make_host
+):
     """Told to wait beyond its time, it ends at once; neither outcome nor end is written before the kill, and
     the restart knows of no wait."""
-    flow = Flow(faulty(), agent, party)
+    flow = Flow(make_faulty_program(), agent, make_host)
     flow.host.reply = lambda request: request.answer(429, Retry_After="30")
     flow.start()
     faults.fail("write", errno.EIO, path=LEDGER, skip=2)
-    flow.hand_in()
+    flow.submit_text()
     flow.host.next()
     threading.Event().wait(0.6)
     flow.program.kill()
@@ -118,12 +120,14 @@
     assert flow.check() == []
 
 
-def test_an_end_before_its_time_waits_for_its_record_and_a_due_one_does_not(faulty, faults, agent, party):
-    flow = Flow(faulty(), agent, party)
+def test_an_end_before_its_time_waits_for_its_record_and_a_due_one_does_not(
+    make_faulty_program, faults, agent, make_host
+):
+    flow = Flow(make_faulty_program(), agent, make_host)
     flow.host.reply = lambda request: (500,) if request.headers["X-Txn"] == "t2" else request.hang()
     flow.start()
-    early = flow.hand_in()  # t1, notice: out at a host that hangs until its time is up
-    flow.hand_in()  # t2, charge: it may have run, and ends at once
+    early = flow.submit_text()  # t1, notice: out at a host that hangs until its time is up
+    flow.submit_text()  # t2, charge: it may have run, and ends at once
     faults.fail("write", errno.EIO, path=LEDGER, seconds=20.0)
     flow.settle()
     assert early.notice is not None and flow.check() == []
@@ -141,7 +145,7 @@
     while time.monotonic() < until:  # 3 MB of disk: some 40 texts fill the file
         number += 1
         assert flow.client.submit(f"big{number}", body=body) in ("+OK", "-BUSY", "-BUSY 250")
-    flow.hand_in(within=BACK)
+    flow.submit_text(within=BACK)
     flow.settle()
     assert flow.check() == [] and number > 60
 
@@ -150,24 +154,24 @@
     "call, name", [("open", "EMFILE"), ("flock", "EIO"), ("write", "ENOSPC"), ("unlink", "EIO")]
 )
 def test_a_take_over_that_the_folder_refuses_is_tried_again(flow, faults, call, name):
-    old, before = flow.program.process, flow.hand_in()
+    old, before = flow.program.process, flow.submit_text()
     flow.settle()
     flow.host.reply = lambda request: request.hang()
     flow.valid = 6.0
-    held = flow.hand_in()
+    held = flow.submit_text()
     flow.program.start()
     flow.host.reply = flow._called
     rule = faults.fail(call, getattr(errno, name), path="state", seconds=1.5)
     old.kill()
-    old.wait(WAIT)
+    old.wait(WAIT_TIMEOUT)
     flow.client = None
-    flow.program.says("event=taken-over")
+    flow.program.wait_for_log("event=taken-over")
     rule.end()
     for _ in range(3):
-        flow.hand_in(within=BACK)
+        flow.submit_text(within=BACK)
     flow.settle()
     assert before.delivered and held.ended and flow.check() == []
-    seat = flow.program.state / SEAT / FILE
+    seat = flow.program.state / STANDBY_DIR / FILE
     assert not seat.exists() or seat.stat().st_size == 0
 
 
@@ -176,14 +180,14 @@
 
 @pytest.mark.parametrize("call, name", START_CELLS)
 def test_a_folder_that_cannot_be_read_at_a_start_is_named_and_left_as_it_is(flow, faults, call, name):
-    flow.hand_in()
+    flow.submit_text()
     flow.settle()
     flow.program.kill()
     before = {each: each.read_bytes() for each in flow.program.state.iterdir() if each.is_file()}
     faults.fail(call, getattr(errno, name), path="state" if call == "flock" else LEDGER)
     flow.program.launch()
-    assert flow.program.process.wait(WAIT) == 2
-    told = "".join(flow.program.said[-3:])
+    assert flow.program.process.wait(WAIT_TIMEOUT) == 2
+    told = "".join(flow.program.log_lines[-3:])
     assert (
         call in told and "state" in told and errno.errorcode[getattr(errno, name)] in told or "Errno" in told
     )
@@ -198,16 +202,16 @@
     """A host that is out by hand stays out: nothing is sent to it."""
     host = b"s-1"
     flow.program.kill()
-    HostsOut(str(flow.program.state)).suspend(host)
+    SuspendedHosts(str(flow.program.state)).suspend(host)
     faults.fail(call, getattr(errno, name), path=path, seconds=1.0)
     flow.restart()
     assert flow.client.submit("t0", d=300) in ("+OK", "-BUSY 2000")
     threading.Event().wait(0.5)
-    assert flow.host.asked.empty() and flow.check() == []
+    assert flow.host.requests.empty() and flow.check() == []
 
 
 def test_a_torn_tail_that_cannot_be_cut_at_a_start_is_cut_before_the_first_write(flow, faults):
-    text = flow.hand_in()
+    text = flow.submit_text()
     flow.settle()
     flow.program.kill()
     with open(flow.program.state / "ledger", "ab") as file:
@@ -216,7 +220,7 @@
     flow.restart()
     hand_in_for(flow, 0.5)
     rule.end()
-    taken = [flow.hand_in(within=BACK) for _ in range(3)]
+    taken = [flow.submit_text(within=BACK) for _ in range(3)]
     held_over_a_kill(flow)
     assert text.delivered and all(each.ended for each in taken) and flow.check() == []
 
@@ -225,47 +229,47 @@
 @pytest.mark.parametrize("call, name", OTHER_CELLS)
 def test_the_folder_s_other_files_fail_without_harm(flow, faults, agent, path, call, name):
     """Both are written meanwhile: the wall clock is stepped, a host comes. A restart finds the timeline."""
-    watch = agent.watches.get(timeout=WAIT)
+    watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     rules = [faults.fail(each, getattr(errno, name), path=path) for each in {call, "unlink"}]
     faults.step(5)
     agent.list("127.0.0.1:1", "s-9", dest=9)
     agent.tell(watch)
-    flow.program.says("event=clock-stepped")
+    flow.program.wait_for_log("event=clock-stepped")
     for _ in range(3):
-        flow.hand_in()
+        flow.submit_text()
     for rule in rules:
         rule.end()
     flow.program.kill()
     flow.restart()
-    assert "by=same-boot" in "".join(flow.program.said[-4:])
-    flow.hand_in(within=BACK)
+    assert "by=same-boot" in "".join(flow.program.log_lines[-4:])
+    flow.submit_text(within=BACK)
     flow.settle()
     assert flow.check() == []
 
 
 def test_a_host_taken_out_by_hand_is_out_only_where_the_folder_keeps_it(tmp_path, monkeypatch):
-    out = door.HostsOut(str(tmp_path))
+    out = operator_server.SuspendedHosts(str(tmp_path))
 
     def refuse(path, content):
         raise OSError(errno.ENOSPC, "No space left on device", path)
 
-    monkeypatch.setattr(door, "replace_whole", refuse)
-    with pytest.raises(door.DoorError, match="not done"):
+    monkeypatch.setattr(operator_server, "replace_file", refuse)
+    with pytest.raises(operator_server.OperatorError, match="not done"):
         out.suspend(b"s-1")
     assert out.counts == {}
 
 
 def test_the_gate_lets_submits_wait_from_the_first_failure_to_the_next_success():
-    gate = FolderGate()
-    assert gate.may_submit and gate.worked(0) is None
-    gate.failed(100)
-    gate.failed(200)
+    gate = StorageGate()
+    assert gate.may_submit and gate.write_succeeded(0) is None
+    gate.write_failed(100)
+    gate.write_failed(200)
     assert not gate.may_submit
-    assert gate.worked(5 * SECOND) == 5 * SECOND - 100 and gate.may_submit
+    assert gate.write_succeeded(5 * SECOND) == 5 * SECOND - 100 and gate.may_submit
 
 
 def test_a_notice_waits_for_its_record_until_its_text_is_over():
-    gate = FolderGate()
+    gate = StorageGate()
     assert gate.notice_due(5, 90, recorded=True) == 5
     assert gate.notice_due(5, 90, recorded=False) == 90 and gate.notice_due(95, 90, recorded=False) == 95
 
@@ -274,7 +278,7 @@
     """Else later records would go to a file that no folder has."""
     ledger = Ledger(str(tmp_path), 100_000, 10_000_000)
     taken = {"key": "", "mark": "", "dest": 1, "product": "notice", "customer": "", "until": 9}
-    assert ledger.taken(b"a", b"x", **taken)
+    assert ledger.record_accepted(b"a", b"x", **taken)
     from limelatch.relay import ledger as module
 
     def done_and_failed(source, target, real=module.os.replace):
@@ -284,7 +288,7 @@
     monkeypatch.setattr(module.os, "replace", done_and_failed)
     assert ledger.compact()
     monkeypatch.undo()
-    assert ledger.taken(b"b", b"y", **taken)
+    assert ledger.record_accepted(b"b", b"y", **taken)
     ledger.close()
     again = Ledger(str(tmp_path), 100_000, 10_000_000)
     assert list(again.entries) == [b"a", b"b"]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,13 +13,13 @@
 
 from limelatch.client.wire import HandedText
 from limelatch.configuration import bench_terms, plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import SECOND, Effect, Listing, Result
-from limelatch.logs import HeldDown
+from limelatch.logs import LimitedLog
 from limelatch.relay.catalog import BadList, Catalog
 from limelatch.relay.clients import BadCommand, read_submit
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.ending import RESULT_OF_ENDING, Ending
+from limelatch.relay.end_reason import RESULT_BY_END_REASON, EndReason
 from limelatch.relay.hosts import (
     Call,
     Connection,
@@ -32,7 +32,7 @@
 )
 from limelatch.relay.http import HttpClientProtocol, Response
 from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
-from limelatch.relay.records import LATER, Kind, record
+from limelatch.relay.records import STATE_RESERVE, RecordKind, encode_record
 from limelatch.relay.ring_buffer import RingBuffer, RingBufferFull
 from limelatch.relay.slots import Slots
 
@@ -80,7 +80,7 @@
 
 
 def accept_text(ledger, text, body=b"body", key="k1"):
-    ledger.taken(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
+    ledger.record_accepted(text, body, key=key, mark="m", dest=1, product="charge", customer=0, until=9)
 
 
 def reopen(ledger):
@@ -117,11 +117,11 @@
 
 
 def test_warnings_caused_from_outside_are_rate_limited_and_counted(deadlines, caplog):
-    held_down = HeldDown(logging.getLogger("x"), deadlines[1])
+    limited_log = LimitedLog(logging.getLogger("x"), deadlines[1])
     for _ in range(9):
-        held_down("command-bad")
+        limited_log("command-bad")
     deadlines[1].advance(1)
-    held_down("command-bad")
+    limited_log("command-bad")
     assert [each.pairs for each in caplog.records] == [{}] * 5 + [{"left_out": 4}]
 
 
@@ -167,33 +167,46 @@
 def test_the_ledger_restores_unfinished_texts_in_the_order_of_acceptance(ledger):
     for text in (b"a", b"b", b"c", b"d"):
         accept_text(ledger, text, b"body of " + text)
-    ledger.going(b"a", 5, 1)
-    ledger.going(b"b", 6, 0)
-    ledger.ended(b"b", ran=True)
-    ledger.going(b"b", 7, 2)
-    ledger.ended(b"b", ran=False)
-    ledger.owed(b"c", {"result": "dead"})
-    ledger.over(b"d")
+    ledger.record_submit(b"a", 5, 1)
+    ledger.record_submit(b"b", 6, 0)
+    ledger.record_submit_end(b"b", ran=True)
+    ledger.record_submit(b"b", 7, 2)
+    ledger.record_submit_end(b"b", ran=False)
+    ledger.record_notice(b"c", {"result": "dead"})
+    ledger.record_finished(b"d")
     a, b, c = reopen(ledger).entries.values()
-    assert (a.id, a.body, a.submits, a.out, a.ran_at, a.ran_zone) == (b"a", b"body of a", 1, True, 5, 1)
-    assert (b.submits, b.out, b.ran_at, b.ran_zone) == (2, False, 6, 0)
-    assert (c.notice, c.pairs["key"]) == ({"result": "dead"}, "k1")
+    assert (a.id, a.body, a.submit_count, a.in_flight, a.first_run_at, a.first_run_zone) == (
+        b"a",
+        b"body of a",
+        1,
+        True,
+        5,
+        1,
+    )
+    assert (b.submit_count, b.in_flight, b.first_run_at, b.first_run_zone) == (2, False, 6, 0)
+    assert (c.notice, c.fields["key"]) == ({"result": "dead"}, "k1")
 
 
 def test_compaction_keeps_each_text_s_state_within_its_reserved_space(ledger):
     """Each submit once kept its own records, at up to 2 KB a text, so that other texts were refused."""
     accept_text(ledger, b"a" * 64)
     for at in range(40):
-        ledger.going(b"a" * 64, at, 1)
-        ledger.ended(b"a" * 64, ran=at > 2)
-    ledger.going(b"a" * 64, 99, 2)
+        ledger.record_submit(b"a" * 64, at, 1)
+        ledger.record_submit_end(b"a" * 64, ran=at > 2)
+    ledger.record_submit(b"a" * 64, 99, 2)
     before = ledger.entries[b"a" * 64]
     ledger.compact()
-    after, taken = reopen(ledger).entries[b"a" * 64], len(before.taken)
-    assert (after.submits, after.out, after.ran, after.ran_at, after.ran_zone) == (41, True, True, 3, 1)
-    ledger.owed(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
+    after, taken = reopen(ledger).entries[b"a" * 64], len(before.accepted_record)
+    assert (
+        after.submit_count,
+        after.in_flight,
+        after.may_have_run,
+        after.first_run_at,
+        after.first_run_zone,
+    ) == (41, True, True, 3, 1)
+    ledger.record_notice(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
     ledger.compact()
-    assert reopen(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= LATER
+    assert reopen(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= STATE_RESERVE
     while ledger.has_room(10):
         accept_text(ledger, b"t%d" % len(ledger.entries), b"x" * 10)
     assert len(ledger.entries) > 60 and ledger.size <= 100_000
@@ -201,20 +214,20 @@
 
 def test_a_submit_that_did_not_run_leaves_no_run_time(ledger):
     accept_text(ledger, b"a")
-    ledger.going(b"a", 5, 1)
-    ledger.ended(b"a", ran=False)
-    assert reopen(ledger).entries[b"a"].ran_at is None
+    ledger.record_submit(b"a", 5, 1)
+    ledger.record_submit_end(b"a", ran=False)
+    assert reopen(ledger).entries[b"a"].first_run_at is None
 
 
 def test_a_state_directory_admits_one_relay_and_one_successor(ledger):
     folder = ledger.path.removesuffix("/ledger")
     standby = Ledger(folder, 100_000, 10_000_000)  # an upgrade's new process
-    assert standby.beside and ledger.successor()
+    assert standby.is_standby and ledger.has_successor()
     with pytest.raises(FolderInUse):
         Ledger(folder, 100_000, 10_000_000)
     assert standby.take_over() is None  # the first still locks the state directory
     ledger.close()
-    assert standby.take_over() == [] and not standby.beside
+    assert standby.take_over() == [] and not standby.is_standby
     standby.close()
     Ledger(folder, 100_000, 10_000_000).close()
 
@@ -223,7 +236,7 @@
     accept_text(ledger, b"a")
     before = ledger.size
     with open(ledger.path, "ab") as file:
-        file.write(record(Kind.STATE, b"a", {"tries": 3}))
+        file.write(encode_record(RecordKind.STATE, b"a", {"tries": 3}))
     with pytest.raises(ForeignLedger):
         reopen(ledger)
     assert os.path.getsize(ledger.path) > before
@@ -237,7 +250,7 @@
     with open(ledger.path, "r+b") as file:
         file.truncate(ledger.size - cut)
     reopened = reopen(ledger)
-    assert list(reopened.entries) == [b"a"] and reopened.size == size_before and reopened.cut > 0
+    assert list(reopened.entries) == [b"a"] and reopened.size == size_before and reopened.cut_bytes > 0
     accept_text(reopened, b"c")
     assert list(reopen(reopened).entries) == [b"a", b"c"]
 
@@ -262,7 +275,7 @@
     for number in range(300):
         text = b"t%d" % number
         accept_text(ledger, text, b"x" * 900)
-        ledger.over(text)
+        ledger.record_finished(text)
     assert len(peak_sizes) > 2 and max(peak_sizes) <= 100_000 and ledger.size <= 100_000
     accept_text(ledger, b"last")
     assert list(reopen(ledger).entries) == [b"stays", b"last"]
@@ -272,14 +285,14 @@
     assert ledger.has_room(30_000)
     accept_text(ledger, b"a", b"x" * 30_000)
     assert not ledger.has_room(30_000)
-    ledger.over(b"a")
+    ledger.record_finished(b"a")
     assert ledger.has_room(30_000)
 
 
 def test_every_end_reason_has_a_result():
-    assert set(RESULT_OF_ENDING) == set(Ending)
-    assert RESULT_OF_ENDING[Ending.CUT_SHORT] is Result.CONNECT
-    assert RESULT_OF_ENDING[Ending.BROKEN] is Result.RESET
+    assert set(RESULT_BY_END_REASON) == set(EndReason)
+    assert RESULT_BY_END_REASON[EndReason.REQUEST_INCOMPLETE] is Result.CONNECT
+    assert RESULT_BY_END_REASON[EndReason.CONNECTION_LOST] is Result.RESET
 
 
 @pytest.mark.parametrize(
@@ -323,7 +336,7 @@
     caller = RecordingClient()
     for at in range(0, len(raw), 1000):
         caller.dataReceived(raw[at : at + 1000])
-    assert caller.end_reason is Ending.GARBLED and caller.transport.disconnecting
+    assert caller.end_reason is EndReason.MALFORMED and caller.transport.disconnecting
 
 
 def test_a_paused_transport_leaves_bytes_in_the_buffer_and_its_queue():
@@ -354,9 +367,9 @@
         (500, {}, Outcome(Result.ERROR)),
         (429, {"retry_after": b"0.25"}, Outcome(Result.FULL, False, 2500)),
         (503, {}, Outcome(Result.FULL)),
-        (503, {"x_no_slot": b"1"}, Outcome(Result.MOOT)),
-        (504, {}, Outcome(Result.MOOT)),
-        (410, {}, Outcome(Result.MOOT, True)),
+        (503, {"x_no_slot": b"1"}, Outcome(Result.NOT_SENT)),
+        (504, {}, Outcome(Result.NOT_SENT)),
+        (410, {}, Outcome(Result.NOT_SENT, True)),
         (418, {}, Outcome(Result.ERROR)),
         (
             200,
@@ -392,7 +405,7 @@
         Outcome(Result.DELIVERED, True, SECOND),
         Outcome(Result.FULL, False, SECOND),
     ]
-    assert outcomes(413, b"", (b"a", b"b")) == [Outcome(Result.MOOT)] * 2
+    assert outcomes(413, b"", (b"a", b"b")) == [Outcome(Result.NOT_SENT)] * 2
     assert outcomes(410, b"", (b"a", b"b")) == [Outcome(Result.ERROR)] * 2  # 410 describes a single text
     with pytest.raises(KeyError):
         outcomes(200, body, (b"a", b"c"))
@@ -410,13 +423,13 @@
     def __init__(self, may_send=True):
         self.may_send, self.outcomes, self.finished = may_send, [], []
 
-    def may_go(self, now, text, host):
+    def may_send(self, now, text, host):
         return self.may_send
 
-    def going(self, call, outgoing):
+    def start_submit(self, call, outgoing):
         return True
 
-    def ended(self, call, outgoing, outcome):
+    def submit_ended(self, call, outgoing, outcome):
         self.outcomes.append((outgoing.text, outcome.result))
         self.finished += [outgoing.text] if outcome.finished else []
 
@@ -438,10 +451,10 @@
 def test_a_text_withdrawn_while_connecting_is_not_written(deadlines):
     driver = RecordingDriver(may_send=False)
     host_pool, connection = start_call(deadlines, driver, OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
-    assert driver.outcomes == [(b"a", Result.MOOT)] and connection.transport.value() == b""
+    assert driver.outcomes == [(b"a", Result.NOT_SENT)] and connection.transport.value() == b""
     assert host_pool.idle[b"s-1"] == [connection] and host_pool.calls_in_flight == 0
     deadlines[1].advance(1)
-    assert connection.end_reason is Ending.IDLE
+    assert connection.end_reason is EndReason.IDLE
 
 
 def test_a_whole_batch_is_abandoned_at_the_first_deadline_of_its_texts(deadlines):
@@ -455,7 +468,7 @@
     assert connection.transport.value().startswith(b"POST /v1/messages:batch HTTP/1.1\r\n")
     deadlines[1].advance(1)
     assert (
-        connection.end_reason is Ending.SILENT and driver.outcomes == []
+        connection.end_reason is EndReason.ANSWER_TIMEOUT and driver.outcomes == []
     )  # no text ends while its submit is running
     connection.connectionLost(None)
     assert (
@@ -468,7 +481,7 @@
     _, connection = start_call(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Le")
     connection.connectionLost(None)
-    assert driver.outcomes == [(b"a", Result.SPOILT)] and driver.finished == [b"a"]
+    assert driver.outcomes == [(b"a", Result.MALFORMED)] and driver.finished == [b"a"]
 
 
 def test_an_ordered_text_does_not_end_while_its_call_is_running(deadlines):
@@ -481,7 +494,7 @@
         OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     deadlines[1].advance(1)
-    assert connection.end_reason is Ending.SILENT and driver.outcomes == []
+    assert connection.end_reason is EndReason.ANSWER_TIMEOUT and driver.outcomes == []
 
 
 @pytest.mark.parametrize(
@@ -492,7 +505,7 @@
     _, connection = start_call(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 " + line + b"\r\nContent-Length: 3000000000\r\n\r\nxx")
     connection.connectionLost(None)
-    assert driver.outcomes == [(b"a", Result.SPOILT)] and driver.finished == finished
+    assert driver.outcomes == [(b"a", Result.MALFORMED)] and driver.finished == finished
 
 
 @pytest.mark.parametrize("raw, later", [(b"no more", b""), (b"", b"HTTP/1.1 200 OK\r\n\r\n"), (b"", b"")])
@@ -593,8 +606,11 @@
 
 
 def test_settings_get_defaults_and_unknown_effects_are_once_only():
-    terms = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
-    assert terms.products[0].effect is Effect.ONCE_ONLY and (terms.slots, terms.max_texts) == (16, 500)
+    settings = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
+    assert settings.products[0].effect is Effect.ONCE_ONLY and (settings.slots, settings.max_texts) == (
+        16,
+        500,
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -11,25 +11,27 @@
 from pathlib import Path
 
 import pytest
-from conftest import WAIT, Agent, Client, Program
+from conftest import WAIT_TIMEOUT, Agent, Client, Program
 from test_crossings import Doorstep, Running, until
 from test_parts import VALID_CONFIG, SocketPairTransport
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.plan import OWN, SOCKETS_LEAST, Shares
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.plan import RESERVED_DESCRIPTORS, MIN_SOCKETS, DescriptorShares
+from limelatch.configuration.platform_form import read_platform
 from limelatch.relay.clients import Listener
-from limelatch.relay.door import Door
+from limelatch.relay.operator_server import OperatorServer
 
 MAX_CHANGE_DELAY = 6.0  # seconds within which a change of the list has to be known
 REFUSED_CONNECTIONS = 8  # refused connections to discovery while idle clients fill the relay
 
 
 def test_the_shares_of_all_parties_fit_the_descriptor_limit():
-    for sockets in (*range(SOCKETS_LEAST, 2000), 4096, 1 << 20):
-        shares = Shares.of(sockets)
-        taken = shares.clients_most + shares.hosts + shares.closing + 2 * shares.operators + OWN
-        assert taken <= sockets and shares.clients == sockets // 2 < shares.clients_most
+    for sockets in (*range(MIN_SOCKETS, 2000), 4096, 1 << 20):
+        shares = DescriptorShares.of(sockets)
+        taken = (
+            shares.max_clients + shares.hosts + shares.closing + 2 * shares.operators + RESERVED_DESCRIPTORS
+        )
+        assert taken <= sockets and shares.clients == sockets // 2 < shares.max_clients
         assert shares.hosts >= 6 and shares.closing >= 2 and shares.operators >= 1
         assert sockets < 400 or shares.hosts == sockets // 4
 
@@ -49,15 +51,15 @@
 
 
 def test_a_burst_at_the_operators_port_stays_within_its_descriptors():
-    door, made = Door(Doorstep(Running()), None, 2), []
+    operator_server, made = OperatorServer(Doorstep(Running()), None, 2), []
     for _ in range(100):
-        if (caller := door.buildProtocol(Peer)) is not None:
+        if (caller := operator_server.buildProtocol(Peer)) is not None:
             caller.makeConnection(SocketPairTransport())
             made.append(caller)
-    assert len(made) == door.open == 4
+    assert len(made) == operator_server.open == 4
     for each in made[:2]:
         each.connectionLost(None)
-    assert door.open == 2 and door.buildProtocol(Peer) is not None
+    assert operator_server.open == 2 and operator_server.buildProtocol(Peer) is not None
 
 
 class Peer:
@@ -147,7 +149,7 @@
     def end(self):
         self.stopped.set()
         for each in self.threads:
-            each.join(WAIT)
+            each.join(WAIT_TIMEOUT)
         for key in list(self.selector.get_map().values()):
             key.fileobj.close()
         self.selector.close()
@@ -205,18 +207,18 @@
 
 @pytest.mark.parametrize("descriptor_limit, sockets", [(64, 64), (128, 128), (100, 1024)])
 def test_with_idle_clients_at_the_limit_the_list_is_read_and_texts_are_sent(
-    limited_relay, party, descriptor_limit, sockets
+    limited_relay, make_host, descriptor_limit, sockets
 ):
     """Guards against clients that use up all descriptors: at a process limit below the configured one for good,
     at an equal one for the length of a reactor turn."""
-    host, (program, discovery, crowd) = party(), limited_relay(descriptor_limit, sockets)
+    host, (program, discovery, crowd) = make_host(), limited_relay(descriptor_limit, sockets)
     answers = {text: submit_once(program, text) for text in map("d{}".format, range(12))}
     for _ in range(REFUSED_CONNECTIONS):
-        program.says("event=catalog-lost why=refused")
+        program.wait_for_log("event=catalog-lost why=refused")
     back_at = time.monotonic()
     agent = discovery.start(host.address)
     try:
-        assert agent.asked.get(timeout=WAIT).at - back_at < MAX_CHANGE_DELAY
+        assert agent.requests.get(timeout=WAIT_TIMEOUT).at - back_at < MAX_CHANGE_DELAY
         first = host.next()
         assert first.at - back_at < MAX_CHANGE_DELAY
         answers |= {text: submit_once(program, text) for text in map("b{}".format, range(12))}
@@ -236,18 +238,18 @@
         agent.shutdown()
 
 
-def next_of(party):
+def next_of(host):
     try:
-        return party.asked.get_nowait()
+        return host.requests.get_nowait()
     except queue.Empty:
         return None
 
 
 def test_a_relay_with_too_few_descriptors_logs_it_and_exits(tmp_path):
-    program = LimitedProgram(tmp_path, DiscoveryAddress(), SOCKETS_LEAST - 1, 1024)
+    program = LimitedProgram(tmp_path, DiscoveryAddress(), MIN_SOCKETS - 1, 1024)
     program.launch()
     try:
-        assert program.process.wait(WAIT) == 2
+        assert program.process.wait(WAIT_TIMEOUT) == 2
     finally:
         program.kill()
     until(lambda: any("64 descriptors are needed" in line for line in program.lines))
@@ -255,4 +257,8 @@
 
 def test_shares_follow_the_configured_socket_limit(tmp_path):
     raw = VALID_CONFIG | {"state": str(tmp_path), "limits": {"sockets": 1024}}
-    assert plan_of(read_platform(raw)[0]).shares == Shares.of(1024) == Shares(256, 64, 16, 512, 652)
+    assert (
+        plan_of(read_platform(raw)[0]).shares
+        == DescriptorShares.of(1024)
+        == DescriptorShares(256, 64, 16, 512, 652)
+    )
