--- a/limelatch/relay/catalog.py
+++ b/limelatch/relay/catalog.py
@@ -319,4 +319,6 @@
         if self.on_watch_lost is not None:
             self.on_watch_lost()
         else:
-            self.deadlines.after(0 if end_reason is EndReason.ADDRESS_CHANGED else self.reconnect_wait, self.connect)
+            self.deadlines.after(
+                0 if end_reason is EndReason.ADDRESS_CHANGED else self.reconnect_wait, self.connect
+            )
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -327,7 +327,9 @@
             result = RESULT_BY_STATUS.get(response.status, Result.ERROR)
             self.driver.probe_ended(call, result, read_report(response.headers))
         for each, outcome in zip(call.texts, outcomes, strict=True):
-            self.driver.submit_ended(call, each, late_outcome(outcome) if late and outcome.finished else outcome)
+            self.driver.submit_ended(
+                call, each, late_outcome(outcome) if late and outcome.finished else outcome
+            )
         self._keep_idle(connection, idle_limit if response.keep_alive else 0)
 
     def _keep_idle(self, connection: Connection, idle_limit: int) -> None:
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -106,7 +106,9 @@
     assert program.process.wait(WAIT_TIMEOUT) == 0
 
 
-def test_pipelined_commands_are_all_answered_before_a_stop_closes_the_connection(make_program, agent, make_host):
+def test_pipelined_commands_are_all_answered_before_a_stop_closes_the_connection(
+    make_program, agent, make_host
+):
     program, host = make_program(stop_least_ms=50), make_host()
     agent.list(host.address)
     program.start()
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -475,7 +475,9 @@
     catalog.directory = Directory()  # fewer rows
     send_chunk(open_watch(catalog), list_object(5, [row_json()], True))
     write_copy(catalog, clock)
-    assert "list" in os.listdir(tmp_path) and ledger.max_live_bytes < most  # its space is no longer the ledger's
+    assert (
+        "list" in os.listdir(tmp_path) and ledger.max_live_bytes < most
+    )  # its space is no longer the ledger's
 
 
 @pytest.mark.parametrize("beside", [False, True])
@@ -554,7 +556,9 @@
 
 def test_a_standby_process_writes_no_copy(make_catalog, tmp_path):
     deadlines = ManualDeadlines()
-    copy = ListCopy(str(tmp_path), deadlines, SimpleNamespace(is_standby=True, reserve_disk=lambda size: True))
+    copy = ListCopy(
+        str(tmp_path), deadlines, SimpleNamespace(is_standby=True, reserve_disk=lambda size: True)
+    )
     send_chunk(open_watch(make_catalog(copy, "a:1")), list_object(4, ROWS, True))
     while deadlines.calls:
         deadlines.calls.pop()()
@@ -711,9 +715,7 @@
     assert client.submit("t1") == "-BUSY" and "no list" in program.wait_for_log("event=no-list")
 
 
-def test_a_restart_serves_from_the_copy_while_the_catalog_is_silent(
-    make_program, agent, make_host, clock
-):
+def test_a_restart_serves_from_the_copy_while_the_catalog_is_silent(make_program, agent, make_host, clock):
     host = make_host()
     program = make_program(list_ms=50)
     ledger = SimpleNamespace(is_standby=False, reserve_disk=lambda size: True)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -206,7 +206,9 @@
     ) == (41, True, True, 3, 1)
     ledger.record_notice(b"a" * 64, {"result": "bounced", "wait_ms": 2000})
     ledger.compact()
-    assert reopen(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= STATE_RESERVE
+    assert (
+        reopen(ledger).entries[b"a" * 64].notice["wait_ms"] == 2000 and ledger.size - taken <= STATE_RESERVE
+    )
     while ledger.has_room(10):
         accept_text(ledger, b"t%d" % len(ledger.entries), b"x" * 10)
     assert len(ledger.entries) > 60 and ledger.size <= 100_000
@@ -420,11 +422,11 @@
 class RecordingDriver:
     """A driver that records the outcomes of texts."""
 
-    def __init__(self, may_send=True):
-        self.may_send, self.outcomes, self.finished = may_send, [], []
+    def __init__(self, allows_sending=True):
+        self.allows_sending, self.outcomes, self.finished = allows_sending, [], []
 
     def may_send(self, now, text, host):
-        return self.may_send
+        return self.allows_sending
 
     def start_submit(self, call, outgoing):
         return True
@@ -449,7 +451,7 @@
 
 
 def test_a_text_withdrawn_while_connecting_is_not_written(deadlines):
-    driver = RecordingDriver(may_send=False)
+    driver = RecordingDriver(allows_sending=False)
     host_pool, connection = start_call(deadlines, driver, OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
     assert driver.outcomes == [(b"a", Result.NOT_SENT)] and connection.transport.value() == b""
     assert host_pool.idle[b"s-1"] == [connection] and host_pool.calls_in_flight == 0
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -209,8 +209,8 @@
 def test_with_idle_clients_at_the_limit_the_list_is_read_and_texts_are_sent(
     limited_relay, make_host, descriptor_limit, sockets
 ):
-    """Guards against clients that use up all descriptors: at a process limit below the configured one for good,
-    at an equal one for the length of a reactor turn."""
+    """Guards against clients that use up all descriptors: if the process limit is below the configured
+    one for good, if it is equal for the length of a reactor turn."""
     host, (program, discovery, crowd) = make_host(), limited_relay(descriptor_limit, sockets)
     answers = {text: submit_once(program, text) for text in map("d{}".format, range(12))}
     for _ in range(REFUSED_CONNECTIONS):
