--- a/limelatch/configuration/__init__.py
+++ b/limelatch/configuration/__init__.py
@@ -1,7 +1,9 @@
-"""Configuration: one model (`model`), read from people's own TOML or the platform's JSON (`files`).
+"""Reads and checks a relay's configuration.
 
-A key that is absent gets its default, a value of the wrong form is a fault that names the key. In the
-platform's JSON null is absent too and an unknown key is passed over; in people's own form it is a fault.
+There is one model of it (`model`). A file in either form, TOML or the platform's JSON (`files`), is read into
+this model. A missing key takes its default; a value of the wrong type or out of bounds is an error that names
+the key. In the platform's JSON, null counts as missing and an unknown key is ignored; in TOML an unknown key
+is an error.
 """
 
 from __future__ import annotations
@@ -10,8 +12,8 @@
 from dataclasses import replace
 
 from limelatch.configuration.checks import reload_errors
-from limelatch.configuration.errors import ConfigurationError, ConfigError
-from limelatch.configuration.files import Form, LoadedFile, load, configured_path
+from limelatch.configuration.errors import ConfigError, ConfigurationError
+from limelatch.configuration.files import Form, LoadedFile, configured_path, load
 from limelatch.configuration.plan import Address, Names, RelayPlan, bench_terms, plan_of
 from limelatch.configuration.units import to_units
 
@@ -35,20 +37,25 @@
 def relay_plan(
     environment: Mapping[str, str], path: str | None = None, form: Form | None = None
 ) -> RelayPlan:
-    """The plan from a file, or the one that $RELAY_CONFIG names, and for what that leaves out the others."""
+    """Read the file at `path`, or the one that $RELAY_CONFIG names, into the plan to start a relay with.
+
+    For the platform's JSON, other variables of `environment` fill in missing keys. Raises ConfigurationError.
+    """
     return plan_of(load(path or configured_path(environment), form, environment).installation)
 
 
 def reloaded_plan(
     environment: Mapping[str, str], path: str | None = None, form: Form | None = None
 ) -> RelayPlan:
-    """The plan of a new configuration at SIGHUP; ConfigurationError where it can't be taken, and the one in
-    force stays whole."""
-    found = load(path or configured_path(environment), form, environment)
+    """Read a new configuration after SIGHUP.
+
+    Raises ConfigurationError if any part of it is unusable; the caller then keeps the current configuration.
+    """
+    loaded = load(path or configured_path(environment), form, environment)
     errors = [
-        replace(each, path=found.reader.where(each.path))
-        for each in reload_errors(found.installation, found.given)
+        replace(each, path=loaded.reader.where(each.path))
+        for each in reload_errors(loaded.installation, loaded.given)
     ]
     if errors:
-        raise ConfigurationError(errors, found.text)
-    return plan_of(found.installation)
+        raise ConfigurationError(errors, loaded.text)
+    return plan_of(loaded.installation)
--- a/limelatch/configuration/changes.py
+++ b/limelatch/configuration/changes.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, and when a running relay takes each change."""
+"""Compares two configurations and tells when a running relay applies each changed key."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from limelatch.configuration.model import Installation, Reload
 from limelatch.configuration.reading import Key, keys_of
 
-ABSENT = object()
+ABSENT = object()  # stands for the value of a key whose row is missing on one side
 
 
 @dataclass(frozen=True)
 class Change:
-    """One key that differs; `before` or `after` is ABSENT where its row is missing on that side."""
+    """A key whose value differs; `before` or `after` is ABSENT if its row is missing on that side."""
 
     path: str
     reload: Reload
@@ -25,28 +25,31 @@
     after: object
 
 
-def leaves(table: msgspec.Struct, path: str = "") -> Iterator[tuple[str, Key, object]]:
-    """Every key with its path, description and value; rows go by name, by number where they have none."""
+def key_values(table: msgspec.Struct, path: str = "") -> Iterator[tuple[str, Key, object]]:
+    """Yield the path, description and value of every key.
+
+    A row is identified by its name, or by its index if it has none.
+    """
     for name, key in keys_of(type(table)).items():
-        value, at = getattr(table, name), f"{path}.{name}" if path else name
+        value, key_path = getattr(table, name), f"{path}.{name}" if path else name
         if isinstance(key.type, inspect.StructType):
-            yield from leaves(value, at)
+            yield from key_values(value, key_path)
         elif isinstance(key.type, inspect.ListType) and isinstance(key.type.item_type, inspect.StructType):
-            for number, row in enumerate(value):
-                yield from leaves(row, f"{at}[{row.name or number}]")
+            for index, row in enumerate(value):
+                yield from key_values(row, f"{key_path}[{row.name or index}]")
         else:
-            yield at, key, value
+            yield key_path, key, value
 
 
 def changes(before: Installation, after: Installation) -> list[Change]:
-    """Every key that differs, in the order of the paths."""
+    """Return every key that differs, sorted by path."""
     if before == after:
         return []
-    old, new = ({path: (key, value) for path, key, value in leaves(each)} for each in (before, after))
+    old, new = ({path: (key, value) for path, key, value in key_values(each)} for each in (before, after))
     found = []
     for path in sorted(old.keys() | new.keys()):
         key = (old.get(path) or new.get(path))[0]
-        was, now = (each[path][1] if path in each else ABSENT for each in (old, new))
-        if was is ABSENT or now is ABSENT or was != now:
-            found.append(Change(path, key.metadata.get("reload", Reload.RESTART), key, was, now))
+        old_value, new_value = (each[path][1] if path in each else ABSENT for each in (old, new))
+        if old_value is ABSENT or new_value is ABSENT or old_value != new_value:
+            found.append(Change(path, key.metadata.get("reload", Reload.RESTART), key, old_value, new_value))
     return found
--- a/limelatch/configuration/files.py
+++ b/limelatch/configuration/files.py
@@ -1,26 +1,29 @@
-"""Configuration files: found, bounded, parsed, read into the model, with every fault and its line."""
+"""Loads configuration files: size check, parsing, reading into the model, errors with their lines."""
 
 from __future__ import annotations
 
 import json
-import re
 import os
+import re
 import stat
 import tomllib
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from limelatch.configuration.checks import doubts, conflicts
-from limelatch.configuration.errors import ConfigurationError, ConfigError
+from limelatch.configuration.checks import conflicts, doubts
+from limelatch.configuration.errors import ConfigError, ConfigurationError
 from limelatch.configuration.model import Installation
 from limelatch.configuration.platform_form import PLATFORM_UNITS, read_platform
 from limelatch.configuration.reading import TOML_UNITS, Reader, Unit
 
-MAX_JSON_BYTES, MAX_TOML_BYTES = 8_000_000, 500_000  # bytes of a file; the parsers' time grows with it
-LINES_MOST = 500_000  # bytes of a file whose lines are looked up
-QUOTED_ADDRESS = re.compile(r'"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}"')  # a list of peers has its dots in these
-KEY_MOST = 2000  # dots in a key of TOML, whose parser goes as deep
+# Sizes of a file. The time that the parsers take grows with them.
+MAX_JSON_BYTES = 8_000_000
+MAX_TOML_BYTES = 500_000
+MAX_LOCATED_LENGTH = 500_000  # characters of a file whose errors get line numbers
+QUOTED_ADDRESS = re.compile(r'"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}"')  # these dots don't nest tables
+MAX_LINE_DOTS = 2000  # in a line of TOML: its parser recurses once for each dot of a key
+# Keys of the platform's JSON and the environment variables that fill them in.
 VARIABLES = {
     "name": "RELAY_NAME",
     "listen": "RELAY_LISTEN",
@@ -31,7 +34,7 @@
 
 
 class Form(Enum):
-    """How a configuration is written."""
+    """The format of a configuration file."""
 
     TOML = "toml"
     PLATFORM = "json"
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True)
 class LoadedFile:
-    """A file that was read: its form, its text, its model, and the reader that knows which keys it tells."""
+    """A configuration file that was read successfully; `reader` knows which keys the file sets."""
 
     path: str
     form: Form
@@ -52,32 +55,36 @@
 
     @property
     def given(self) -> set[str]:
-        """The paths of the keys that it tells; all others have their defaults."""
+        """The paths of the keys that the file sets; all others have their defaults."""
         return self.reader.given
 
     def doubts(self) -> list[ConfigError]:
-        """What is taken as it is, though it can't be right."""
+        """Return warnings: values that are accepted although they are inconsistent."""
         found = [replace(each, path=self.reader.where(each.path)) for each in doubts(self.installation)]
         return with_lines(found, self.text, self.form)
 
 
 def form_of(path: str) -> Form:
-    """By the file's name: `.toml` is people's own form, any other the platform's JSON."""
+    """Return the form by the file's name: `.toml` is TOML, any other name is the platform's JSON."""
     return Form.TOML if path.endswith(".toml") else Form.PLATFORM
 
 
-def read_bytes(path: str, most: int) -> bytes:
-    """A whole plain file of at most `most` bytes; ConfigurationError says why not."""
+def read_bytes(path: str, max_bytes: int) -> bytes:
+    """Read a regular file of at most `max_bytes` bytes.
+
+    Raises ConfigurationError if it is no regular file, too large, empty or unreadable. It is opened without
+    blocking, so that a pipe can't stall the relay.
+    """
     try:
         with open(path, "rb", opener=lambda name, flags: os.open(name, flags | os.O_NONBLOCK)) as file:
             status = os.fstat(file.fileno())
             if not stat.S_ISREG(status.st_mode):
-                raise ConfigurationError([ConfigError(path, "a file is wanted, and this is none")])
-            if status.st_size > most:
+                raise ConfigurationError([ConfigError(path, "not a regular file")])
+            if status.st_size > max_bytes:
                 raise ConfigurationError(
-                    [ConfigError(path, f"a file of {most} bytes at most is wanted, not of {status.st_size}")]
+                    [ConfigError(path, f"expected a file of at most {max_bytes} bytes, got {status.st_size}")]
                 )
-            raw = file.read(most + 1)
+            raw = file.read(max_bytes + 1)
     except (OSError, ValueError) as error:
         raise ConfigurationError(
             [ConfigError(path, getattr(error, "strerror", None) or str(error))]
@@ -88,6 +95,7 @@
 
 
 def decode(path: str, raw: bytes) -> str:
+    """Decode a file as UTF-8, with or without a byte order mark; raises ConfigurationError."""
     try:
         return raw.decode("utf-8-sig")
     except UnicodeDecodeError as error:
@@ -96,54 +104,57 @@
 
 
 def parse_json(path: str, text: str) -> object:
-    """JSON; a key that stands twice in one object, and a number that is none, are faults."""
-    twice: list[str] = []
+    """Parse JSON; raises ConfigurationError, also for a duplicate key in an object, NaN and Infinity."""
+    duplicates: list[str] = []
 
-    def pairs(found: list[tuple[str, object]]) -> dict:
-        table = dict(found)
-        if len(table) < len(found):
+    def make_object(pairs: list[tuple[str, object]]) -> dict:
+        table = dict(pairs)
+        if len(table) < len(pairs):
             seen: set[str] = set()
-            twice.extend(name for name, _ in found if name in seen or seen.add(name))
+            duplicates.extend(name for name, _ in pairs if name in seen or seen.add(name))
         return table
 
-    def constant(word: str) -> None:
-        raise ValueError(f"{word} is no number")
+    def reject_constant(word: str) -> None:
+        raise ValueError(f"{word} is not a number in JSON")
 
     try:
-        raw = json.loads(text, object_pairs_hook=pairs, parse_constant=constant)
+        raw = json.loads(text, object_pairs_hook=make_object, parse_constant=reject_constant)
     except json.JSONDecodeError as error:
-        raise ConfigurationError([ConfigError(path, f"no JSON: {error.msg}", error.lineno)]) from None
+        raise ConfigurationError([ConfigError(path, f"invalid JSON: {error.msg}", error.lineno)]) from None
     except RecursionError:
         raise ConfigurationError([ConfigError(path, "nested too deeply")]) from None
     except ValueError as error:
-        raise ConfigurationError([ConfigError(path, f"no JSON: {error}")]) from None
-    if twice:
+        raise ConfigurationError([ConfigError(path, f"invalid JSON: {error}")]) from None
+    if duplicates:
         raise ConfigurationError(
             [
-                ConfigError(path, f"the key {name!r} stands twice in one object")
-                for name in dict.fromkeys(twice)
+                ConfigError(path, f"the key {name!r} occurs twice in one object")
+                for name in dict.fromkeys(duplicates)
             ]
         )
     return raw
 
 
 def parse_toml(path: str, text: str) -> object:
-    if any(QUOTED_ADDRESS.sub("", line).count(".") > KEY_MOST for line in text.split("\n")):
+    """Parse TOML; raises ConfigurationError."""
+    if any(QUOTED_ADDRESS.sub("", line).count(".") > MAX_LINE_DOTS for line in text.split("\n")):
         raise ConfigurationError([ConfigError(path, "nested too deeply")])
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ConfigurationError([ConfigError(path, f"no TOML: {error}")]) from None
+        raise ConfigurationError([ConfigError(path, f"invalid TOML: {error}")]) from None
     except RecursionError:
         raise ConfigurationError([ConfigError(path, "nested too deeply")]) from None
-    except ValueError as error:  # a number with too many digits, a date that is none
-        raise ConfigurationError([ConfigError(path, f"no TOML: {error}")]) from None
+    except ValueError as error:  # a number with too many digits, an impossible date
+        raise ConfigurationError([ConfigError(path, f"invalid TOML: {error}")]) from None
 
 
 def load(path: str, form: Form | None = None, environment: Mapping[str, str] | None = None) -> LoadedFile:
-    """Read a file in its form; ConfigurationError tells every fault at once.
+    """Read and check a file; ConfigurationError holds all its errors at once.
 
-    For the platform's JSON, `environment` fills in what the file leaves out."""
+    Without `form`, the file's name decides. For the platform's JSON, variables of `environment` fill in keys
+    that the file leaves out.
+    """
     form = form or form_of(path)
     text = decode(path, read_bytes(path, MAX_TOML_BYTES if form is Form.TOML else MAX_JSON_BYTES))
     if form is Form.TOML:
@@ -154,26 +165,26 @@
         raw = parse_json(path, text)
         if isinstance(raw, dict):
             given = {
-                key: (environment or {})[word]
-                for key, word in VARIABLES.items()
-                if word in (environment or {})
+                key: (environment or {})[variable]
+                for key, variable in VARIABLES.items()
+                if variable in (environment or {})
             }
             raw = given | {key: value for key, value in raw.items() if value is not None}
         installation, errors, reader = read_platform(raw)
-    if form is Form.TOML and installation is not None:  # the platform's is taken as it is
-        errors = errors + conflicts(installation, own=True) + doubts(installation)
+    if form is Form.TOML and installation is not None:  # in the platform's JSON doubts are warnings
+        errors = errors + conflicts(installation, is_toml=True) + doubts(installation)
     if errors:
         raise ConfigurationError(errors, text)
     return LoadedFile(path, form, text, installation, reader)
 
 
 def with_lines(errors: list[ConfigError], text: str, form: Form) -> list[ConfigError]:
-    """The faults with the lines where they stand, if the library that finds them is at hand."""
-    if not errors or not 0 < len(text) <= LINES_MOST:
+    """Add line numbers to the errors and sort by them, if the tree-sitter libraries are installed."""
+    if not errors or not 0 < len(text) <= MAX_LOCATED_LENGTH:
         return errors
     try:
         from limelatch.configuration.line_numbers import lines_of
-    except ImportError:  # the platform's build does without it
+    except ImportError:  # they are not part of the platform's build
         return errors
     try:
         lines = lines_of(text, form is Form.TOML)
@@ -183,27 +194,31 @@
     return sorted(found, key=lambda each: each.line)
 
 
-def error_line(path: str, fault: ConfigError) -> str:
-    """A fault as compilers print theirs: file, line, key, what is wanted."""
-    place = f"{path}:{fault.line}" if fault.line else path
-    return f"{place}: {fault.wanted}" if fault.path == path else f"{place}: {fault.path}: {fault.wanted}"
+def error_line(path: str, error: ConfigError) -> str:
+    """Format an error as compilers do: file, line, key, message."""
+    location = f"{path}:{error.line}" if error.line else path
+    return (
+        f"{location}: {error.message}" if error.path == path else f"{location}: {error.path}: {error.message}"
+    )
 
 
 def error_lines(error: ConfigurationError, path: str, form: Form) -> list[str]:
-    """All faults of a file, a line each, by their lines."""
-    return [error_line(path, fault) for fault in with_lines(error.errors, error.text, form)]
+    """Format all errors of a file, one line each, sorted by line number."""
+    return [error_line(path, each) for each in with_lines(error.errors, error.text, form)]
 
 
 def line_for(path: str, lines: Mapping[str, int]) -> int:
-    """The line of the key, or of the nearest table or list that it is missing from; 0 for none."""
+    """Return the line of the key, or of the nearest enclosing table or list; 0 if there is none."""
     while path and path not in lines:
         path = path[: max(path.rfind("."), path.rfind("["), 0)]
     return lines.get(path, 0)
 
 
 def configured_path(environment: Mapping[str, str]) -> str:
-    """The file that $RELAY_CONFIG names."""
+    """Return the path in $RELAY_CONFIG; raises ConfigurationError if it is not set."""
     path = environment.get("RELAY_CONFIG")
     if not path:
-        raise ConfigurationError([ConfigError("RELAY_CONFIG", "the path of a file is wanted")])
+        raise ConfigurationError(
+            [ConfigError("RELAY_CONFIG", "not set; it has to hold the path of the configuration file")]
+        )
     return path
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -1,4 +1,4 @@
-"""What the relay and the bench's adapter take from a configuration: the module's terms, names, figures."""
+"""Turns a configuration into what the relay and the benchmark adapter start with."""
 
 from __future__ import annotations
 
@@ -8,28 +8,26 @@
 from limelatch import interface as li
 from limelatch.configuration.errors import ConfigurationError
 from limelatch.configuration.model import (
-    RevenueDecay,
     Installation,
-    RepeatScope,
+    ListDelivery,
     Log,
     Membership,
-    ListDelivery,
     Product,
     RateQuality,
+    RepeatScope,
+    RevenueDecay,
 )
 from limelatch.configuration.platform_form import read_platform
 from limelatch.membership.timing import Timing
 
 SEED_BYTES = 8
-MIN_SOCKETS = 64  # a relay of so few descriptors still has some for every party
-RESERVED_DESCRIPTORS = (
-    20  # descriptors for output, pipes, ledger, ports, catalog, platform, and files that are passing
-)
+MIN_SOCKETS = 64  # with so few descriptors, each use still gets some
+RESERVED_DESCRIPTORS = 20  # for output, pipes, ledger, ports, catalog, platform and temporary files
 
 
 @dataclass(frozen=True)
 class Names:
-    """The names on the wire, in the order of the module's numbers."""
+    """Names on the wire; the index of a name is its number in the policy module."""
 
     products: list[str]
     customers: list[str]
@@ -40,6 +38,8 @@
 
 @dataclass(frozen=True)
 class Address:
+    """An IPv4 address and a port."""
+
     host: str
     port: int
 
@@ -49,19 +49,23 @@
 
 @dataclass(frozen=True)
 class DescriptorShares:
-    """Of the descriptors, what each party may hold. A connection that was told to end holds its own until the
-    reactor has gone round: `closing` is for those of hosts, and operators' count twice.
+    """How many file descriptors each use of the relay may take.
 
-    Guards against clients whose connections take the descriptors of catalog, hosts, platform and ledger."""
+    A connection that is being closed keeps its descriptor until the end of the reactor's turn: `closing`
+    allows for those to hosts, and operators' connections count twice.
+
+    Guards against clients whose connections use up the descriptors of catalog, hosts, platform and ledger.
+    """
 
     hosts: int
     closing: int
     operators: int
-    clients: int  # that are served
-    max_clients: int  # with those on their way out
+    clients: int  # being served
+    max_clients: int  # including those being closed
 
     @classmethod
     def of(cls, sockets: int) -> DescriptorShares:
+        """Divide the descriptors of a process that runs alone."""
         clients, operators = sockets // 2, max(1, min(16, sockets // 64))
         left = sockets - clients - 2 * operators - RESERVED_DESCRIPTORS
         hosts = min(sockets // 4, left * 6 // 10)
@@ -70,30 +74,31 @@
 
     @classmethod
     def during_upgrade(cls, sockets: int) -> DescriptorShares:
-        """Of one of two processes of a relay, which share its descriptors in an upgrade.
+        """Divide the descriptors of one of the two processes that share a relay's limit during an upgrade.
 
-        A relay of fewer than twice SOCKETS_LEAST can't keep both within them."""
+        With a limit below twice MIN_SOCKETS the two together exceed it.
+        """
         return cls.of(max(MIN_SOCKETS, sockets // 2))
 
 
 @dataclass(frozen=True)
 class MembershipPlan:
-    """What a relay needs to take part among the others."""
+    """What a relay needs to exchange membership messages with the others."""
 
     listen: Address
     peers: list[Address]
-    number: int  # its own place among them
+    number: int  # its own index in `peers`
     zones: list[int]
     timing: Timing
 
 
 @dataclass(frozen=True)
 class RelayPlan:
-    """All that a relay on sockets is started with; spans are in tenths of a millisecond."""
+    """What a relay process is started with; spans are in tenths of a millisecond."""
 
     name: str
     listen: Address
-    operator_address: Address | None  # the operators' door; none: no door
+    operator_address: Address | None  # None: no operators' port
     catalog_address: Address
     state_dir: str
     log: Log
@@ -104,27 +109,29 @@
     max_memory_bytes: int
     sockets: int
     shares: DescriptorShares
-    max_client_bytes: int  # of commands that are not whole yet, of all clients together
-    client_command_timeout: int  # for a client's first command, and for the rest of a begun one
+    max_client_bytes: int  # of incomplete commands, for all clients together
+    client_command_timeout: int  # for a client's first command, and for the rest of an incomplete one
     client_idle_timeout: int  # between a client's commands
-    connect_timeout: int  # a connection to a host must be up by then
+    connect_timeout: int  # for connecting to a host
     probe_timeout: int
-    min_stop_time: int  # from SIGTERM to the exit at the earliest, since clients still come
-    max_stop_time: int  # and at the latest
-    notice_timeout: int  # for a notice's answer, then it is sent again
-    list_timeout: int  # for the first list at the start, then the known one serves
-    watch_timeout: int  # of the watch, then it is opened anew
-    reconnect_delay: int
-    given: Installation  # what it was made from
+    min_stop_time: int  # from SIGTERM to the earliest exit, since clients still connect for a while
+    max_stop_time: int  # from SIGTERM to the latest exit
+    notice_timeout: int  # for the answer to a notice, which is then sent again
+    list_timeout: int  # for the first list at the start; after that the known one is used
+    watch_timeout: int  # how long the catalog's watch may be silent before it is reopened
+    reconnect_delay: int  # before catalog or platform are tried again
+    given: Installation  # the configuration that the plan was made from
     membership: MembershipPlan | None = None
 
 
-def address_of(word: str) -> Address:
-    host, _, port = word.partition(":")
+def address_of(text: str) -> Address:
+    """Parse a checked address of the configuration."""
+    host, _, port = text.partition(":")
     return Address(host, int(port))
 
 
 def product_of(row: Product, falls: RevenueDecay) -> li.Product:
+    """Convert a product row to the policy module's product."""
     return li.Product(
         effect=row.effect,
         sla_time=row.sla_time,
@@ -139,7 +146,7 @@
 
 
 def terms_of(installation: Installation, seed: int) -> li.Terms:
-    """What the module is told when it starts."""
+    """Return the settings of the policy module."""
     limits, rules = installation.limits, installation.rules
     return li.Terms(
         seed=seed,
@@ -164,9 +171,12 @@
 
 
 def bench_terms(seed: int, settings: object) -> li.Terms:
-    """The terms of an instance that is told nothing but the platform's settings."""
-    anywhere = "0.0.0.0:0"
-    raw = {"listen": anywhere, "discovery": anywhere, "state": ".", "settings": settings}
+    """Return the settings of a policy module that is given only the platform's `settings` object.
+
+    Raises ConfigurationError if that can't be read.
+    """
+    placeholder = "0.0.0.0:0"
+    raw = {"listen": placeholder, "discovery": placeholder, "state": ".", "settings": settings}
     installation, errors, _ = read_platform(raw)
     if installation is None:
         raise ConfigurationError(errors)
@@ -174,7 +184,7 @@
 
 
 def names_of(installation: Installation) -> Names:
-    """What products, customers, floors, kinds of destination and report fields are called."""
+    """Collect the names of products, customers, zones, kinds of destination and reported fields."""
     return Names(
         products=[row.name for row in installation.products],
         customers=[row.name for row in installation.customers],
@@ -185,21 +195,21 @@
 
 
 def membership_of(membership: Membership) -> MembershipPlan | None:
-    """None where it is off."""
+    """Return the plan of the membership; None if it is off."""
     if not membership.on:
         return None
-    names = sorted(set(membership.zones))
+    zone_names = sorted(set(membership.zones))
     return MembershipPlan(
         listen=address_of(membership.listen),
         peers=[address_of(peer) for peer in membership.peers],
         number=membership.peers.index(membership.address or membership.listen),
-        zones=[names.index(zone) for zone in membership.zones],
+        zones=[zone_names.index(zone) for zone in membership.zones],
         timing=Timing(period=membership.probe_period, pause=membership.pause),
     )
 
 
 def plan_of(installation: Installation) -> RelayPlan:
-    """All that a relay on sockets needs, from its configuration."""
+    """Make the plan of a relay process from its configuration; without a configured seed, draw one."""
     relay, catalog, limits = installation.relay, installation.catalog, installation.limits
     seed = int(relay.seed, 16) if relay.seed else int.from_bytes(os.urandom(SEED_BYTES), "big")
     return RelayPlan(
--- a/limelatch/configuration/platform_form.py
+++ b/limelatch/configuration/platform_form.py
@@ -1,7 +1,7 @@
-"""The platform's JSON: its keys, words and units, and the way between them and the model.
+"""Converts between the platform's JSON and the model: keys, enum values and units.
 
-Where each key stands in that JSON is told beside it in `model`. A key that is absent or null gets its
-default, an unknown one is passed over, and a word that is not known means the safest thing.
+The path of each key in that JSON is given next to the key in `model`. A key that is absent or null gets its
+default, an unknown key is ignored, and an unknown enum value means the safest choice.
 """
 
 from __future__ import annotations
@@ -12,17 +12,18 @@
 from msgspec import inspect
 
 from limelatch.configuration.checks import conflicts
-from limelatch.configuration.errors import ConfigError, wrong
-from limelatch.configuration.model import RevenueDecay, Installation, RepeatScope, ListDelivery, RateQuality
+from limelatch.configuration.errors import ConfigError, invalid_value
+from limelatch.configuration.model import Installation, ListDelivery, RateQuality, RepeatScope, RevenueDecay
 from limelatch.configuration.reading import ADDRESS, Key, Reader, Unit, keys_of
 from limelatch.configuration.units import MEGABYTE, to_units
 from limelatch.interface import MS, Effect
 
-NUMBER_MOST = 1e15
+MAX_NUMBER = 1e15  # any unit
 EFFECTS = {"pure": Effect.RESENDABLE, "token": Effect.REFERENCED, "side_effect": Effect.ONCE_ONLY}
-# By key of the model: the platform's words, and what any other word means; None: it is a fault.
-WORDS = {
-    "products.effect": ({word: effect.value for word, effect in EFFECTS.items()}, Effect.ONCE_ONLY.value),
+# By path of a key in the model: its enum values in the platform's JSON, and the meaning of any other value;
+# None: any other value is an error.
+ENUM_VALUES = {
+    "products.effect": ({name: effect.value for name, effect in EFFECTS.items()}, Effect.ONCE_ONLY.value),
     "products.repeat_known": (
         {"all": RepeatScope.DESTINATION.value, "zone": RepeatScope.FLOOR.value},
         RepeatScope.FLOOR.value,
@@ -37,15 +38,16 @@
         RevenueDecay.LINE.value,
     ),
 }
-ADVICE, ADVICE_FLAG = "limits.advice", "settings.limits.retryAfter"
-BESIDE = ("kinds", "floors")  # whose keys are lists that stand beside each other
-ROWS = ("products", "customers")
-NAMED = "name"
+RETRY_AFTER_LIMIT = "limits.advice"
+RETRY_AFTER_FLAG = "settings.limits.retryAfter"
+COLUMN_TABLES = ("kinds", "floors")  # each of their keys is a list of its own; equal indexes make a row
+ROW_TABLES = ("products", "customers")  # a list of objects
+NAME_KEY = "name"
 
 
 def number(value: object) -> float:
-    """A number that is not negative; ValueError for any other, a truth value or NaN too."""
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < NUMBER_MOST:
+    """Return the value if it is a number that is not negative; raises ValueError, also for a bool or NaN."""
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < MAX_NUMBER:
         raise ValueError(value)
     return value
 
@@ -67,7 +69,7 @@
 
 
 def readable(key: Key, value: object) -> bool:
-    """Whether a value of the platform's can be a key's."""
+    """Tell whether the platform's value is valid for the key."""
     try:
         msgspec.convert(
             PLATFORM_UNITS[key.unit].read(value) if key.unit in PLATFORM_UNITS else value, key.annotated_type
@@ -78,153 +80,170 @@
 
 
 class Translation:
-    """The platform's object in the model's shape; `place` tells where a key of the model stands in it."""
+    """The platform's object, rearranged into the tables of the model.
+
+    `translated` is the result, still with the platform's units; `source_path` maps the path of a key in the
+    model to its path in the platform's object. What can't be rearranged is in `errors`.
+    """
 
     def __init__(self, raw: object) -> None:
-        self.raw, self.errors, self.places = raw, [], {}
-        self.broken: set[str] = set()
-        self.own = self._translate() if isinstance(raw, dict) else raw
-
-    def place(self, path: str) -> str:
-        return self.places.get(path, path)
-
-    def get(self, place: str) -> object:
-        """The value at a dotted path; None where it is absent. What is no object on the way is a fault."""
-        at, path = self.raw, ""
-        for name in place.split("."):
-            if not isinstance(at, dict):
+        self.raw, self.errors, self.source_paths = raw, [], {}
+        self.broken: set[str] = set()  # paths where an object is expected and something else was found
+        self.translated = self._translate() if isinstance(raw, dict) else raw
+
+    def source_path(self, path: str) -> str:
+        """Return the path in the platform's object of a key of the model."""
+        return self.source_paths.get(path, path)
+
+    def get(self, source: str) -> object:
+        """Return the value at a dotted path, None if it is absent.
+
+        Anything but an object on the way to it is an error.
+        """
+        value, path = self.raw, ""
+        for name in source.split("."):
+            if not isinstance(value, dict):
                 if path not in self.broken:
                     self.broken.add(path)
-                    self.errors.append(wrong(path, "an object", at))
+                    self.errors.append(invalid_value(path, "an object", value))
                 return None
-            at, path = at.get(name), f"{path}.{name}" if path else name
-            if at is None:
+            value, path = value.get(name), f"{path}.{name}" if path else name
+            if value is None:
                 return None
-        return at
+        return value
 
-    def _listed(self, place: str) -> list:
-        found = self.get(place)
+    def _list_at(self, source: str) -> list:
+        found = self.get(source)
         if found is not None and not isinstance(found, list):
-            self.errors.append(wrong(place, "a list", found))
+            self.errors.append(invalid_value(source, "a list", found))
             return []
         return found or []
 
     def _translate(self) -> dict:
-        own: dict[str, object] = {}
+        translated: dict[str, object] = {}
         for name, key in keys_of(Installation).items():
-            if name in ROWS:
+            if name in ROW_TABLES:
                 rows = self._rows(name, key)
                 if rows is not None:
-                    own[name] = rows
-            elif name in BESIDE:
-                own[name] = self._beside(name, key)
+                    translated[name] = rows
+            elif name in COLUMN_TABLES:
+                translated[name] = self._column_table(name, key)
             elif isinstance(key.type, inspect.StructType):
-                own[name] = self._table(name, key)
+                translated[name] = self._table(name, key)
             else:
-                self.places[name] = place = key.metadata["platform"]
-                if (value := self.get(place)) is not None:
-                    own[name] = value
-        return own
+                self.source_paths[name] = source = key.metadata["platform"]
+                if (value := self.get(source)) is not None:
+                    translated[name] = value
+        return translated
 
     def _table(self, table: str, key: Key) -> dict:
         found = {}
         for name, each in keys_of(key.type.cls).items():
             path = f"{table}.{name}"
-            self.places[path] = place = each.metadata["platform"]
-            value = said(path, self.get(place))
+            self.source_paths[path] = source = each.metadata["platform"]
+            value = model_value(path, self.get(source))
             if value is not None:
                 found[name] = value
         if table == "limits":
-            self._advice(found)
+            self._apply_retry_after_flag(found)
         elif table == "relay" and found.get("relays") == 0:
-            del found["relays"]  # it counts itself
+            del found["relays"]  # a relay counts itself: 0 becomes the default of 1
         elif table == "membership" and found.get("on") is not True:
-            # The platform names every relay's peers: that alone turns nothing on, and keeps no relay down.
+            # The platform lists peers for every relay. That alone does not turn membership on, and a wrong
+            # value must not keep a relay without membership from starting.
             keys = keys_of(key.type.cls)
             found = {name: value for name, value in found.items() if readable(keys[name], value)}
         elif table == "log" and isinstance(found.get("level"), str):
             found["level"] = found["level"].lower()
         return found
 
-    def _advice(self, limits: dict) -> None:
-        """Clients are told when to come again only where the platform says so."""
-        given = self.get(ADVICE_FLAG)
-        if given is not None and not isinstance(given, bool):
-            self.errors.append(wrong(ADVICE_FLAG, "true or false", given))
-        elif not given:
+    def _apply_retry_after_flag(self, limits: dict) -> None:
+        """Drop the limit of retry delays unless the platform allows relays to send them to clients."""
+        flag = self.get(RETRY_AFTER_FLAG)
+        if flag is not None and not isinstance(flag, bool):
+            self.errors.append(invalid_value(RETRY_AFTER_FLAG, "true or false", flag))
+        elif not flag:
             limits.pop("advice", None)
 
     def _rows(self, table: str, key: Key) -> list | None:
-        place = key.metadata["platform"]
-        self.places[table] = place
-        rows = self.get(place)
+        """Translate a list of objects; a value that is no list is left for the reader to report."""
+        source = key.metadata["platform"]
+        self.source_paths[table] = source
+        rows = self.get(source)
         if not isinstance(rows, list):
             return rows
         found = []
-        for at, row in enumerate(rows):
+        for index, row in enumerate(rows):
             if row is not None and not isinstance(row, dict):
-                self.places[f"{table}[{at}]"] = f"{place}[{at}]"
+                self.source_paths[f"{table}[{index}]"] = f"{source}[{index}]"
                 found.append(row)
                 continue
-            found.append(one := {NAMED: ""})
+            found.append(translated := {NAME_KEY: ""})
             for name, each in keys_of(key.type.item_type.cls).items():
-                path, word = f"{table}[{at}].{name}", each.metadata["platform"]
-                self.places[path] = f"{place}[{at}].{word}"
-                value = said(f"{table}.{name}", (row or {}).get(word))
-                if value is not None and (table == "products" or name == NAMED or is_share(value)):
-                    one[name] = value
+                path, source_name = f"{table}[{index}].{name}", each.metadata["platform"]
+                self.source_paths[path] = f"{source}[{index}].{source_name}"
+                value = model_value(f"{table}.{name}", (row or {}).get(source_name))
+                if value is not None and (table == "products" or name == NAME_KEY or is_share(value)):
+                    translated[name] = value
         return found
 
-    def _beside(self, table: str, key: Key) -> list[dict]:
-        """Rows whose keys are lists, one beside the other; a list that is too short leaves defaults."""
+    def _column_table(self, table: str, key: Key) -> list[dict]:
+        """Combine the lists of a table's columns to rows; where a list is too short, rows keep defaults."""
         columns = keys_of(key.type.item_type.cls)
-        lists = {name: self._listed(each.metadata["platform"]) for name, each in columns.items()}
-        self.places[table] = columns[NAMED].metadata["platform"]
+        lists = {name: self._list_at(each.metadata["platform"]) for name, each in columns.items()}
+        self.source_paths[table] = columns[NAME_KEY].metadata["platform"]
         rows: list[dict] = [{} for _ in range(max(len(each) for each in lists.values()))]
         for name, values in lists.items():
-            for at, value in enumerate(values):
-                self.places[f"{table}[{at}].{name}"] = f"{columns[name].metadata['platform']}[{at}]"
+            for index, value in enumerate(values):
+                self.source_paths[f"{table}[{index}].{name}"] = (
+                    f"{columns[name].metadata['platform']}[{index}]"
+                )
                 if isinstance(columns[name].type, inspect.BoolType):
                     value = value is True
-                rows[at][name] = value
+                rows[index][name] = value
         return rows
 
 
-def said(path: str, value: object) -> object:
-    """A value in the model's words."""
-    if path in WORDS and isinstance(value, str):
-        words, other = WORDS[path]
-        return words.get(value, value if other is None else other)
+def model_value(path: str, value: object) -> object:
+    """Convert the platform's enum value of a key to the model's; return other values unchanged."""
+    if path in ENUM_VALUES and isinstance(value, str):
+        names, default = ENUM_VALUES[path]
+        return names.get(value, value if default is None else default)
     return value
 
 
 def is_share(value: object) -> bool:
+    """Tell whether the value is a number from 0 to 1."""
     return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value <= 1
 
 
 def read_platform(raw: object) -> tuple[Installation | None, list[ConfigError], Reader]:
-    """The model of the platform's object, all that is wrong with it, and the reader with what was told."""
+    """Read the platform's object.
+
+    Returns the model, None if there are errors; the errors; the reader, which knows the keys that are set.
+    """
     translation = Translation(raw)
-    reader = Reader(PLATFORM_UNITS, strict=False, where=translation.place, errors=translation.errors)
-    found = reader.read(translation.own)
-    for each in conflicts(found, own=False) if found is not None else ():
+    reader = Reader(PLATFORM_UNITS, strict=False, where=translation.source_path, errors=translation.errors)
+    found = reader.read(translation.translated)
+    for each in conflicts(found, is_toml=False) if found is not None else ():
         found = None
-        reader.errors.append(ConfigError(translation.place(each.path), each.wanted))
-    broken = tuple(f"{path}." for path in translation.broken)  # what is missing there is told already
+        reader.errors.append(ConfigError(translation.source_path(each.path), each.message))
+    broken = tuple(f"{path}." for path in translation.broken)  # already reported: no object there
     return found, [each for each in reader.errors if not broken or not each.path.startswith(broken)], reader
 
 
-def put(raw: dict, place: str, value: object) -> None:
-    *tables, last = place.split(".")
+def put(raw: dict, path: str, value: object) -> None:
+    """Set the value at a dotted path, and add the objects on the way to it."""
+    *tables, last = path.split(".")
     for name in tables:
         raw = raw.setdefault(name, {})
     raw[last] = value
 
 
 def platform_value(path: str, key: Key, value: object) -> object:
-    """A value as the platform writes it."""
-    if path in WORDS:
-        return next(word for word, ours in WORDS[path][0].items() if ours == value.value)
+    """Convert a value to the platform's form."""
+    if path in ENUM_VALUES:
+        return next(name for name, model in ENUM_VALUES[path][0].items() if model == value.value)
     if key.unit in PLATFORM_UNITS and key.unit != "address":
         return PLATFORM_UNITS[key.unit].write(value)
     if isinstance(value, dict):
@@ -233,10 +252,10 @@
 
 
 def write_platform(installation: Installation) -> dict:
-    """The model as the platform's object, its every key told."""
+    """Write the model as the platform's object, with every key."""
     raw: dict = {}
     for path, key, value in tables_of(installation):
-        if path in ROWS:
+        if path in ROW_TABLES:
             rows = [
                 {
                     each.metadata["platform"]: platform_value(f"{path}.{name}", each, getattr(row, name))
@@ -245,21 +264,21 @@
                 for row in value
             ]
             put(raw, key.metadata["platform"], rows)
-        elif path in BESIDE:
+        elif path in COLUMN_TABLES:
             for name, each in keys_of(key.type.item_type.cls).items():
                 put(raw, each.metadata["platform"], [getattr(row, name) for row in value])
         elif value not in ("", {}):
             put(raw, key.metadata["platform"], platform_value(path, key, value))
-    put(raw, ADVICE_FLAG, installation.limits.advice > 0)
+    put(raw, RETRY_AFTER_FLAG, installation.limits.advice > 0)
     return raw
 
 
 def tables_of(installation: Installation) -> Iterator[tuple[str, Key, object]]:
-    """Every key that is not in a row, and every list of rows: its path, its description, its value."""
+    """Yield path, description and value of every key outside of rows, and of every list of rows."""
     for name, key in keys_of(Installation).items():
         value = getattr(installation, name)
         if isinstance(key.type, inspect.StructType):
-            for inner, each in keys_of(key.type.cls).items():
-                yield f"{name}.{inner}", each, getattr(value, inner)
+            for column, each in keys_of(key.type.cls).items():
+                yield f"{name}.{column}", each, getattr(value, column)
         else:
             yield name, key, value
--- a/limelatch/configuration/schema.py
+++ b/limelatch/configuration/schema.py
@@ -1,4 +1,4 @@
-"""JSON Schemas of both forms, from the model."""
+"""Makes the JSON Schemas of both configuration forms from the model."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 from msgspec import inspect
 
 from limelatch.configuration.model import FULL_SEED, Installation
-from limelatch.configuration.toml_form import toml_value
 from limelatch.configuration.platform_form import (
-    ADVICE_FLAG,
-    BESIDE,
-    ROWS,
+    COLUMN_TABLES,
+    ENUM_VALUES,
     PLATFORM_UNITS,
-    WORDS,
+    RETRY_AFTER_FLAG,
+    ROW_TABLES,
     platform_value,
 )
 from limelatch.configuration.reading import Key, keys_of
+from limelatch.configuration.toml_form import toml_value
 from limelatch.configuration.units import SIZE_PATTERN, SPAN_PATTERN
 
 DIALECT = "https://json-schema.org/draft/2020-12/schema"
-ADDRESS_FORM = r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$"
-OWN_UNITS = {"span": SPAN_PATTERN, "size": SIZE_PATTERN, "address": ADDRESS_FORM}
+ADDRESS_PATTERN = r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$"
+TOML_PATTERNS = {"span": SPAN_PATTERN, "size": SIZE_PATTERN, "address": ADDRESS_PATTERN}
 
 
 def schema_of(form: str) -> dict:
-    """The schema of `toml` or `json`."""
-    tables = own_table(Installation) if form == "toml" else platform_object()
+    """Return the schema of the form `toml` or `json`."""
+    tables = toml_table(Installation) if form == "toml" else platform_object()
     return {"$schema": DIALECT, "title": f"limelatch, {form}"} | tables
 
 
-def leaf(key: Key) -> dict:
-    """A key's schema by its type alone."""
+def type_schema(key: Key) -> dict:
+    """Return the schema of a key's type, without description and default."""
     found = msgspec.json.schema(key.annotated_type)
     while "$ref" in found:  # an enumeration
         found = {
@@ -41,10 +41,11 @@
     return {name: each for name, each in found.items() if name not in ("$defs", "default")}
 
 
-def own_leaf(key: Key) -> dict:
-    found = leaf(key) if not isinstance(key.type, inspect.DictType) else {"type": "object"}
-    if key.unit in OWN_UNITS:
-        found = {"type": "string", "pattern": OWN_UNITS[key.unit]}
+def toml_key(key: Key) -> dict:
+    """Return the schema of a key in TOML."""
+    found = type_schema(key) if not isinstance(key.type, inspect.DictType) else {"type": "object"}
+    if key.unit in TOML_PATTERNS:
+        found = {"type": "string", "pattern": TOML_PATTERNS[key.unit]}
     if key.metadata.get("form") is FULL_SEED:
         found["pattern"] = f"^({FULL_SEED.pattern})?$"
     if key.description:
@@ -54,38 +55,40 @@
     return found
 
 
-def own_table(table: type[msgspec.Struct]) -> dict:
-    properties, needed = {}, []
+def toml_table(table: type[msgspec.Struct]) -> dict:
+    """Return the schema of a table in TOML."""
+    properties, required = {}, []
     for name, key in keys_of(table).items():
         row = getattr(key.type, "item_type", None)
         if key.metadata.get("own", True) is False:
             continue
         if isinstance(key.type, inspect.StructType):
-            properties[name] = own_table(key.type.cls)
+            properties[name] = toml_table(key.type.cls)
         elif isinstance(row, inspect.StructType):
-            properties[name] = {"type": "array", "items": own_table(row.cls)}
+            properties[name] = {"type": "array", "items": toml_table(row.cls)}
             if key.type.min_length:
                 properties[name]["minItems"] = key.type.min_length
         else:
-            properties[name] = own_leaf(key)
+            properties[name] = toml_key(key)
         if key.required:
-            needed.append(name)
+            required.append(name)
     found = {"type": "object", "properties": properties, "additionalProperties": False}
     if table.__doc__:
         found["description"] = table.__doc__.split("\n")[0]
-    return found | ({"required": needed} if needed else {})
+    return found | ({"required": required} if required else {})
 
 
-def platform_leaf(path: str, key: Key) -> dict:
+def platform_key(path: str, key: Key) -> dict:
+    """Return the schema of a key in the platform's JSON; `path` is its path in the model."""
     found = (
         {"type": "number", "minimum": 0}
         if key.unit in PLATFORM_UNITS and key.unit != "address"
-        else leaf(key)
+        else type_schema(key)
     )
     if key.unit == "address":
-        found = {"type": "string", "pattern": ADDRESS_FORM}
-    if path in WORDS:
-        found = {"type": "string", "examples": list(WORDS[path][0])}
+        found = {"type": "string", "pattern": ADDRESS_PATTERN}
+    if path in ENUM_VALUES:
+        found = {"type": "string", "examples": list(ENUM_VALUES[path][0])}
     if key.description:
         found["description"] = key.description
     if not key.required and key.default not in ("", {}):
@@ -94,22 +97,22 @@
 
 
 def platform_object() -> dict:
-    """The platform's one object; keys that are not named there are passed over, so others may stand in it."""
+    """Return the schema of the platform's object; it allows other keys, which relays ignore."""
     top: dict = {"type": "object", "properties": {}}
 
-    def put(place: str, schema: dict, needed: bool = False) -> None:
-        *tables, last = place.split(".")
-        at = top
+    def put(path: str, schema: dict, required: bool = False) -> None:
+        *tables, last = path.split(".")
+        parent = top
         for name in tables:
-            at = at["properties"].setdefault(name, {"type": "object", "properties": {}})
-        at["properties"][last] = schema
-        if needed:
-            at.setdefault("required", []).append(last)
+            parent = parent["properties"].setdefault(name, {"type": "object", "properties": {}})
+        parent["properties"][last] = schema
+        if required:
+            parent.setdefault("required", []).append(last)
 
     for name, key in keys_of(Installation).items():
-        if name in ROWS:
+        if name in ROW_TABLES:
             columns = {
-                each.metadata["platform"]: platform_leaf(f"{name}.{column}", each)
+                each.metadata["platform"]: platform_key(f"{name}.{column}", each)
                 for column, each in keys_of(key.type.item_type.cls).items()
             }
             rows = {"type": "array", "items": {"type": "object", "properties": columns}}
@@ -118,20 +121,20 @@
                 rows | ({"minItems": 1} if key.type.min_length else {}),
                 key.required,
             )
-        elif name in BESIDE:
+        elif name in COLUMN_TABLES:
             for each in keys_of(key.type.item_type.cls).values():
-                items = {"type": "number"} if each.unit == "count" else leaf(each)
+                items = {"type": "number"} if each.unit == "count" else type_schema(each)
                 put(
                     each.metadata["platform"],
                     {"type": "array", "items": items, "description": each.description},
                 )
         elif isinstance(key.type, inspect.StructType):
             for column, each in keys_of(key.type.cls).items():
-                put(each.metadata["platform"], platform_leaf(f"{name}.{column}", each), each.required)
+                put(each.metadata["platform"], platform_key(f"{name}.{column}", each), each.required)
         else:
             put(key.metadata["platform"], {"type": "object", "description": key.description})
     put(
-        ADVICE_FLAG,
-        {"type": "boolean", "default": False, "description": "whether clients are told when to come again"},
+        RETRY_AFTER_FLAG,
+        {"type": "boolean", "default": False, "description": "whether nacks give clients a retry delay"},
     )
     return top
--- a/limelatch/configuration/units.py
+++ b/limelatch/configuration/units.py
@@ -1,6 +1,7 @@
-"""Spans and sizes: how people write them, and what the program counts in.
+"""Reads and writes spans of time and sizes, such as `250ms` and `192MB`.
 
-A span is counted in tenths of a millisecond, a size in bytes (1 kB is 1,000 bytes, 1 KiB 1,024).
+The program counts spans in tenths of a millisecond, called ticks here, and sizes in bytes (1 kB is 1,000
+bytes, 1 KiB 1,024).
 """
 
 from __future__ import annotations
@@ -12,50 +13,50 @@
 
 SPAN_PATTERN = r"^([0-9]+(\.[0-9]+)?(us|ms|s|m|h|d))+$"
 SIZE_PATTERN = r"^[0-9]+(\.[0-9]+)? ?(B|kB|KB|MB|GB|KiB|MiB|GiB)$"
-TICK = timedelta(microseconds=100)
+TICK = timedelta(microseconds=100)  # the unit of all spans
 SCALES = ((1_000_000_000, "GB"), (1_000_000, "MB"), (1_000, "kB"))
 MEGABYTE = 1_000_000
 
 
 def to_units(ms: float) -> int:
-    """Milliseconds as tenths of a millisecond."""
+    """Convert milliseconds to tenths of a millisecond."""
     return round(ms * MS)
 
 
-def read_span(word: str) -> int:
-    """A span such as `250ms`, `2s` or `1h30m` in tenths of a millisecond; raises ValueError."""
-    import durationpy  # here and below: the relay on a platform's JSON needs neither
+def read_span(text: str) -> int:
+    """Convert a span such as `250ms`, `2s` or `1h30m` to tenths of a millisecond; raises ValueError."""
+    import durationpy  # imported late, as humanfriendly below: with the platform's JSON a relay needs neither
 
-    if not isinstance(word, str) or len(word) > 40 or not re.match(SPAN_PATTERN, word):
-        raise ValueError(word)
+    if not isinstance(text, str) or len(text) > 40 or not re.match(SPAN_PATTERN, text):
+        raise ValueError(text)
     try:
-        ticks, rest = divmod(durationpy.from_str(word), TICK)
+        ticks, rest = divmod(durationpy.from_str(text), TICK)
     except (durationpy.DurationError, OverflowError) as error:
-        raise ValueError(word) from error
+        raise ValueError(text) from error
     if rest:
-        raise ValueError(f"{word} is finer than a tenth of a millisecond")
+        raise ValueError(f"{text} is finer than a tenth of a millisecond")
     return ticks
 
 
 def write_span(ticks: int) -> str:
-    """Tenths of a millisecond as `read_span` reads them."""
+    """Format tenths of a millisecond so that `read_span` reads them back."""
     import durationpy
 
     return durationpy.to_str(ticks * TICK) if ticks else "0s"
 
 
-def read_size(word: str) -> int:
-    """A size such as `192MB` in bytes; raises ValueError."""
+def read_size(text: str) -> int:
+    """Convert a size such as `192MB` to bytes; raises ValueError."""
     import humanfriendly
 
-    if not isinstance(word, str) or len(word) > 40 or not re.match(SIZE_PATTERN, word):
-        raise ValueError(word)
-    return humanfriendly.parse_size(word)
+    if not isinstance(text, str) or len(text) > 40 or not re.match(SIZE_PATTERN, text):
+        raise ValueError(text)
+    return humanfriendly.parse_size(text)
 
 
-def write_size(count: int) -> str:
-    """Bytes as `read_size` reads them, in the largest unit that is exact."""
+def write_size(byte_count: int) -> str:
+    """Format bytes in the largest unit that is exact, so that `read_size` reads them back."""
     for scale, unit in SCALES:
-        if count and count % scale == 0:
-            return f"{count // scale}{unit}"
-    return f"{count}B"
+        if byte_count and byte_count % scale == 0:
+            return f"{byte_count // scale}{unit}"
+    return f"{byte_count}B"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -64,7 +64,7 @@
         ("limits.sockets", 11),
         ("limits.memory", 12),
     ]
-    assert "not 'x'" in found[0].wanted and "64" in found[2].wanted
+    assert "got 'x'" in found[0].message and "64" in found[2].message
 
 
 @pytest.mark.parametrize(
@@ -79,7 +79,7 @@
 )
 def test_an_unknown_key_of_peoples_own_form_names_the_nearest(file, line, named):
     (fault,) = faults(file(SMALL + line))
-    assert named in fault.wanted and fault.line >= 8
+    assert named in fault.message and fault.line >= 8
 
 
 def test_the_platforms_json_passes_over_unknown_keys_and_null(file):
@@ -103,14 +103,14 @@
         (b"", "a.toml", "empty"),
         (b" \n", "a.json", "empty"),
         (b"\xff\xfe{}", "a.json", "not UTF-8"),
-        (b'{"a":1,"b":{"c":1,"c":2}}', "a.json", "'c' stands twice"),
+        (b'{"a":1,"b":{"c":1,"c":2}}', "a.json", "'c' occurs twice"),
         (b"[a]\nb=1\nb=2\n", "a.toml", "line 3"),
         (b'{"a": NaN}', "a.json", "NaN"),
         (b'{"a": -Infinity}', "a.json", "Infinity"),
         (b"[" * 100_000, "a.json", "nested too deeply"),
         (b"a = " + b"[" * 100_000, "a.toml", "nested too deeply"),
         (b"a." * 100_000 + b"b = 1", "a.toml", "nested too deeply"),
-        (b'{"a": ' + b"9" * 5000 + b"}", "a.json", "no JSON"),
+        (b'{"a": ' + b"9" * 5000 + b"}", "a.json", "invalid JSON"),
         (b"{", "a.json", "(line 1)"),
         (b"[products]\nname = 3\n" * 3, "a.toml", "line 3"),
         (b"x" * (MAX_JSON_BYTES + 1), "a.json", "at most"),
@@ -251,7 +251,7 @@
 
 @given(rows(Installation))
 def test_what_is_written_in_either_form_reads_the_same(installation):
-    assume(not conflicts(installation, own=False))
+    assume(not conflicts(installation, is_toml=False))
     own = parse_toml("x", write_toml(installation, set(), whole=True))
     reader = Reader(TOML_UNITS, strict=True)
     assert reader.read(own) == installation, reader.errors
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -59,13 +59,13 @@
 @pytest.mark.parametrize(
     "peers, wanted",
     [
-        (PEERS + PEERS[:1], "stands 2 times"),
+        (PEERS + PEERS[:1], "occurs 2 times"),
         (["10.0.0.3:7946", "10.0.0.5:7946"], "own address 10.0.0.4:7946 is not among them"),
-        (["10.0.0.4:7946"], "2 to 1856 addresses are wanted, 1 found"),
-        ([], "0 found"),
-        ([*PEERS, "nowhere"], "'nowhere' is no address"),
-        ([*PEERS, "10.0.0.300:1"], "is no address"),
-        ([f"10.0.{number >> 8}.{number & 255}:7946" for number in range(2000)], "2000 found"),
+        (["10.0.0.4:7946"], "expected 2 to 1856 addresses, 1 given"),
+        ([], "0 given"),
+        ([*PEERS, "nowhere"], "'nowhere' is not an address"),
+        ([*PEERS, "10.0.0.300:1"], "is not an address"),
+        ([f"10.0.{number >> 8}.{number & 255}:7946" for number in range(2000)], "2000 given"),
     ],
 )
 def test_a_list_of_peers_that_can_not_be_is_named_with_its_line(tmp_path, peers, wanted):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -399,9 +399,9 @@
 @pytest.mark.parametrize(
     "broken, why",
     [
-        (DIGEST | {"deadline": 0}, "settings.classes[1].deadline: a validity period over 0"),
-        ({"name": "digest", "deadline": 9000}, "settings.classes[1].effect: is wanted"),
-        ({"name": "digest", "effect": "pure"}, "settings.classes[1].deadline: is wanted"),
+        (DIGEST | {"deadline": 0}, "settings.classes[1].deadline: expected a validity period over 0"),
+        ({"name": "digest", "deadline": 9000}, "settings.classes[1].effect: is required"),
+        ({"name": "digest", "effect": "pure"}, "settings.classes[1].deadline: is required"),
     ],
 )
 def test_a_broken_new_configuration_leaves_the_settings_whole(program, agent, party, broken, why):
