--- a/limelatch/configuration/errors.py
+++ b/limelatch/configuration/errors.py
@@ -41,4 +41,4 @@
 
 def invalid_value(path: str, expected: str, value: object) -> ConfigError:
     """Return the error for a value that is not what the key expects."""
-    return ConfigError(path, f"expected {expected}, got {shown(value)}")
+    return ConfigError(path, f"{expected} is expected, not {shown(value)}")
--- a/limelatch/events.py
+++ b/limelatch/events.py
@@ -1,6 +1,6 @@
-"""Every event that the relay logs: its part, its level, when it is said and what its fields mean.
+"""Lists every event that the relay logs: its part, its level, when it is logged, and its fields.
 
-`docs/operators/logs.md` is made from this list.
+The operators' page `docs/operators/logs.md` is made from this list.
 """
 
 from __future__ import annotations
@@ -10,396 +10,431 @@
 
 
 class Event(NamedTuple):
+    """A kind of log line; `fields` maps the name of each field to its description."""
+
     part: str
     level: int
     description: str
     fields: dict[str, str]
 
 
-HOST, OWED, CALLS = "the host, as the catalog names it", "texts whose end is still owed", "calls that are out"
-WHY, PEER, TEXT = "the reason", "the client's address", "its id"
-KEY = "of its order, where its product has one"
-HELD_DOWN = "so many more were left out in the second before"  # of events that anybody outside can cause
+HOST = "the host, by its name in the catalog"
+OWED = "texts that are accepted and not finished"
+CALLS = "calls in flight"
+WHY = "the reason"
+PEER = "the client's address"
+TEXT = "its id"
+KEY = "its ordering key, if its product has one"
+LEFT_OUT = "how many more such events the second before had"  # in events whose rate is limited
 MEMBER = {
     "member": "its address in `membership.peers`",
-    "incarnation": "of its process",
+    "incarnation": "incarnation of its process",
     "why": WHY,
-    "after_ms": "since the first sign of it",
-    "left_out": HELD_DOWN,
+    "after_ms": "time since the first sign of the change",
+    "left_out": LEFT_OUT,
 }
 
 EVENTS = {
     "started": Event(
         "driver",
         INFO,
-        "the folder that lasts has been read",
+        "the state directory has been read",
         {"owed": OWED, "hosts": "hosts on the known list", "ledger_bytes": "size of the ledger"},
     ),
     "waiting": Event(
         "driver",
         INFO,
-        "the relay does not serve yet",
-        {"on": "what it waits for", "most_ms": "after which it serves without"},
+        "the relay does not accept clients yet",
+        {"on": "what it waits for", "most_ms": "longest wait; then it starts without"},
     ),
     "serving": Event(
         "driver",
         INFO,
-        "clients are taken from here on",
+        "the relay accepts clients from now on",
         {
             "listen": "the address",
             "hosts": "hosts on the list",
-            "fresh_list": "whether the catalog has told it since the start",
+            "fresh_list": "whether the list has come from the catalog since the start",
         },
     ),
     "configured": Event(
         "driver",
         INFO,
-        "a new configuration has been taken (SIGHUP)",
+        "a new configuration has been applied (SIGHUP)",
         {
-            "catalog": "where catalog and platform are now",
+            "catalog": "address of catalog and platform from now on",
             "owed": OWED,
-            "products": "in force from now on",
-            "submits": "for one text, from now on",
-            "restart_for": "changed keys that wait for a restart",
+            "products": "number of products from now on",
+            "submits": "submits allowed for one text from now on",
+            "restart_for": "changed keys that take effect after a restart",
         },
     ),
     "stopping": Event(
         "driver",
         INFO,
-        "SIGTERM has come: nothing new is taken",
+        "SIGTERM was received: no new texts are accepted",
         {
             "owed": OWED,
             "calls": CALLS,
-            "handed_over": "whether a new process serves beside it and takes the clients",
+            "handed_over": "whether a new process of this relay takes over the clients",
         },
     ),
-    "stopped": Event("driver", INFO, "the relay ends", {"owed": OWED, "calls": CALLS}),
+    "stopped": Event("driver", INFO, "the relay exits", {"owed": OWED, "calls": CALLS}),
     "port-taken": Event(
         "driver",
         WARNING,
-        "the clients' port is in use at the start; it is tried for 1 s",
+        "the clients' port is in use at the start; it is retried for 1 s",
         {"listen": "the address", "why": WHY},
     ),
     "not-serving": Event(
-        "driver", ERROR, "clients can't be taken; the relay ends", {"listen": "the address", "why": WHY}
+        "driver",
+        ERROR,
+        "the clients' port can't be opened; the relay exits",
+        {"listen": "the address", "why": WHY},
     ),
     "ledger-cut": Event(
         "driver",
         WARNING,
-        "the end of an earlier process tore a record, and the tail was cut",
-        {"bytes": "that were cut"},
+        "the ledger ended in an incomplete record of an earlier process, which was removed",
+        {"bytes": "bytes removed"},
     ),
     "folder-failing": Event(
         "ledger",
         ERROR,
-        "the folder takes no more: no text is taken on and no call goes out until it does",
-        {"why": "call, errno and path", "bytes": "that wait to be written", "left_out": HELD_DOWN},
+        "the state directory can't be written: until it can, no text is accepted and no call is sent",
+        {
+            "why": "system call, errno and path",
+            "bytes": "bytes that wait to be written",
+            "left_out": LEFT_OUT,
+        },
     ),
     "folder-mended": Event(
         "ledger",
         WARNING,
-        "what waited has been written; texts are taken on and calls go out again",
-        {"after_ms": "since the first failure"},
+        "the waiting data has been written; texts are accepted and calls are sent again",
+        {"after_ms": "time since the first failure"},
     ),
     "known-list-not-read": Event(
-        "driver", WARNING, "the known list of the configuration is passed over", {"why": WHY}
+        "driver", WARNING, "the known list in the configuration can't be read and is ignored", {"why": WHY}
     ),
     "product-unknown": Event(
         "driver",
         WARNING,
-        "an owed text's product is not in the configuration any more; it ends undeliverable",
+        "the product of an accepted text is no longer configured; the text ends as undeliverable",
         {"product": "its name"},
     ),
     "text-taken": Event(
         "driver",
         DEBUG,
-        "a text was taken on",
+        "a text was accepted",
         {
             "text": TEXT,
             "key": KEY,
-            "destination": "its number",
-            "valid_ms": "for how long it may be delivered",
+            "destination": "number of its destination",
+            "valid_ms": "how long it may still be delivered",
         },
     ),
     "text-refused": Event(
         "driver",
         DEBUG,
-        "a text was not taken on",
-        {"text": TEXT, "why": WHY, "wait_ms": "after which to come again, where told"},
+        "a text was rejected",
+        {"text": TEXT, "why": WHY, "wait_ms": "the retry delay given to the client, if any"},
     ),
     "submit-going": Event(
         "driver",
         DEBUG,
-        "a submit is written to a host",
-        {"text": TEXT, "key": KEY, "host": HOST, "submit": "its number for the text, the first is 1"},
+        "a submit is sent to a host",
+        {"text": TEXT, "key": KEY, "host": HOST, "submit": "the number of the submit, from 1"},
     ),
     "submit-held": Event(
         "driver",
         DEBUG,
-        "the connection for a submit has come up, and its key's turn is another text's",
+        "the connection for a submit is ready, but its ordering key does not allow it to be sent yet",
         {
             "text": TEXT,
             "key": KEY,
             "host": HOST,
-            "why": "line, sibling (the other process in an upgrade) or rest",
+            "why": "line: an earlier text of the key is first; sibling: so is one of the other process in an "
+            "upgrade; rest: the cooldown of the key",
         },
     ),
     "submit-ended": Event(
         "driver",
         DEBUG,
-        "a submit has its outcome",
+        "a submit has ended",
         {
             "text": TEXT,
             "key": KEY,
             "host": HOST,
             "result": "how it ended",
-            "took_ms": "since it was sent",
-            "wait_ms": "told by the host",
-            "rest_ms": "for which later texts of its key wait, since the call may still run",
+            "took_ms": "time since it was sent",
+            "wait_ms": "the retry delay given by the host",
+            "rest_ms": "how long later texts of its key wait, since the call may still be running",
         },
     ),
     "text-ended": Event(
         "driver",
         DEBUG,
-        "a text that was taken on ends undelivered: its notice is owed",
-        {"text": TEXT, "result": "dead or bounced", "left_ms": "of its validity period"},
+        "an accepted text ends undelivered; its notice will be sent",
+        {"text": TEXT, "result": "dead or bounced", "left_ms": "time left of its validity period"},
     ),
     "ended-late": Event(
         "driver",
         WARNING,
-        "the platform took a text's notice after the text's validity period",
-        {"text": TEXT, "by_ms": "how much later", "left_out": HELD_DOWN},
+        "the platform accepted a text's notice after the text's validity period",
+        {"text": TEXT, "by_ms": "how much later", "left_out": LEFT_OUT},
     ),
     "probe-ended": Event(
         "driver",
         INFO,
-        "a probe of a host has its outcome",
+        "a probe of a host has ended",
         {
             "host": HOST,
             "result": "how it ended",
-            "x0": "share of the limit left, where told",
-            "x1": "the limit in calls a second, where told",
+            "x0": "share of the limit that is left, if reported",
+            "x1": "the limit in calls per second, if reported",
         },
     ),
     "not-configured": Event(
         "main",
         ERROR,
-        "a new configuration was not taken; the one in force stays whole",
-        {"why": "every fault, by key"},
+        "a new configuration was rejected; the whole current one stays in force",
+        {"why": "every error, by key"},
     ),
     "descriptors-few": Event(
         "main",
         WARNING,
-        "the process may hold fewer descriptors than `limits.sockets`; their shares are of these",
-        {"sockets": "as configured", "limit": "of the process"},
+        "the process may open fewer descriptors than `limits.sockets`; the relay divides this lower number",
+        {"sockets": "the configured number", "limit": "the limit of the process"},
     ),
-    "not-started": Event("main", ERROR, "the relay can't start; it ends", {"trace": "where"}),
+    "not-started": Event("main", ERROR, "the relay can't start and exits", {"trace": "the traceback"}),
     "mode": Event(
         "policy",
         INFO,
-        "the module has changed its mind on a host",
-        {"host": HOST, "change": "to what, with the figures that caused it"},
+        "the policy has changed its state of a host",
+        {"host": HOST, "change": "the new state, with the figures that caused it"},
     ),
     "command-bad": Event(
         "clients",
         WARNING,
-        "a client's command can't be carried out; it got an error",
-        {"why": WHY, "peer": PEER, "left_out": HELD_DOWN},
+        "a client's command is invalid; it got an error",
+        {"why": WHY, "peer": PEER, "left_out": LEFT_OUT},
     ),
     "client-ended": Event(
         "clients",
         WARNING,
         "a client's connection was closed by the relay",
-        {"why": "garbled, crowded or silent", "peer": PEER, "left_out": HELD_DOWN},
+        {"why": "garbled, crowded or silent", "peer": PEER, "left_out": LEFT_OUT},
     ),
     "accept-failed": Event(
         "clients",
         WARNING,
-        "new connections can't be accepted; they wait, and it is tried again after 10 ms",
-        {"why": WHY, "left_out": HELD_DOWN},
+        "new connections can't be accepted; they wait until the next attempt after 10 ms",
+        {"why": WHY, "left_out": LEFT_OUT},
     ),
     "connection-not-served": Event(
-        "clients", ERROR, "a new connection was closed by a fault in the program itself", {"trace": "where"}
+        "clients",
+        ERROR,
+        "a new connection was closed because of a bug in the relay",
+        {"trace": "the traceback"},
     ),
     "answer-not-read": Event(
         "hosts",
         WARNING,
-        "a host's answer can't be read; its texts may have run",
-        {"host": HOST, "why": WHY, "left_out": HELD_DOWN},
+        "a host's response can't be read; its texts may have been processed",
+        {"host": HOST, "why": WHY, "left_out": LEFT_OUT},
     ),
     "host-connection-bad": Event(
         "hosts",
         WARNING,
-        "a connection to a host ended badly",
+        "a connection to a host ended with an error",
         {
             "host": HOST,
-            "why": "garbled: it sent what can't be read; crowded: the table is full",
-            "left_out": HELD_DOWN,
+            "why": "garbled: it sent invalid data; crowded: too many connections",
+            "left_out": LEFT_OUT,
         },
     ),
     "host-connection-ended": Event(
-        "hosts", DEBUG, "a connection to a host is over", {"host": HOST, "why": "how it ended"}
+        "hosts", DEBUG, "a connection to a host has ended", {"host": HOST, "why": "how it ended"}
     ),
     "catalog-lost": Event(
         "catalog",
         WARNING,
-        "the watch has ended; the list held stays, and it is opened anew",
-        {"why": "how it ended", "index": "of the list held"},
+        "the watch has ended; the relay keeps its list and reopens the watch",
+        {"why": "how it ended", "index": "index of that list"},
     ),
-    "list-not-read": Event("catalog", WARNING, "what the catalog told can't be read", {"why": WHY}),
+    "list-not-read": Event("catalog", WARNING, "a message of the catalog can't be read", {"why": WHY}),
     "kind-unknown": Event(
         "catalog",
         WARNING,
-        "a host was left out: its kind is not in the configuration",
-        {"host": HOST, "kind": "its kind", "left_out": HELD_DOWN},
+        "a host is ignored: its kind is not in the configuration",
+        {"host": HOST, "kind": "its kind", "left_out": LEFT_OUT},
     ),
     "row-not-read": Event(
         "catalog",
         WARNING,
-        "a host was left out, or stays as it was: its row is beyond the directory's bounds",
-        {"host": HOST, "why": WHY, "left_out": HELD_DOWN},
+        "a host's row is out of bounds: the host is ignored, or stays as it was",
+        {"host": HOST, "why": WHY, "left_out": LEFT_OUT},
+    ),
+    "copy-not-read": Event(
+        "catalog",
+        WARNING,
+        "the state directory's copy of the list can't be read and is ignored",
+        {"why": WHY},
     ),
-    "copy-not-read": Event("catalog", WARNING, "the folder's copy of the list is passed over", {"why": WHY}),
     "copy-not-written": Event(
-        "catalog", WARNING, "the folder keeps no new copy of the list; it is tried again", {"why": WHY}
+        "catalog",
+        WARNING,
+        "the copy of the list can't be written to the state directory; it is retried",
+        {"why": WHY},
     ),
     "no-list": Event(
         "driver",
         ERROR,
-        "a text was turned back: no list of hosts could be read so far",
-        {"why": WHY, "left_out": HELD_DOWN},
+        "a text was rejected: no list of hosts has been read so far",
+        {"why": WHY, "left_out": LEFT_OUT},
     ),
     "platform-lost": Event(
         "platform",
         WARNING,
-        "the connection for notices has ended; they go again",
-        {"why": "how it ended", "owed": "notices not answered"},
+        "the connection for notices has ended; notices without an answer are sent again",
+        {"why": "how it ended", "owed": "notices without an answer"},
     ),
     "notices-not-taken": Event(
         "platform",
         ERROR,
-        "the platform answered notices with another status than 204",
-        {"status": "the status", "notices": "in that request"},
+        "the platform answered notices with a status other than 204",
+        {"status": "the HTTP status", "notices": "notices in that request"},
     ),
     "text-adopted": Event(
         "driver",
         DEBUG,
-        "a text that an earlier process took on is this one's now",
+        "this process has taken over a text that an earlier one accepted",
         {
             "text": TEXT,
             "key": KEY,
-            "submits": "so far",
-            "out": "whether the last one had no outcome yet",
-            "ran": "whether one may have run",
-            "answered": "whether its final answer was given",
+            "submits": "submits so far",
+            "out": "whether the last one was still in flight",
+            "ran": "whether one may have been processed",
+            "answered": "whether its final result is known",
         },
     ),
     "taken-over": Event(
         "driver",
         INFO,
-        "an upgrade: the process before has ended; its folder and what it owed are this one's",
-        {"owed": OWED, "adopted": "texts that the process before still owed"},
+        "upgrade: the previous process has ended; this one has taken over the state directory and its texts",
+        {"owed": OWED, "adopted": "texts that the previous process had not finished"},
     ),
     "call-bad": Event(
         "door",
         WARNING,
-        "an operator's call can't be carried out; it got an error",
-        {"why": WHY, "peer": "the caller's address", "left_out": HELD_DOWN},
+        "an operator's command is invalid; it got an error",
+        {"why": WHY, "peer": "the caller's address", "left_out": LEFT_OUT},
     ),
     "out-not-read": Event(
-        "door", WARNING, "the file of the hosts out by hand can't be read; none is out", {"why": WHY}
+        "door", WARNING, "the file of suspended hosts can't be read; no host is suspended", {"why": WHY}
     ),
     "paused": Event(
-        "clients", INFO, "PAUSE: PING says no; connections close between requests", {"owed": OWED}
+        "clients",
+        INFO,
+        "PAUSE: PING is answered with an error; connections are closed between requests",
+        {"owed": OWED},
     ),
-    "resumed": Event("clients", INFO, "RESUME: PING says yes again", {"owed": OWED}),
+    "resumed": Event("clients", INFO, "RESUME: PING is answered normally again", {"owed": OWED}),
     "membership-joined": Event(
         "membership",
         INFO,
-        "this relay takes part among the others",
-        {"member": "its own address", "incarnation": "of this process"},
+        "this relay has joined the other relays",
+        {"member": "its own address", "incarnation": "incarnation of this process"},
     ),
-    "member-alive": Event("membership", INFO, "another relay is there", MEMBER),
+    "member-alive": Event("membership", INFO, "another relay is alive", MEMBER),
     "member-suspect": Event("membership", WARNING, "another relay does not answer", MEMBER),
-    "member-dead": Event("membership", WARNING, "another relay is taken for dead", MEMBER),
-    "member-left": Event("membership", INFO, "another relay has ended in order", MEMBER),
+    "member-dead": Event("membership", WARNING, "another relay counts as dead", MEMBER),
+    "member-left": Event("membership", INFO, "another relay has left on a planned stop", MEMBER),
     "membership-isolated": Event(
         "membership",
         WARNING,
-        "no relay answers this one, which judges none while it is so; or it is answered again",
+        "no relay answers this one, which suspects none meanwhile; or one answers again",
         {
-            "why": "deaf: nothing is heard; unanswered: others are heard; answered: it is over",
-            "after_ms": "since the last answer",
-            "left_out": HELD_DOWN,
+            "why": "deaf: nothing is received; unanswered: messages are received, but no answers; answered: "
+            "it is over",
+            "after_ms": "time since the last answer",
+            "left_out": LEFT_OUT,
         },
     ),
     "membership-not-listening": Event(
         "membership",
         ERROR,
-        "the socket for the other relays can't be bound; it is tried again",
-        {"listen": "the address", "why": WHY, "left_out": HELD_DOWN},
+        "the UDP socket for membership can't be bound; it is retried",
+        {"listen": "the address", "why": WHY, "left_out": LEFT_OUT},
     ),
     "datagram-dropped": Event(
         "membership",
         WARNING,
-        "a datagram was dropped whole",
+        "a datagram was dropped",
         {
             "why": "length, version, kind, checksum, sender, value or stale",
-            "peer": "whose address it came from",
-            "left_out": HELD_DOWN,
+            "peer": "the address that it came from",
+            "left_out": LEFT_OUT,
         },
     ),
     "datagram-not-read": Event(
         "membership",
         WARNING,
-        "a datagram could not be read; it is tried again after 10 ms",
-        {"why": WHY, "left_out": HELD_DOWN},
+        "a datagram could not be read; it is retried after 10 ms",
+        {"why": WHY, "left_out": LEFT_OUT},
     ),
     "datagram-not-sent": Event(
         "membership",
         WARNING,
         "a datagram could not be sent",
-        {"why": WHY, "member": "to whom", "left_out": HELD_DOWN},
+        {"why": WHY, "member": "the receiver", "left_out": LEFT_OUT},
     ),
     "incarnation-not-read": Event(
         "membership",
         WARNING,
-        "the folder's incarnation is passed over; the other relays are asked",
+        "the incarnation in the state directory can't be read; the other relays are asked",
         {"why": WHY},
     ),
     "incarnation-not-written": Event(
-        "membership", WARNING, "the folder does not keep the incarnation", {"why": WHY}
+        "membership", WARNING, "the incarnation can't be written to the state directory", {"why": WHY}
     ),
     "clock-stepped": Event(
         "deadlines",
         WARNING,
-        "the machine's wall clock was set; the relay's own spans run on",
-        {"by_ms": "forward, or back where negative", "ahead_ms": "of the relay's own clock by now"},
+        "the machine's wall clock was set; the relay's timers are not affected",
+        {"by_ms": "how far, negative if back", "ahead_ms": "how far it is ahead of the relay's clock now"},
     ),
     "clock-resumed": Event(
         "deadlines",
         INFO,
-        "the relay's timeline goes on from the one that the folder's texts are on",
+        "the relay's clock continues the timeline of the texts in the state directory",
         {
             "by": "first: there was none; same-boot: by the monotonic clock; other-boot: by the wall clock; "
-            "unknown: what the folder kept can't be read",
+            "unknown: the stored state can't be read",
             "ahead_ms": "how far the wall clock is ahead of it",
         },
     ),
     "clock-not-read": Event(
-        "deadlines", WARNING, "the folder's file `clock` can't be read: the wall clock is taken", {"why": WHY}
+        "deadlines",
+        WARNING,
+        "the file `clock` in the state directory can't be read; the wall clock is used",
+        {"why": WHY},
     ),
     "clock-not-written": Event(
-        "deadlines", WARNING, "the folder keeps no new file `clock`; it is tried again", {"why": WHY}
+        "deadlines",
+        WARNING,
+        "the file `clock` can't be written to the state directory; it is retried",
+        {"why": WHY},
     ),
     "timer-late": Event(
         "deadlines",
         WARNING,
-        "the relay came to a due time late",
-        {"by_ms": "how late, by the monotonic clock", "left_out": HELD_DOWN},
+        "the relay handled a timer late",
+        {"by_ms": "how late, by the monotonic clock", "left_out": LEFT_OUT},
     ),
-    "fault": Event("deadlines", ERROR, "a fault in the program itself; please report it", {"trace": "where"}),
-    "note": Event("twisted", WARNING, "a line of a library", {"text": "the line"}),
+    "fault": Event("deadlines", ERROR, "a bug in the relay; please report it", {"trace": "the traceback"}),
+    "note": Event("twisted", WARNING, "a log line of a library", {"text": "the line"}),
 }
 PARTS = sorted({event.part for event in EVENTS.values()})
 
@@ -407,25 +442,25 @@
 
 <!-- Made by `limelatch relay events --page` from limelatch/events.py; a test fails where it is stale. -->
 
-A relay logs to standard error, a line an event, as key=value pairs (logfmt) or as one JSON object
+A relay logs to standard error, one line for each event, as key=value pairs (logfmt) or as one JSON object
 (`log.form`). Each line has `time` (ISO 8601, UTC), `level`, `part` and `event`, then the event's own fields;
-a field without a value is left out. `log.level` sets the least level, `log.parts` another one for a part.
-Both are taken on SIGHUP.
+a field without a value is left out. `log.level` sets the least severe level that is logged, `log.parts` a
+different one for single parts. Changes of both are applied on SIGHUP.
 
-Events that anybody outside can cause (marked *) are held down: five a second of each, the next second's
-first line says in `left_out` how many more there were.
+The rate of events that outsiders can cause (marked *) is limited to five lines a second for each event. The
+first line of the next second says in `left_out` how many more there were.
 
-| event | part | level | said when | fields |
+| event | part | level | logged when | fields |
 | --- | --- | --- | --- | --- |
 """
 
 
 def page() -> str:
-    """The operators' page of events, in Markdown."""
+    """Return the operators' page of events in Markdown."""
     rows = []
     for name, event in EVENTS.items():
         fields = "; ".join(
-            f"`{field}`: {words}" for field, words in event.fields.items() if field != "left_out"
+            f"`{field}`: {description}" for field, description in event.fields.items() if field != "left_out"
         )
         mark = " *" if "left_out" in event.fields else ""
         level = getLevelName(event.level).lower()
--- a/limelatch/logs.py
+++ b/limelatch/logs.py
@@ -1,6 +1,6 @@
-"""Log lines on standard error through the logging module, as key=value pairs (logfmt) or JSON.
+"""Logs events to standard error through the logging module, as key=value pairs (logfmt) or JSON.
 
-A line's event is one of `limelatch.events`. logfmter writes pairs, msgspec JSON.
+The events are listed in `limelatch.events`. logfmter formats pairs, msgspec JSON.
 """
 
 from __future__ import annotations
@@ -16,91 +16,101 @@
 from limelatch.events import EVENTS, PARTS
 from limelatch.interface import SECOND
 
-ROOT = "limelatch"
+ROOT = "limelatch"  # the parent of all loggers except that of Twisted
 LOGGERS = {part: part if part == "twisted" else f"{ROOT}.{part}" for part in PARTS}
 
 
 def logger(part: str) -> logging.Logger:
-    """The logger of a part."""
+    """Return the logger of a part of the relay."""
     return logging.getLogger(LOGGERS[part])
 
 
-def plain(value: object) -> object:
-    """A value as both forms write it: numbers and truth values stay, all else is a word."""
+def loggable(value: object) -> object:
+    """Convert a value for output: numbers, booleans and None are kept, all else becomes a string."""
     if isinstance(value, (int, float)) or value is None:
         return value
-    word = value.decode(errors="replace") if isinstance(value, bytes) else str(value)
-    return word.encode(errors="replace").decode()  # what a peer sent may hold what no encoding can write
+    text = value.decode(errors="replace") if isinstance(value, bytes) else str(value)
+    return text.encode(errors="replace").decode()  # peers can send characters that can't be encoded
 
 
-def pairs_of(record: logging.LogRecord, trace: str) -> dict[str, object]:
-    """A line's pairs, in their order."""
-    stamp = datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
-    pairs = {
-        "time": stamp.replace("+00:00", "Z"),
+def line_fields(record: logging.LogRecord, trace: str) -> dict[str, object]:
+    """Return the fields of a log line in their order; a library's line becomes a `note` event."""
+    timestamp = datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
+    fields = {
+        "time": timestamp.replace("+00:00", "Z"),
         "level": record.levelname.lower(),
         "part": record.name.rpartition(".")[2],
     }
     if hasattr(record, "pairs"):
-        pairs["event"] = record.msg
-        pairs |= {name: plain(value) for name, value in record.pairs.items() if value is not None}
+        fields["event"] = record.msg
+        fields |= {name: loggable(value) for name, value in record.pairs.items() if value is not None}
     else:
-        pairs |= {"event": "note", "text": plain(record.getMessage())}
-    return pairs | ({"trace": plain(trace)} if trace else {})
+        fields |= {"event": "note", "text": loggable(record.getMessage())}
+    return fields | ({"trace": loggable(trace)} if trace else {})
 
 
-class Lines(logging.Formatter):
-    """`time=... level=info part=driver event=started` and the event's own fields."""
+class PairsFormatter(logging.Formatter):
+    """Formats `time=... level=info part=driver event=started` and the event's own fields."""
 
     def format(self, record: logging.LogRecord) -> str:
+        """Format one record, with the traceback of its exception if it has one."""
         trace = self.formatException(record.exc_info) if record.exc_info else ""
-        return self.write(pairs_of(record, trace))
+        return self.encode(line_fields(record, trace))
 
     @staticmethod
-    def write(pairs: dict[str, object]) -> str:
-        return Logfmter.format_params(pairs)
+    def encode(fields: dict[str, object]) -> str:
+        """Encode the fields of a line."""
+        return Logfmter.format_params(fields)
 
 
-class JsonLines(Lines):
-    """The same as one JSON object a line."""
+class JsonFormatter(PairsFormatter):
+    """Formats the same fields as one JSON object a line."""
 
     @staticmethod
-    def write(pairs: dict[str, object]) -> str:
-        return msgspec.json.encode(pairs).decode()
+    def encode(fields: dict[str, object]) -> str:
+        """Encode the fields of a line."""
+        return msgspec.json.encode(fields).decode()
 
 
-FORMS = {LogForm.PAIRS: Lines, LogForm.JSON: JsonLines}
+FORMATTERS = {LogForm.PAIRS: PairsFormatter, LogForm.JSON: JsonFormatter}
 
 
-def log_event(log: logging.Logger, event: str, *, trace: bool = False, **pairs: object) -> None:
-    """One line: an event of the list, at its level, and its fields; `trace` adds the exception at hand."""
+def log_event(log: logging.Logger, event: str, *, trace: bool = False, **fields: object) -> None:
+    """Log an event of `limelatch.events` at its level; `trace` adds the current exception's traceback."""
     level = EVENTS[event].level
     if log.isEnabledFor(level):
-        log.log(level, event, extra={"pairs": pairs}, exc_info=trace)
+        log.log(level, event, extra={"pairs": fields}, exc_info=trace)
 
 
 class LimitedLog:
-    """Events that anybody outside can cause: so many a second of each, and how many were left out."""
+    """Limits the rate of events that outsiders can cause: at most `max_per_second` lines of each event.
 
-    def __init__(self, log: logging.Logger, clock, most: int = 5) -> None:
-        self.log, self.clock, self.most = log, clock, most
-        self._since: dict[str, int] = {}
-        self._count: dict[str, int] = {}
+    The next second's first line says in `left_out` how many were suppressed. `clock.now()` is in tenths of a
+    millisecond.
+    """
 
-    def __call__(self, event: str, **pairs: object) -> None:
+    def __init__(self, log: logging.Logger, clock, max_per_second: int = 5) -> None:
+        self.log, self.clock, self.max_per_second = log, clock, max_per_second
+        self._second_started_at: dict[str, int] = {}  # by event
+        self._count: dict[str, int] = {}  # of each event since then
+
+    def __call__(self, event: str, **fields: object) -> None:
+        """Log an event, or only count it if there were too many in this second."""
         now, count = self.clock.now(), self._count.get(event, 0) + 1
-        if now - self._since.get(event, 0) >= SECOND:
-            left_out = {"left_out": count - 1 - self.most} if count - 1 > self.most else {}
-            self._since[event], count, pairs = now, 1, pairs | left_out
+        if now - self._second_started_at.get(event, 0) >= SECOND:
+            left_out = (
+                {"left_out": count - 1 - self.max_per_second} if count - 1 > self.max_per_second else {}
+            )
+            self._second_started_at[event], count, fields = now, 1, fields | left_out
         self._count[event] = count
-        if count <= self.most:
-            log_event(self.log, event, **pairs)
+        if count <= self.max_per_second:
+            log_event(self.log, event, **fields)
 
 
 def start(log: Log) -> None:
-    """Log to standard error from now on, as the configuration says; a further call takes a new one."""
+    """Log to standard error as configured; a further call applies a new configuration."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(FORMS[log.form]())
+    handler.setFormatter(FORMATTERS[log.form]())
     logging.basicConfig(level=log.level.value.upper(), handlers=[handler], force=True)
     for part, name in LOGGERS.items():
         level = log.parts[part].value.upper() if part in log.parts else logging.NOTSET
@@ -109,8 +119,8 @@
         logging.getLogger("twisted").setLevel(logging.WARNING)
 
 
-def take_twisteds() -> None:
-    """Lead Twisted's own log here; once a process."""
+def redirect_twisted_log() -> None:
+    """Send Twisted's own log lines to the logging module; call this once in a process."""
     from twisted.logger import STDLibLogObserver, globalLogBeginner
 
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -73,7 +73,7 @@
     signal.signal(signal.SIGHUP, lambda number, frame: early.append(number))
     try:
         plan = relay_plan(os.environ, path, form)
-        logs.take_twisteds()
+        logs.redirect_twisted_log()
         logs.start(plan.log)
         plan = within(plan, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         driver = open_folder(plan)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -64,7 +64,7 @@
         ("limits.sockets", 11),
         ("limits.memory", 12),
     ]
-    assert "got 'x'" in found[0].message and "64" in found[2].message
+    assert "not 'x'" in found[0].message and "64" in found[2].message
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -508,9 +508,9 @@
     monkeypatch.setattr(entry, "Driver", Stage)
     monkeypatch.setattr(entry, "reactor", Stage())
     monkeypatch.setattr(entry, "relay_plan", lambda *given: plan_of(read_platform(GOOD)[0]))
-    monkeypatch.setattr(entry, "retuned_plan", lambda *given: "the file as it is now")
+    monkeypatch.setattr(entry, "reloaded_plan", lambda *given: "the file as it is now")
     monkeypatch.setattr(entry.logs, "start", lambda plan: None)
-    monkeypatch.setattr(entry.logs, "take_twisteds", lambda: None)
+    monkeypatch.setattr(entry.logs, "redirect_twisted_log", lambda: None)
     assert entry.main() == entry.DONE and hangup == []
     assert Stage.done == ["read", "started", "the file as it is now"]
 
