--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -102,7 +102,7 @@
     catalog_address: Address
     state_dir: str
     log: Log
-    terms: li.Terms
+    settings: li.PolicySettings
     names: Names
     known_hosts: dict
     max_disk_bytes: int
@@ -139,16 +139,16 @@
         revenue=row.revenue,
         late_share=row.late_share,
         by_halves=falls is RevenueDecay.HALVES,
-        repeat_window=row.repeat_window,
-        repeats_anywhere=row.repeat_known is RepeatScope.DESTINATION,
+        retry_window=row.repeat_window,
+        retry_anywhere=row.repeat_known is RepeatScope.DESTINATION,
         in_order=row.in_order,
     )
 
 
-def terms_of(installation: Installation, seed: int) -> li.Terms:
+def terms_of(installation: Installation, seed: int) -> li.PolicySettings:
     """Return the settings of the policy module."""
     limits, rules = installation.limits, installation.rules
-    return li.Terms(
+    return li.PolicySettings(
         seed=seed,
         relays=installation.relay.relays,
         slots=limits.slots,
@@ -165,12 +165,12 @@
         cold_time=rules.cold_time,
         fall_multiple=rules.fall_multiple,
         fall_time=rules.fall_time,
-        turn_gap=rules.key_rest,
-        conn_idle=installation.hosts.idle_time,
+        key_cooldown=rules.key_rest,
+        connection_idle_limit=installation.hosts.idle_time,
     )
 
 
-def bench_terms(seed: int, settings: object) -> li.Terms:
+def bench_terms(seed: int, settings: object) -> li.PolicySettings:
     """Return the settings of a policy module that is given only the platform's `settings` object.
 
     Raises ConfigurationError if that can't be read.
@@ -219,7 +219,7 @@
         catalog_address=address_of(catalog.address),
         state_dir=relay.state,
         log=installation.log,
-        terms=replace(terms_of(installation, seed), hosts_on_demand=True),
+        settings=replace(terms_of(installation, seed), hosts_on_demand=True),
         names=names_of(installation),
         known_hosts=installation.known,
         max_disk_bytes=limits.disk,
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -30,25 +30,25 @@
     Mutant(
         "a key's line over processes",
         "key_order.py",
-        "if other is not None and not line[0].goes_before_of_sibling(other):",
+        "if other is not None and not queue[0].precedes_sibling_text(other):",
         "if False:",
     ),
     Mutant(
         "a key's rest",
         "key_order.py",
-        "if rest is not None and rest.until > now and rest.text != text:",
+        "if cooldown is not None and cooldown.until > now and cooldown.text != text:",
         "if False:",
     ),
     Mutant(
         "the rest in the ledger",
         "relay/driver.py",
-        "self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN, now, rest)",
-        "self.ledger.ended(parcel.text, outcome.result not in NEVER_RAN)",
+        "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, rest)",
+        "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN)",
     ),
     Mutant(
         "the rest of a call that was out at its process's end",
         "policy.py",
-        "if past.out and held.key:",
+        "if history.in_flight and held.key:",
         "if False:",
     ),
     Mutant(
@@ -60,13 +60,13 @@
     Mutant(
         "the record of a submit before it goes",
         "relay/driver.py",
-        "owed.submit_out = self.ledger.going(text, call.sent, zone)",
-        "owed.submit_out = True",
+        "accepted.submit_out = self.ledger.record_submit(text, call.sent_at, zone)",
+        "accepted.submit_out = True",
     ),
     Mutant(
         "the window for repeats",
         "policy.py",
-        "self.until = min(self.until, at + self.row.repeat_window)",
+        "self.until = min(self.until, at + self.row.retry_window)",
         "pass",
     ),
     Mutant(
@@ -90,13 +90,13 @@
     Mutant(
         "the notice before the text is over",
         "relay/driver.py",
-        "recorded = self.ledger.owed(text.id, notice)",
-        "recorded = self.ledger.owed(text.id, notice)\n        self.ledger.over(text.id)",
+        "recorded = self.ledger.record_notice(text.id, notice)",
+        "recorded = self.ledger.record_notice(text.id, notice)\n        self.ledger.record_finished(text.id)",
     ),
     Mutant(
         "the torn tail that is cut",
         "relay/ledger.py",
-        "self._torn = self.cut > 0",
+        "self._torn = self.cut_bytes > 0",
         "self._torn = False",
     ),
     Mutant(
@@ -126,43 +126,46 @@
     Mutant(
         "told waits",
         "policy.py",
-        "route.wait_until = max(route.wait_until, now + report.told_wait + self.chance.below(spread))",
+        "route.wait_until = max(\n                route.wait_until, "
+        "now + report.retry_after + self.random_source.next_below(spread)\n            )",
         "pass",
     ),
     Mutant(
         "told waits over processes",
         "relay/driver.py",
-        "self.policy.wait_told_to_sibling(host, until)",
+        "self.policy.wait_from_sibling(host, until)",
         "pass",
     ),
     Mutant(
         "outages known to the other process",
         "relay/driver.py",
-        "self.policy.health_told_to_sibling(now, host, found.health, found.at)",
+        "self.policy.health_from_sibling(now, host, found.health, found.at)",
         "pass",
     ),
     Mutant(
         "the texts of the old process",
         "relay/handover.py",
-        "self._adopt(adopted)\n        self._deadlines.after(SEAT_LOOK, self._take_seat)",
-        "self._deadlines.after(SEAT_LOOK, self._take_seat)",
+        "self._adopt(adopted)\n        self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)",
+        "self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)",
     ),
     Mutant(
         "the texts of a successor that died",
         "relay/handover.py",
-        "if self._ledger.seat_left and (adopted := self._ledger.take_seat()):",
+        "if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):",
         "if False:",
     ),
     Mutant(
         "the floor of a repeat",
         "policy.py",
-        "elsewhere = not held.row.repeats_anywhere and host.zone != held.zone",
+        "elsewhere = not held.row.retry_anywhere and host.zone != held.zone",
         "elsewhere = False",
     ),
     Mutant(
         "trials of a destination in an outage",
         "policy.py",
-        "return NEVER if any(each.sick and each.out for each in route.hosts) else self._trial_opens(route)",
+        "return (\n                NEVER\n                "
+        "if any(each.in_outage and each.out for each in route.hosts)\n                "
+        "else self._trial_opens(route)\n            )",
         "return now",
     ),
 )
--- a/limelatch/lab/stages/terms.py
+++ b/limelatch/lab/stages/terms.py
@@ -18,8 +18,8 @@
             revenue=row.revenue,
             late_share=row.late_share,
             by_halves=scenario.revenue.falls is RevenueDecay.HALVES,
-            repeat_window=row.repeat_window,
-            repeats_anywhere=row.repeat_known is RepeatScope.DESTINATION,
+            retry_window=row.repeat_window,
+            retry_anywhere=row.repeat_known is RepeatScope.DESTINATION,
             in_order=row.in_order,
         )
         for row in scenario.products
@@ -32,10 +32,10 @@
     return min(group.idle_time for group in groups)
 
 
-def terms_of(scenario: Scenario, seed: int, relay: int, start: int) -> li.Terms:
+def terms_of(scenario: Scenario, seed: int, relay: int, start: int) -> li.PolicySettings:
     """What the module of one relay is told at its start; `start` counts its starts."""
     relays, rules = scenario.relays, scenario.rules
-    return li.Terms(
+    return li.PolicySettings(
         seed=zlib.crc32(f"{seed} {relay} {start}".encode()) << 16 | 1,
         relays=relays.count,
         slots=relays.slots,
@@ -51,6 +51,6 @@
         cold_time=rules.cold_time,
         fall_multiple=rules.fall_multiple,
         fall_time=rules.fall_time,
-        turn_gap=rules.key_rest,
-        conn_idle=idle_time(scenario),
+        key_cooldown=rules.key_rest,
+        connection_idle_limit=idle_time(scenario),
     )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import HOST, NOW, REPORT, SETTINGS, TWIN, WAIT, Bench, S
+from conftest import HOST, NOW, REPORT, SETTINGS, OTHER_HOST, WAIT_TIMEOUT, PolicyHarness, S
 from test_parts import GOOD, NAMES, Wire
 from twisted.internet.task import Clock as Reactor
 
@@ -24,7 +24,7 @@
     Listing,
     LogLine,
     Nack,
-    Past,
+    TextHistory,
     Result,
     Submit,
     Text,
@@ -36,13 +36,13 @@
 from limelatch.relay.clients import Listener
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.driver import Driver
-from limelatch.relay.ending import Ending
-from limelatch.relay.inspection import look
-from limelatch.relay.ledger import SEAT, Ledger, lock
+from limelatch.relay.end_reason import EndReason
+from limelatch.relay.inspection import inspect_ledger
+from limelatch.relay.ledger import STANDBY_DIR, Ledger, lock
 from limelatch.relay.platform import Notifier
 
 
-def until(true, wait=WAIT):
+def until(true, wait=WAIT_TIMEOUT):
     """Looks again until it is so; the relay has no other sign of it."""
     last = time.monotonic() + wait
     while not true():
@@ -54,7 +54,7 @@
 
 
 def take(ledger, text, **more):
-    ledger.taken(
+    ledger.record_accepted(
         text,
         b"body",
         **{"key": "", "mark": "m", "dest": 1, "product": "notice", "customer": 0, "until": 9 * S} | more,
@@ -65,19 +65,21 @@
     """The refusal once passed for the proof of both: after a second kill the text went to another floor."""
     before = ledger_in(tmp_path)
     take(before, b"a")
-    before.going(b"a", 5, 1)
+    before.record_submit(b"a", 5, 1)
     before.close()  # killed, the submit out
     between = ledger_in(tmp_path)
-    between.going(b"a", 9, 1)
-    between.ended(b"a", ran=False)
+    between.record_submit(b"a", 9, 1)
+    between.record_submit_end(b"a", ran=False)
     between.compact()
     between.close()  # killed again
     entry = ledger_in(tmp_path).entries[b"a"]
-    assert (entry.submits, entry.out, entry.ran_at, entry.ran_zone) == (2, False, 5, 1)
+    assert (entry.submit_count, entry.in_flight, entry.first_run_at, entry.first_run_zone) == (2, False, 5, 1)
 
 
-def test_after_two_kills_and_a_refusal_a_text_stays_on_the_floor_where_it_may_have_run(program, agent, party):
-    first, other = party(lambda request: request.hang()), party()
+def test_after_two_kills_and_a_refusal_a_text_stays_on_the_floor_where_it_may_have_run(
+    program, agent, make_host
+):
+    first, other = make_host(lambda request: request.hang()), make_host()
     agent.list(first.address, zone="a")
     program.start().submit("t1", "notice", d=20_000)
     assert first.next().headers["X-Txn"] == "t1"
@@ -85,12 +87,12 @@
     first.reply = lambda request: request.answer(429, Retry_After="9")
     program.start()
     assert first.next().headers["X-Txn"] == "t1"  # again, and refused: it has not run this time
-    until(lambda: not look(str(program.state)).entries[b"t1"].out)
+    until(lambda: not inspect_ledger(str(program.state)).entries[b"t1"].in_flight)
     program.kill()
     agent.list(first.address, zone="a", status="leaving")
     agent.list(other.address, name="s-2", zone="b")
     assert program.start().submit("t2", "report") == "+OK"
-    assert other.next().headers["X-Txn"] == "t2" and other.asked.empty()
+    assert other.next().headers["X-Txn"] == "t2" and other.requests.empty()
 
 
 def test_texts_near_their_end_take_none_with_more_time_into_their_call(relay):
@@ -101,7 +103,7 @@
     others = [relay.take(dest=2, valid=9 * S) for _ in range(2)]
     calls = {}
     for text in relay.sent():
-        calls.setdefault(id(relay.held(text).call), []).append(text)
+        calls.setdefault(id(relay.pending(text).call), []).append(text)
     assert sorted(sorted(call) for call in calls.values()) == [near, others]
 
 
@@ -161,8 +163,8 @@
         9 * SECOND,
         lambda entries, whole: told.extend((each.host, each.listing.value) for each in entries),
     )
-    catalog.known(page(41))
-    catalog.heard()
+    catalog.load_known_list(page(41))
+    catalog.note_activity()
     (watch := catalog.buildProtocol(None)).makeConnection(Wire())
     watch.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     watch.told, told[:] = told, []
@@ -182,7 +184,7 @@
     ).encode()
     for at in range(0, len(raw), size):
         say(watch, raw[at : at + size])
-    assert watch.told == [(b"s-42", "ready"), (b"s-43", "ready")] and watch.ending is None
+    assert watch.told == [(b"s-42", "ready"), (b"s-43", "ready")] and watch.end_reason is None
     assert watch.catalog.index == 43
 
 
@@ -192,7 +194,7 @@
     for _ in range(10):  # for five seconds
         clock.advance(0.5)
         say(watch, piece[-1:])
-    assert watch.ending is (None if piece == b"\n" else Ending.SILENT)
+    assert watch.end_reason is (None if piece == b"\n" else EndReason.ANSWER_TIMEOUT)
 
 
 @pytest.mark.parametrize(
@@ -200,18 +202,18 @@
 )
 def test_a_list_that_can_t_be_read_ends_the_watch(watch, raw):
     say(watch, raw)
-    assert watch.ending is Ending.GARBLED and watch.told == []
+    assert watch.end_reason is EndReason.MALFORMED and watch.told == []
 
 
 def test_changes_older_than_the_list_held_have_the_whole_list_asked_for(watch):
     say(watch, json.dumps(page(40, status="left")).encode() + b"\n")
-    assert watch.ending is Ending.GARBLED and watch.told == [] and watch.catalog.index is None
+    assert watch.end_reason is EndReason.MALFORMED and watch.told == [] and watch.catalog.index is None
 
 
 def test_a_whole_list_of_a_lower_version_is_taken(watch):
     """The agent has begun to count anew."""
     say(watch, json.dumps(page(3, True)).encode() + b"\n")
-    assert watch.told == [(b"s-1", "ready")] and watch.catalog.index == 3 and watch.ending is None
+    assert watch.told == [(b"s-1", "ready")] and watch.catalog.index == 3 and watch.end_reason is None
 
 
 # Notices.
@@ -221,11 +223,15 @@
     heard = []
     notifier = Notifier(clock, Deadlines(clock, clock), None, SECOND, SECOND, heard.append)
     reporting = notifier.buildProtocol(None)
-    notifier.notice(b"a", {"result": "dead"})
+    notifier.add_notice(b"a", {"result": "dead"})
     reporting.makeConnection(Wire())
-    notifier.notice(b"b", {"result": "dead"})  # while the request of the first is out
+    notifier.add_notice(b"b", {"result": "dead"})  # while the request of the first is out
     reporting.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n" * 2)
-    assert heard == [b"a"] and list(notifier.owed) == [b"b"] and reporting.ending is Ending.CLOSED_BY_PEER
+    assert (
+        heard == [b"a"]
+        and list(notifier.pending) == [b"b"]
+        and reporting.end_reason is EndReason.CLOSED_BY_PEER
+    )
 
 
 # Clients.
@@ -247,7 +253,7 @@
     client.dataReceived(b"PING\r\n")
     client.transport.peer.send(arrived)
     listener.stop()
-    assert (client.ending is None) == bool(arrived) == listener.comes()
+    assert (client.end_reason is None) == bool(arrived) == listener.has_pending_requests()
 
 
 @pytest.fixture
@@ -271,35 +277,37 @@
     assert not clock.stopped and driver._ended
     assert client.transport.value() == b"+PONG\r\n-BUSY\r\n"
     clock.advance(0)  # the reactor has gone round, and written
-    assert clock.stopped and driver.pool.calls_out == len(driver.owed) == 0
+    assert clock.stopped and driver.pool.calls_in_flight == len(driver.accepted) == 0
 
 
 def test_a_wait_told_to_the_other_process_while_a_connection_comes_up_holds_the_text_back(
     clock, driver, tmp_path
 ):
     driver.handover.start()
-    driver._tell(clock.now(), [HostEntry(HOST, 1, 0, 0, 1.0, Listing.READY)])
-    driver.policy.text_taken(clock.now(), Text(b"t1", 1, 0, clock.now() + 9 * S))
+    driver._apply_host_list(clock.now(), [HostEntry(HOST, 1, 0, 0, 1.0, Listing.READY)])
+    driver.policy.text_accepted(clock.now(), Text(b"t1", 1, 0, clock.now() + 9 * S))
     (submit,) = [each for each in driver.policy.decide(clock.now()) if isinstance(each, Submit)]
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it
-    assert driver.may_go(clock.now(), submit.text, submit.host)
-    beside.told_wait(HOST, clock.now() + 5 * S, clock.now())
-    assert not driver.may_go(clock.now(), submit.text, submit.host)
+    assert driver.may_send(clock.now(), submit.text, submit.host)
+    beside.record_retry_after(HOST, clock.now() + 5 * S, clock.now())
+    assert not driver.may_send(clock.now(), submit.text, submit.host)
     beside.close()
 
 
 def test_an_outage_that_one_process_finds_is_the_module_s_in_the_other(clock, driver, tmp_path):
     """From the module's word to the ledger, and from the other process's ledger to the module."""
     driver.handover.start()
-    driver._tell(clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, TWIN)])
-    driver.policy.log.append(LogLine("sick", TWIN, Health.SICK))
+    driver._apply_host_list(
+        clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, OTHER_HOST)]
+    )
+    driver.policy.log.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it, and has turned
-    assert driver.ledger.book.healths[TWIN].health is Health.SICK
-    beside.found_health(HOST, Health.SICK, clock.now())
+    assert driver.ledger.state.host_health[OTHER_HOST].health is Health.OUTAGE
+    beside.record_health(HOST, Health.OUTAGE, clock.now())
     clock.advance(0.2)
-    assert driver.policy.hosts[HOST].sick and driver.policy.processes == 2
+    assert driver.policy.hosts[HOST].in_outage and driver.policy.process_count == 2
     beside.close()
 
 
@@ -360,17 +368,19 @@
     ledger = ledger_in(tmp_path)
     take(ledger, b"a")
     take(ledger, b"b")
-    assert ledger.going(b"a", 5, 1)
+    assert ledger.record_submit(b"a", 5, 1)
     monkeypatch.setattr(os, "write", disk := Disk(room))
-    ledger.ended(b"a", ran=True)
-    ledger.over(b"a")
-    taken = ledger.taken(b"c", b"x" * 200, key="", mark="", dest=1, product="notice", customer=0, until=9)
-    assert not taken and not ledger.going(b"b", 6, 1) and list(ledger.entries) == [b"b"]
+    ledger.record_submit_end(b"a", ran=True)
+    ledger.record_finished(b"a")
+    taken = ledger.record_accepted(
+        b"c", b"x" * 200, key="", mark="", dest=1, product="notice", customer=0, until=9
+    )
+    assert not taken and not ledger.record_submit(b"b", 6, 1) and list(ledger.entries) == [b"b"]
     disk.room = 10_000
-    assert ledger.going(b"b", 7, 1)
+    assert ledger.record_submit(b"b", 7, 1)
     ledger.close()
     after = ledger_in(tmp_path)
-    assert list(after.entries) == [b"b"] and after.entries[b"b"].ran_at == 7 and not after.cut
+    assert list(after.entries) == [b"b"] and after.entries[b"b"].first_run_at == 7 and not after.cut_bytes
 
 
 def test_a_new_file_that_the_disk_does_not_take_leaves_the_old_one(tmp_path, monkeypatch):
@@ -379,9 +389,9 @@
     monkeypatch.setattr(os, "write", disk := Disk(20))
     assert not ledger.compact() and os.listdir(tmp_path) == ["ledger"]
     disk.room = 10_000
-    assert ledger.going(b"a", 5, 1)
+    assert ledger.record_submit(b"a", 5, 1)
     ledger.close()
-    assert ledger_in(tmp_path).entries[b"a"].out
+    assert ledger_in(tmp_path).entries[b"a"].in_flight
 
 
 def test_a_full_disk_leaves_both_ledgers_of_an_upgrade_as_they_are(tmp_path, monkeypatch):
@@ -391,35 +401,35 @@
     take(new, b"b")
     old.close()
     monkeypatch.setattr(os, "write", disk := Disk(20))
-    assert new.take_over() is None and list(new.entries) == [b"b"] and new.beside
+    assert new.take_over() is None and list(new.entries) == [b"b"] and new.is_standby
     disk.room = 10_000
-    assert new.going(b"b", 5, 1) and [each.id for each in new.take_over()] == [b"a"]
+    assert new.record_submit(b"b", 5, 1) and [each.id for each in new.take_over()] == [b"a"]
     new.close()
     after = ledger_in(tmp_path)
-    assert list(after.entries) == [b"a", b"b"] and after.entries[b"b"].out
+    assert list(after.entries) == [b"a", b"b"] and after.entries[b"b"].in_flight
 
 
-def test_a_relay_whose_disk_is_full_turns_texts_away_and_goes_on(program, agent, party):
-    host = party()
+def test_a_relay_whose_disk_is_full_turns_texts_away_and_goes_on(program, agent, make_host):
+    host = make_host()
     agent.list(host.address)
     client = program.start()
     assert client.submit("t1") == "+OK" and host.next()
-    until(lambda: not look(str(program.state)).entries)
+    until(lambda: not inspect_ledger(str(program.state)).entries)
     pid, full = program.process.pid, os.path.getsize(program.state / "ledger") + 20
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY))  # a part of a record goes in
     assert client.submit("t2") == "-BUSY" and client.submit("t3", "charge", key="k1") == "-BUSY"
     assert client.ask("PING") == "+PONG"
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY,) * 2)
     assert client.submit("t4", "charge", key="k1") == "+OK" and host.next().headers["X-Txn"] == "t4"
-    assert host.asked.empty() and agent.notices.empty()
+    assert host.requests.empty() and agent.notices.empty()
 
 
 def test_a_successor_is_not_refused_while_the_old_process_looks_for_it(tmp_path):
     old = ledger_in(tmp_path)
     ledger_in(tmp_path).close()  # makes the seat
-    look_at_seat = lock(str(tmp_path / SEAT))  # as Ledger.successor does
+    look_at_seat = lock(str(tmp_path / STANDBY_DIR))  # as Ledger.successor does
     threading.Timer(0.05, os.close, [look_at_seat]).start()
-    assert ledger_in(tmp_path).beside and not old.beside
+    assert ledger_in(tmp_path).is_standby and not old.is_standby
 
 
 # What a restart finds untried.
@@ -427,18 +437,18 @@
 
 @pytest.mark.parametrize("relays, rate", [(200, 20.0), (40, 4.0), (3, 4.0)])
 @pytest.mark.parametrize("late_list", [False, True])
-def test_what_a_restart_finds_untried_is_tried_in_its_time(terms, relays, rate, late_list):
+def test_what_a_restart_finds_untried_is_tried_in_its_time(policy_settings, relays, rate, late_list):
     """At the even part of a limit a fifth once ended with no call: 641 of 3,364 on a day with mass kills."""
-    terms = replace(terms, relays=relays, rates_listed=True)
-    bench = Bench(Policy(terms, NOW))
+    policy_settings = replace(policy_settings, relays=relays, rates_listed=True)
+    bench = PolicyHarness(Policy(policy_settings, NOW))
     if not late_list:
-        bench.list(HOST, TWIN, rate=rate)
+        bench.list(HOST, OTHER_HOST, rate=rate)
     texts = set()
     for number in range(8):
         texts.add(text := 500 + number)
-        bench.policy.text_taken(NOW, Text(text, 1, REPORT, NOW + 8 * S), Past())
+        bench.policy.text_accepted(NOW, Text(text, 1, REPORT, NOW + 8 * S), TextHistory())
     if late_list:
-        bench.list(HOST, TWIN, rate=rate)
+        bench.list(HOST, OTHER_HOST, rate=rate)
     tried = set()
     for passed in range(0, 8 * S, 200):
         for text, host in bench.sent(NOW + passed).items():
@@ -447,20 +457,20 @@
     assert tried == texts
 
 
-def test_what_a_restart_finds_untried_heeds_told_waits_and_outages(terms):
-    bench = Bench(Policy(replace(terms, relays=200, rates_listed=True), NOW))
+def test_what_a_restart_finds_untried_heeds_told_waits_and_outages(policy_settings):
+    bench = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     for number in range(3):
-        bench.policy.text_taken(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), Past())
+        bench.policy.text_accepted(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), TextHistory())
     out = bench.sent()  # what is saved up
     assert len(out) == 2
     for text, host in out.items():
-        bench.end(text, Result.FULL, host=host, told_wait=9 * S)
+        bench.end(text, Result.FULL, host=host, retry_after=9 * S)
     assert {end.text for end in bench.decide(Nack)} == {500, 501, 502} and bench.sent(NOW + 5 * S) == {}
 
 
-def test_a_new_text_that_can_t_be_sent_in_its_time_is_still_given_up_at_once(terms):
-    bench = Bench(Policy(replace(terms, relays=200, rates_listed=True), NOW))
+def test_a_new_text_that_can_t_be_sent_in_its_time_is_still_given_up_at_once(policy_settings):
+    bench = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     bench.take(REPORT), bench.take(REPORT)
     assert len(bench.sent()) == 2  # what is saved up
@@ -516,8 +526,10 @@
 
 
 @pytest.mark.parametrize("broken", ["", "{", '{"listen": ', "away"])
-def test_a_broken_file_at_sighup_twice_and_in_a_stop_leaves_the_relay_at_work(program, agent, party, broken):
-    host = party(lambda request: None)
+def test_a_broken_file_at_sighup_twice_and_in_a_stop_leaves_the_relay_at_work(
+    program, agent, make_host, broken
+):
+    host = make_host(lambda request: None)
     agent.list(host.address)
     client, whole = program.start(), program.file.read_text()
     assert client.submit("t1", "charge", key="k1") == "+OK"
@@ -528,40 +540,42 @@
         program.file.write_text(broken)
     for _ in range(2):
         program.process.send_signal(signal.SIGHUP)
-        program.says("event=not-configured")
+        program.wait_for_log("event=not-configured")
     program.terminate()
-    program.says("event=stopping")
+    program.wait_for_log("event=stopping")
     program.process.send_signal(signal.SIGHUP)
-    program.says("event=not-configured")
+    program.wait_for_log("event=not-configured")
     program.file.write_text(whole)
     program.process.send_signal(signal.SIGHUP)
-    program.says("event=configured")
+    program.wait_for_log("event=configured")
     program.terminate()  # once more
     call.answer(200)
-    assert program.process.wait(WAIT) == 0 and agent.notices.empty()
+    assert program.process.wait(WAIT_TIMEOUT) == 0 and agent.notices.empty()
 
 
 def test_a_start_waits_a_moment_for_the_port_of_a_process_that_ends(program, agent):
     agent.list("127.0.0.1:1")
     ending = socket.create_server((program.address, program.port))
     program.launch()
-    program.says("event=port-taken")
+    program.wait_for_log("event=port-taken")
     ending.close()
-    program.says("event=serving")
+    program.wait_for_log("event=serving")
     assert program.client().ask("PING") == "+PONG"
 
 
-def test_texts_of_a_killed_relay_keep_their_product_and_customer_whatever_their_order(plan, agent, party):
+def test_texts_of_a_killed_relay_keep_their_product_and_customer_whatever_their_order(
+    make_program, agent, make_host
+):
     customers = [{"name": "acme"}, {"name": "bell"}]
-    program = plan(settings=SETTINGS | {"projects": customers})
-    host = party(lambda request: request.hang())
+    program = make_program(settings=SETTINGS | {"projects": customers})
+    host = make_host(lambda request: request.hang())
     agent.list(host.address, status="leaving")
     client = program.start()
     assert client.ask("SUBMIT", "k1", "t1", "c=charge,t=bell,d=9000,k=5c0f,dest=1", "x") == "+OK"
     assert client.ask("SUBMIT", "k2", "t2", "c=report,t=acme,d=9000,k=5c0f,dest=1", "y") == "+OK"
     program.kill()
-    entries = look(str(program.state)).entries
-    assert [(each.pairs["customer"], each.pairs["product"]) for each in entries.values()] == [
+    entries = inspect_ledger(str(program.state)).entries
+    assert [(each.fields["customer"], each.fields["product"]) for each in entries.values()] == [
         ("bell", "charge"),
         ("acme", "report"),
     ]
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 from conftest import Program
-from test_door import Caller
+from test_operator_server import OperatorClient
 
 from limelatch.lab.membership.forwarder import DatagramNetwork
 
@@ -42,7 +42,7 @@
 
     def view(self):
         """MEMBERS as a dict, numbers as numbers."""
-        answer = Caller(self.door).call("MEMBERS")
+        answer = OperatorClient(self.operator_address).call("MEMBERS")
         assert answer.startswith("+OK "), answer
         words = dict(word.split("=", 1) for word in answer[4:].split())
         return words | {name: int(words[name]) for name in FIELDS if name in words}
@@ -65,11 +65,11 @@
         for number in range(COUNT):
             place = folder / f"relay-{number}"
             place.mkdir()
-            door = address_of(host, socket.SOCK_STREAM)
+            operator_address = address_of(host, socket.SOCK_STREAM)
             relay = Relay(
                 place,
                 agent,
-                operator="{}:{}".format(*door),
+                operator="{}:{}".format(*operator_address),
                 peers=peers,
                 membership={
                     "on": True,
@@ -80,7 +80,7 @@
                 peer_listen="{}:{}".format(*listens[number]),
                 seed=f"{number + 1:x}",
             )
-            relay.door, relay.lines = door, []
+            relay.operator_address, relay.lines = operator_address, []
             self.relays.append(relay)
         self.peers = peers
 
@@ -88,7 +88,7 @@
         for relay in self.relays:
             relay.launch()
         for relay in self.relays:
-            relay.says("event=serving")
+            relay.wait_for_log("event=serving")
         self.until(lambda: all(view["alive"] == COUNT for view in self.views()))
 
     def views(self, *without):
@@ -111,18 +111,18 @@
         assert client.submit(f"t{self.count}", body=f"t{self.count}".encode()) == "+OK"
         client.socket.close()
 
-    def delivered(self, party):
+    def delivered(self, host):
         """Every text has come to the host exactly once."""
-        bodies = [party.next().body.decode() for _ in range(self.count)]
+        bodies = [host.next().body.decode() for _ in range(self.count)]
         assert sorted(bodies) == sorted(f"t{number + 1}" for number in range(self.count))
         with pytest.raises(queue.Empty):
-            party.asked.get(timeout=0.2)
+            host.requests.get(timeout=0.2)
 
 
 @pytest.fixture
-def fleet(tmp_path, agent, party, faults):
+def fleet(tmp_path, agent, make_host, faults):
     """The machine of relay 1 has faults that a test may steer."""
-    host = party()
+    host = make_host()
     agent.list(host.address)
     fleet = Fleet(tmp_path, agent)
     fleet.relays[1].environment = faults.environment
@@ -143,10 +143,12 @@
     fleet.until(lambda: all(view["dead"] == 1 and view["alive"] == COUNT - 1 for view in fleet.views(1)))
     for number in (0, 2, 3, 4):
         assert fleet.lines("member-suspect", number, 1)
-        assert f"first={fleet.peers[1]}:dead" in Caller(fleet.relays[number].door).call("MEMBERS")
+        assert f"first={fleet.peers[1]}:dead" in OperatorClient(fleet.relays[number].operator_address).call(
+            "MEMBERS"
+        )
         fleet.submit(number)
     fleet.relays[1].launch()
-    fleet.relays[1].says("event=serving")
+    fleet.relays[1].wait_for_log("event=serving")
     fleet.until(lambda: all(view["alive"] == COUNT for view in fleet.views()))
     assert fleet.relays[1].view()["incarnation"] > before
     fleet.submit(1)
@@ -165,31 +167,31 @@
     fleet.delivered(fleet.host)
 
 
-def test_a_process_that_is_gone_is_told_by_its_closed_port_within_5_s(tmp_path, agent, party):
+def test_a_process_that_is_gone_is_told_by_its_closed_port_within_5_s(tmp_path, agent, make_host):
     """Without a network between them, and with the spans as they are by default."""
-    agent.list(party().address)
+    agent.list(make_host().address)
     relays, peers = [], []
     host = "127.{}.{}.{}".format(*(1 + number % 254 for number in os.urandom(3)))
     peers = ["{}:{}".format(*address_of(host, socket.SOCK_DGRAM)) for _ in range(3)]
     for number, peer in enumerate(peers):
         place = tmp_path / f"relay-{number}"
         place.mkdir()
-        door = address_of(host, socket.SOCK_STREAM)
+        operator_address = address_of(host, socket.SOCK_STREAM)
         relays.append(
             Relay(
                 place,
                 agent,
-                operator="{}:{}".format(*door),
+                operator="{}:{}".format(*operator_address),
                 peers=peers,
                 peer_listen=peer,
                 membership={"on": True},
             )
         )
-        relays[-1].door, relays[-1].lines = door, []
+        relays[-1].operator_address, relays[-1].lines = operator_address, []
         relays[-1].launch()
     try:
         for relay in relays:
-            relay.says("event=serving")
+            relay.wait_for_log("event=serving")
         poll(lambda: all(relay.view()["alive"] == 3 for relay in relays))
         relays[2].kill()
         assert poll(lambda: all(relay.view()["dead"] == 1 for relay in relays[:2])) < 5
@@ -304,8 +306,8 @@
     fleet.delivered(fleet.host)
 
 
-def test_without_membership_the_call_says_so(plan, agent):
-    program = plan()
+def test_without_membership_the_call_says_so(make_program, agent):
+    program = make_program()
     host, port = address_of(program.address, socket.SOCK_STREAM)
     program.file.write_text(
         json.dumps(
@@ -314,4 +316,4 @@
         )
     )
     program.start()
-    assert Caller((host, port)).call("MEMBERS") == "-ERR membership is off"
+    assert OperatorClient((host, port)).call("MEMBERS") == "-ERR membership is off"
