--- a/limelatch/benchlink/__main__.py
+++ b/limelatch/benchlink/__main__.py
@@ -6,7 +6,7 @@
 
 from limelatch import interface as li
 from limelatch.benchlink import wire
-from limelatch.configuration import bench_terms, to_units
+from limelatch.configuration import bench_settings, to_units
 from limelatch.policy import Policy
 
 
@@ -16,7 +16,7 @@
     def __init__(self, seed: int, settings: dict, now: int) -> None:
         stats = settings.get("stats") or {}
         self.fields: list[str] = list(stats.get("fields") or [])
-        self.policy = Policy(bench_terms(seed, settings), now)
+        self.policy = Policy(bench_settings(seed, settings), now)
 
 
 class Link:
--- a/limelatch/configuration/__init__.py
+++ b/limelatch/configuration/__init__.py
@@ -14,7 +14,7 @@
 from limelatch.configuration.checks import reload_errors
 from limelatch.configuration.errors import ConfigError, ConfigurationError
 from limelatch.configuration.files import Form, LoadedFile, configured_path, load
-from limelatch.configuration.plan import Address, Names, RelayPlan, bench_terms, plan_of
+from limelatch.configuration.plan import Address, Names, RelayPlan, bench_settings, plan_of
 from limelatch.configuration.units import to_units
 
 __all__ = [
@@ -25,7 +25,7 @@
     "LoadedFile",
     "Names",
     "RelayPlan",
-    "bench_terms",
+    "bench_settings",
     "load",
     "plan_of",
     "relay_plan",
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -145,7 +145,7 @@
     )
 
 
-def terms_of(installation: Installation, seed: int) -> li.PolicySettings:
+def settings_of(installation: Installation, seed: int) -> li.PolicySettings:
     """Return the settings of the policy module."""
     limits, rules = installation.limits, installation.rules
     return li.PolicySettings(
@@ -170,7 +170,7 @@
     )
 
 
-def bench_terms(seed: int, settings: object) -> li.PolicySettings:
+def bench_settings(seed: int, settings: object) -> li.PolicySettings:
     """Return the settings of a policy module that is given only the platform's `settings` object.
 
     Raises ConfigurationError if that can't be read.
@@ -180,7 +180,7 @@
     installation, errors, _ = read_platform(raw)
     if installation is None:
         raise ConfigurationError(errors)
-    return terms_of(installation, seed)
+    return settings_of(installation, seed)
 
 
 def names_of(installation: Installation) -> Names:
@@ -219,7 +219,7 @@
         catalog_address=address_of(catalog.address),
         state_dir=relay.state,
         log=installation.log,
-        settings=replace(terms_of(installation, seed), hosts_on_demand=True),
+        settings=replace(settings_of(installation, seed), hosts_on_demand=True),
         names=names_of(installation),
         known_hosts=installation.known,
         max_disk_bytes=limits.disk,
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,7 +12,7 @@
 from twisted.internet.testing import StringTransport
 
 from limelatch.client.wire import HandedText
-from limelatch.configuration import bench_terms, plan_of
+from limelatch.configuration import bench_settings, plan_of
 from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import SECOND, Effect, Listing, Result
 from limelatch.logs import LimitedLog
@@ -594,7 +594,7 @@
 
 
 def test_settings_get_defaults_and_unknown_effects_never_run_twice():
-    settings = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
+    settings = bench_settings(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
     assert settings.products[0].effect is Effect.ONCE_ONLY and (settings.slots, settings.max_texts) == (
         16,
         500,
