--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md is what roles.toml and the results give; fits and words are right on known series."""
+"""Tests that docs/CAPACITY.md is up to date with roles.toml and results, and tests of fits and pages."""
 
 import ast
 import itertools
@@ -12,36 +12,38 @@
 from click.testing import CliRunner
 
 from limelatch.command import main
-from limelatch.lab.scale import page as made
+from limelatch.lab.scale import page as capacity_page
 from limelatch.lab.scale.fit import Growth, TooFewPoints, fit, reaches
 from limelatch.lab.scale.results import Point, Results, save
 from limelatch.lab.scale.roles import FUNCTIONS, NONE_YET, Book, Roles, read, results_in
 
 ROOT = Path(__file__).parent.parent
-FOLDER = ROOT / made.FOLDER
+FOLDER = ROOT / capacity_page.FOLDER
 SIZES = (2000.0, 20_000.0, 60_000.0, 180_000.0)
 
 
 @pytest.fixture(scope="module")
 def roles():
-    return read(FOLDER / made.ROLES)
+    """The roles of the capacity page in this repository."""
+    return read(FOLDER / capacity_page.ROLES)
 
 
 @pytest.fixture(scope="module")
-def book(roles):
+def calculation(roles):
+    """The figures of the capacity page, worked out from the results in this repository."""
     return Book(roles, results_in(FOLDER))
 
 
-# The page as it stands.
+# The page in this repository.
 
 
-def test_the_page_is_what_the_results_and_roles_give():
-    assert (ROOT / "docs/CAPACITY.md").read_text(encoding="utf-8") == made.page(FOLDER)
+def test_the_page_is_up_to_date_with_results_and_roles():
+    assert (ROOT / "docs/CAPACITY.md").read_text(encoding="utf-8") == capacity_page.page(FOLDER)
 
 
 def test_the_command_prints_the_page():
     result = CliRunner().invoke(main, ["lab", "scale", "page", "--folder", str(FOLDER)])
-    assert (result.exit_code, result.output) == (0, made.page(FOLDER))
+    assert (result.exit_code, result.output) == (0, capacity_page.page(FOLDER))
 
 
 @pytest.mark.parametrize(
@@ -67,18 +69,19 @@
         ("even_part", 100),
     ],
 )
-def test_the_targets_arithmetic_is_that_of_the_issue(book, name, figure):
-    assert book.work_out(name).value == pytest.approx(figure, rel=0.015)
+def test_figures_of_the_target_agree_with_the_issue(calculation, name, figure):
+    assert calculation.work_out(name).value == pytest.approx(figure, rel=0.015)
 
 
-def test_trials_over_usual_are_166_times_where_the_issue_rounds_to_160(book):
-    assert book.work_out("trials_over_usual").value == pytest.approx(87.5 / (95_000 / 180_000))
-    assert book.work_out("trials_over_usual").value == pytest.approx(160, rel=0.04)
+def test_trials_over_usual_are_166_times_which_the_issue_rounds_to_160(calculation):
+    assert calculation.work_out("trials_over_usual").value == pytest.approx(87.5 / (95_000 / 180_000))
+    assert calculation.work_out("trials_over_usual").value == pytest.approx(160, rel=0.04)
 
 
 def expressions(roles):
+    """Yield every expression in the roles file, also those in the braces of its texts."""
     yield from (each.value for each in roles.arithmetic)
-    words = [
+    texts = [
         *roles.readings,
         *(each.about for each in roles.arithmetic),
         roles.comparison.about,
@@ -86,29 +89,29 @@
         *itertools.chain(*(each.carries for each in roles.mechanisms)),
     ]
     for role in roles.roles:
-        words += [role.about, *(getattr(role.failures, name) for name, _ in made.EVENTS)]
+        texts += [role.about, *(getattr(role.failures, name) for name, _ in capacity_page.EVENTS)]
         for row in role.rows:
             yield row.value
             yield from filter(None, [row.budget, row.grows_with])
-            words.append(row.note)
-    for each in words:
+            texts.append(row.note)
+    for each in texts:
         assert each.count("{") == each.count("}") == len(re.findall(r"\{[^{}]+\}", each)), each
         yield from re.findall(r"\{([^{}]+)\}", each)
 
 
-def test_every_name_in_an_expression_is_a_figure_or_a_series(book, roles):
-    known = {*book.figures, *book.series, *FUNCTIONS, "same"}
+def test_expressions_use_only_names_of_figures_and_series(calculation, roles):
+    known = {*calculation.figures, *calculation.series, *FUNCTIONS, "same"}
     for expression in expressions(roles):
         names = {node.id for node in ast.walk(ast.parse(expression)) if isinstance(node, ast.Name)}
         assert names <= known, expression
 
 
-def test_names_of_figures_and_series_are_there_once(roles):
+def test_names_of_figures_and_series_are_unique(roles):
     names = [each.name for each in [*roles.target, *roles.assumed, *roles.arithmetic, *roles.series]]
     assert len(names) == len(set(names))
 
 
-def test_a_row_names_its_mechanism_by_a_file_of_the_repository_or_says_none_yet(roles):
+def test_a_row_names_a_file_of_the_repository_as_its_mechanism_or_none_yet(roles):
     for row in (row for role in roles.roles for row in role.rows):
         if row.mechanism == NONE_YET:
             assert not row.file, row.quantity
@@ -117,34 +120,36 @@
         assert bool(row.budget) == bool(row.budget_from), row.quantity
 
 
-def test_every_role_tells_state_messages_processor_and_memory(roles):
+def test_every_role_has_rows_for_state_messages_processor_and_memory(roles):
     for role in roles.roles:
-        told = {row.aspect for row in role.rows}
+        aspects = {row.aspect for row in role.rows}
         if "not known" not in role.about:  # a partner's own processor and memory
-            assert told >= {"messages", "processor", "memory"}, role.name
-        assert told >= {"state", "messages"}, role.name
+            assert aspects >= {"messages", "processor", "memory"}, role.name
+        assert aspects >= {"state", "messages"}, role.name
 
 
-def test_a_series_has_points_or_its_rows_say_not_measured(book, roles):
-    text = made.page(FOLDER)
+def test_rows_of_a_series_without_points_say_not_measured(calculation, roles):
+    text = capacity_page.page(FOLDER)
     for role, row in itertools.chain(*(zip(itertools.repeat(role), role.rows) for role in roles.roles)):
         called = [
             node.id
             for node in ast.walk(ast.parse(row.value))
-            if isinstance(node, ast.Name) and node.id in book.series
+            if isinstance(node, ast.Name) and node.id in calculation.series
         ]
         quantity = f"{row.quantity} ({row.aside})" if row.aside else row.quantity
-        (line,) = [each for each in cells(section(text, role.name), row.quantity) if each[0] == quantity]
-        if any(not (held := book.held.get(name)) or not held.points for name in called):
-            assert line[2] == made.NOT_MEASURED, row.quantity
+        (line,) = [
+            each for each in table_rows(page_section(text, role.name), row.quantity) if each[0] == quantity
+        ]
+        if any(not (measured := calculation.held.get(name)) or not measured.points for name in called):
+            assert line[2] == capacity_page.NOT_MEASURED, row.quantity
 
 
-def test_units_of_series_are_those_of_their_points(book):
-    for name, held in book.held.items():
-        assert {point.unit for point in held.points.values()} <= {held.series.unit}, name
+def test_a_series_has_the_unit_of_its_points(calculation):
+    for name, measured in calculation.held.items():
+        assert {point.unit for point in measured.points.values()} <= {measured.series.unit}, name
 
 
-# Fits on known series.
+# Fits of series of known growth.
 
 
 GROWTH = {
@@ -157,7 +162,7 @@
 
 
 @pytest.mark.parametrize("name", GROWTH)
-def test_an_exact_series_is_fitted_exactly_by_its_own_curve(name):
+def test_an_exact_series_is_fitted_by_the_curve_that_made_it(name):
     growth, of = GROWTH[name]
     found = fit({x: [of(x)] * 3 for x in SIZES})
     assert found.taken.growth is growth
@@ -168,7 +173,7 @@
     assert [curve.growth for curve in found.curves] == list(Growth)
 
 
-def test_a_line_under_noise_is_a_line_and_its_spread_is_told():
+def test_a_line_with_noise_is_fitted_as_a_line_with_its_spread():
     noise = itertools.cycle([0.94, 1.0, 1.06])
     found = fit({x: [(10 + 0.001 * x) * next(noise) for _ in range(3)] for x in SIZES})
     assert found.taken.growth is Growth.LINE
@@ -185,74 +190,78 @@
         ("n log n", 0.01, Growth.N_LOG_N),
         ("n log n", 0.1, Growth.LINE),
     ],
-)  # noise hides so slight a bend
-def test_noise_of_three_runs_is_no_growth_and_hides_no_square(name, noise, growth):
+)  # this much noise hides the slight curvature
+def test_noise_of_three_runs_neither_adds_growth_nor_hides_a_square(name, noise, growth):
     _, of = GROWTH[name]
     for seed in range(40):
-        chance = random.Random(seed)
-        found = fit({x: [of(x) * (1 + noise * chance.uniform(-1, 1)) for _ in range(3)] for x in SIZES})
+        random_source = random.Random(seed)
+        found = fit(
+            {x: [of(x) * (1 + noise * random_source.uniform(-1, 1)) for _ in range(3)] for x in SIZES}
+        )
         assert found.taken.growth is growth, seed
 
 
-def test_a_slope_that_noise_could_give_is_none():
+def test_a_slope_that_noise_could_cause_counts_as_flat():
     flat = [
-        fit({x: [chance.uniform(0.8, 1.2) for _ in range(3)] for x in SIZES}).taken.slope == 0
-        for chance in map(random.Random, range(200))
+        fit({x: [random_source.uniform(0.8, 1.2) for _ in range(3)] for x in SIZES}).taken.slope == 0
+        for random_source in map(random.Random, range(200))
     ]
     assert sum(flat) >= 190
-    for chance in map(random.Random, range(40)):
-        found = fit({x: [(1 + x / 180_000) * chance.uniform(0.8, 1.2) for _ in range(3)] for x in SIZES})
+    for random_source in map(random.Random, range(40)):
+        found = fit(
+            {x: [(1 + x / 180_000) * random_source.uniform(0.8, 1.2) for _ in range(3)] for x in SIZES}
+        )
         assert found.taken.slope > 0
 
 
-def test_a_curve_that_misses_hardly_less_than_the_line_is_not_taken():
+def test_a_curve_that_fits_hardly_better_than_the_line_is_not_chosen():
     found = fit({x: [x**1.05] for x in SIZES})
     assert found.curves[1].residual < found.curves[0].residual
     assert found.taken.growth is Growth.LINE
 
 
-def test_what_grows_by_less_than_a_hundredth_is_a_line():
+def test_growth_of_less_than_a_hundredth_is_fitted_as_a_line():
     assert fit({x: [100 + 1e-7 * x * math.log2(x)] for x in SIZES}).taken.growth is Growth.LINE
 
 
-def test_what_falls_does_not_grow_worse_than_a_line():
+def test_a_decreasing_square_does_not_grow_worse_than_a_line():
     found = fit({x: [100 - 1e-9 * x * x] for x in SIZES})
     assert (found.taken.growth, found.worse_than_line) == (Growth.SQUARE, False)
 
 
-def test_residuals_are_a_share_of_the_mean():
+def test_residuals_are_relative_to_the_mean():
     found = fit({1.0: [0.0], 10.0: [20.0], 100.0: [0.0], 1000.0: [20.0]})
-    misses = [found.curves[0].at(x) - y for x, y in zip([1, 10, 100, 1000], [0, 20, 0, 20], strict=True)]
-    assert found.curves[0].residual == pytest.approx(math.sqrt(sum(miss**2 for miss in misses) / 4) / 10)
+    errors = [found.curves[0].at(x) - y for x, y in zip([1, 10, 100, 1000], [0, 20, 0, 20], strict=True)]
+    assert found.curves[0].residual == pytest.approx(math.sqrt(sum(error**2 for error in errors) / 4) / 10)
 
 
 @pytest.mark.parametrize(
     "sizes", [(2000, 20_000, 180_000), (10_000, 20_000, 60_000, 180_000), (0, 1, 2, 19), ()]
 )
-def test_too_few_points_or_too_narrow_a_range_give_no_slope(sizes):
+def test_too_few_points_or_too_narrow_a_range_are_not_fitted(sizes):
     with pytest.raises(TooFewPoints):
         fit({float(x): [1.0] for x in sizes})
 
 
-def test_a_size_without_values_is_no_point_and_0_is_one():
+def test_a_size_without_values_does_not_count_as_a_point_and_size_0_does():
     with pytest.raises(TooFewPoints):
         fit({x: [1.0] if x > 2000 else [] for x in SIZES})
     assert fit({0.0: [1.0], 10.0: [2.0], 100.0: [11.0], 300.0: [31.0]}).sizes == (0, 10, 100, 300)
 
 
-def test_how_far_past_the_last_point_a_size_is():
+def test_past_tells_how_far_a_size_is_beyond_the_last_point():
     found = fit({x: [x] for x in SIZES})
     assert [found.past(x) for x in (500, 180_000, 1_800_000)] == [1, 1, 10]
 
 
-def test_where_a_budget_is_reached():
+def test_reaches_finds_the_size_at_which_a_budget_is_reached():
     assert reaches(lambda x: 2 * x, 100, 1, 1e9) == pytest.approx(50, rel=1e-3)
     assert reaches(lambda x: x * x, 100, 1, 1e9) == pytest.approx(10, rel=1e-3)
     assert reaches(lambda x: x, 100, 1, 99) is None
     assert reaches(lambda x: x, 100, 200, 1e9) == 200
 
 
-# Pages of made-up results.
+# Pages made from invented results.
 
 
 TOML = """
@@ -355,6 +364,7 @@
 
 
 def points(scenario, measure, unit, of, sizes=SIZES):
+    """Return a point at each size, with three values around `of(size)`."""
     return [
         Point(scenario, measure, unit, "destinations", x, [of(x) * part for part in (0.99, 1.0, 1.01)])
         for x in sizes
@@ -366,22 +376,23 @@
 
 
 @pytest.fixture
-def page(tmp_path):
-    """Makes the page of these results; the row of a quantity as cells."""
+def make_page(tmp_path):
+    """A function that makes the page of the given results, by the name of their file."""
 
-    def make(**files):
-        (tmp_path / made.ROLES).write_text(TOML)
-        for name, found in files.items():
+    def make(**points_by_file):
+        (tmp_path / capacity_page.ROLES).write_text(TOML)
+        for name, found in points_by_file.items():
             save(
                 tmp_path / f"{name}.json",
                 Results(f"the {name} one", f"scale {name}", "abc1234", "2026-12-02", "8 cores", found),
             )
-        return made.page(tmp_path)
+        return capacity_page.page(tmp_path)
 
     return make
 
 
-def cells(page, start):
+def table_rows(page, start):
+    """Return the cells of every table row whose first cell begins with `start`."""
     return [
         [cell.strip() for cell in line.strip("| ").split(" | ")]
         for line in page.splitlines()
@@ -389,70 +400,71 @@
     ]
 
 
-def section(page, title):
+def page_section(page, title):
+    """Return the text of a section of the page."""
     return page.partition(f"## {title}\n")[2].partition("\n## ")[0]
 
 
-def test_without_results_rows_say_not_measured_and_arithmetic_stands(page):
-    text = page()
-    assert cells(text, "memory of all")[0][2:7] == [
+def test_without_results_only_arithmetic_rows_have_values(make_page):
+    text = make_page()
+    assert table_rows(text, "memory of all")[0][2:7] == [
         "not measured",
         "64 MB (target)",
         "",
         "",
         "no points of `memory` yet",
     ]
-    assert cells(text, "rows of each")[0][2:7] == [
+    assert table_rows(text, "rows of each")[0][2:7] == [
         "257 rows",
         "10 rows (aim)",
         "**25.7 times over**",
         "7,000 `destinations`",
         "arithmetic",
     ]
-    assert cells(text, "a machine is restarted")[0][1] == "(not measured) MB"
+    assert table_rows(text, "a machine is restarted")[0][1] == "(not measured) MB"
     assert "Not ranked, since not measured:\n\n- Relay: memory of all" in text
 
 
-def test_a_measured_row_is_told_from_a_fitted_and_an_extrapolated_one(page):
-    text = page(before=MEMORY + SQUARE)
-    assert cells(text, "memory of all")[0][2:7] == [
+def test_measured_fitted_and_extrapolated_rows_are_marked_as_such(make_page):
+    text = make_page(before=MEMORY + SQUARE)
+    assert table_rows(text, "memory of all")[0][2:7] == [
         "580 MB",
         "64 MB (target)",
         "**9.06 times over**",
         "8,000 `destinations`",
         "measured (`before`)",
     ]
-    assert cells(text, "time of a change")[0][2:7] == [
+    assert table_rows(text, "time of a change")[0][2:7] == [
         "65 ms",
         "0.1 ms (aim)",
         "**650 times over**",
         "under 2,000 `destinations`, **grows worse than linearly**",
         "arithmetic on measured (`before`)",
     ]
-    ten = cells(text, "time of a fleet ten")[0]
+    ten = table_rows(text, "time of a fleet ten")[0]
     assert (ten[2], ten[6]) == ("3,240 ms", "extrapolated, 10 times past the last point of `time` (`before`)")
     assert ten[0].endswith("(a way weighed)")
-    assert cells(text, "time at the figure of each")[0][2:7:4] == [
+    assert table_rows(text, "time at the figure of each")[0][2:7:4] == [
         "32.5 ms",
         "extrapolated, 10 times past the last point of `time`, taken to be the same there (`before`)",
     ]
-    assert cells(text, "a machine is restarted")[0][1] == "580 MB"
-    fewer = page(
+    assert table_rows(text, "a machine is restarted")[0][1] == "580 MB"
+    fewer = make_page(
         before=[point for point in MEMORY if point.x < 180_000]
         + points("rest", "memory", "MB", lambda x: 40 + 0.003 * x, [200.0])
     )
-    assert cells(fewer, "memory of all")[0][6] == (
+    assert table_rows(fewer, "memory of all")[0][6] == (
         "extrapolated, 3 times past the last point of `memory` (`before`)"
     )
-    wider = page(
+    wider = make_page(
         before=[point for point in MEMORY if point.x < 180_000]
         + points("rest", "memory", "MB", lambda x: 40 + 0.003 * x, [360_000.0])
     )
-    assert cells(wider, "memory of all")[0][2:7:4] == ["580 MB", "fitted (`before`)"]
+    assert table_rows(wider, "memory of all")[0][2:7:4] == ["580 MB", "fitted (`before`)"]
 
 
 @pytest.mark.parametrize(
-    ("value", "unit", "words"),
+    ("value", "unit", "formatted"),
     [
         (87.5, "1/s", "87.5/s"),
         (3000, "B/s", "3,000 B/s"),
@@ -466,113 +478,122 @@
         (-1234.5, "ms", "-1,230 ms"),
     ],
 )
-def test_figures_have_three_digits_and_their_unit(value, unit, words):
-    assert made.with_unit(value, unit) == words
+def test_figures_have_three_significant_digits_and_their_unit(value, unit, formatted):
+    assert capacity_page.with_unit(value, unit) == formatted
 
 
-def test_the_size_at_which_a_square_breaks_its_budget(page, tmp_path):
+def test_the_size_at_which_a_square_exceeds_its_budget(make_page, tmp_path):
     toml = TOML.replace('budget = "0.1"', 'budget = "2.2"')
-    page(before=SQUARE)
-    (tmp_path / made.ROLES).write_text(toml)
-    text = made.page(tmp_path)  # 2 * (0.1 + 1e-9 x^2) = 2.2
-    assert cells(text, "time of a change")[0][5] == "31,600 `destinations`, **grows worse than linearly**"
-    (tmp_path / made.ROLES).write_text(toml.replace('"2.2"', '"1e9"'))
-    assert cells(made.page(tmp_path), "time of a change")[0][5] == (
+    make_page(before=SQUARE)
+    (tmp_path / capacity_page.ROLES).write_text(toml)
+    text = capacity_page.page(tmp_path)  # 2 * (0.1 + 1e-9 x^2) = 2.2
+    assert (
+        table_rows(text, "time of a change")[0][5] == "31,600 `destinations`, **grows worse than linearly**"
+    )
+    (tmp_path / capacity_page.ROLES).write_text(toml.replace('"2.2"', '"1e9"'))
+    assert table_rows(capacity_page.page(tmp_path), "time of a change")[0][5] == (
         "over 1.8 million `destinations`, **grows worse than linearly**"
     )
 
 
 @pytest.mark.parametrize(
-    ("values", "words"),
+    ("values", "expected"),
     [
-        ((70, 71, 100, 200), "under 2,000"),  # whatever the fit says
-        ((60, 63, 100, 200), "20,000 to 60,000"),  # the fit says less
+        ((70, 71, 100, 200), "under 2,000"),  # the smallest measured size is over the budget already
+        ((60, 63, 100, 200), "20,000 to 60,000"),  # the fit reaches the budget earlier
         ((1, 63, 20, 200), "60,000 to 180,000"),
         ((1, 2, 3, 60), "186,000"),  # past the last size: n² of about 0.9 + 1.82e-9 n²
-        ((1, 30, 63, 64), "over 180,000"),  # the fit says less, and no measured size is over
+        ((1, 30, 63, 64), "over 180,000"),  # the fit reaches the budget earlier, but no measured size does
         ((60, 30, 30, 63), "over 1.8 million"),
     ],
 )
-def test_a_fit_is_not_believed_against_a_measured_size(page, values, words):
+def test_measured_sizes_override_the_fit_where_a_budget_is_reached(make_page, values, expected):
     found = [
         Point("rest", "memory", "MB", "destinations", x, [float(value)])
         for x, value in zip(SIZES, values, strict=True)
     ]
-    row = cells(page(before=found), "memory of all")[0]
-    assert row[5].removesuffix(", **grows worse than linearly**") == f"{words} `destinations`"
+    row = table_rows(make_page(before=found), "memory of all")[0]
+    assert row[5].removesuffix(", **grows worse than linearly**") == f"{expected} `destinations`"
 
 
-def test_a_flat_series_is_said_to_be_flat_and_stays_so_past_its_last_point(page):
-    chance = random.Random(3)
+def test_a_flat_series_is_marked_flat_and_extrapolated_as_flat(make_page):
+    random_source = random.Random(3)
     found = [
-        Point("change", "processor", "ms", "destinations", x, [chance.uniform(0.9, 1.1) for _ in range(3)])
+        Point(
+            "change",
+            "processor",
+            "ms",
+            "destinations",
+            x,
+            [random_source.uniform(0.9, 1.1) for _ in range(3)],
+        )
         for x in SIZES
     ]
-    text = page(before=found)
-    assert cells(section(text, "Slopes"), "`time`")[0][7].endswith(", flat")
-    assert 0.95 < float(cells(text, "time of a fleet ten")[0][2].split()[0]) < 1.05
+    text = make_page(before=found)
+    assert table_rows(page_section(text, "Slopes"), "`time`")[0][7].endswith(", flat")
+    assert 0.95 < float(table_rows(text, "time of a fleet ten")[0][2].split()[0]) < 1.05
 
 
-def test_slopes_tell_range_points_residuals_curve_spread_and_commit(page):
-    (row,) = cells(section(page(before=SQUARE), "Slopes"), "`time`")
+def test_slopes_show_range_points_residuals_curve_spread_and_commit(make_page):
+    (row,) = table_rows(page_section(make_page(before=SQUARE), "Slopes"), "`time`")
     assert row[1:4] == ["change: processor, ms", "2,000 to 180,000 destinations", "4 x 3"]
     assert row[7:] == ["0.1 + 1e-09 n²", "2%", "before: the before one, abc1234"]
     assert float(row[4].strip("%")) > 10 > 2 > float(row[6].strip("%"))
 
 
-def test_too_few_points_give_no_slope_but_what_was_measured(page):
-    text = page(before=MEMORY[-1:] + SQUARE[:3])
-    assert cells(text, "memory of all")[0][2:7] == [
+def test_too_few_points_give_no_slope_but_keep_measured_values(make_page):
+    text = make_page(before=MEMORY[-1:] + SQUARE[:3])
+    assert table_rows(text, "memory of all")[0][2:7] == [
         "580 MB",
         "64 MB (target)",
         "**9.06 times over**",
         "too few points",
         "measured (`before`)",
     ]
-    assert cells(text, "time of a change")[0][2] == "not measured"
+    assert table_rows(text, "time of a change")[0][2] == "not measured"
     assert "too few points of `time`: 3 over a factor of 30; wanted are 4 over 20" in text
-    assert cells(section(text, "Slopes"), "`time`")[0][7].startswith("too few points: 3 over")
+    assert table_rows(page_section(text, "Slopes"), "`time`")[0][7].startswith("too few points: 3 over")
 
 
-def test_a_point_without_values_is_a_wall_and_nothing_is_worked_out_past_it(page):
+def test_a_point_without_values_is_a_wall_and_nothing_is_extrapolated_past_it(make_page):
     wall = Point("rest", "served", "", "destinations", 90_000, note="it | ended")
-    text = page(before=[*MEMORY[:3], *points("rest", "memory", "MB", lambda x: x, [200.0]), wall])
-    assert cells(text, "memory of all")[0][2:7:4] == [
+    text = make_page(before=[*MEMORY[:3], *points("rest", "memory", "MB", lambda x: x, [200.0]), wall])
+    assert table_rows(text, "memory of all")[0][2:7:4] == [
         "not measured",
         "none at 90,000 destinations, see the walls",
     ]
-    assert cells(section(text, "Walls"), "before")[0][1:] == [
+    assert table_rows(page_section(text, "Walls"), "before")[0][1:] == [
         "rest: served",
         "90,000 destinations",
         "none",
         "it / ended",
     ]
-    none = page(before=[wall], after=[])
-    assert cells(section(none, "Slopes"), "`memory`")[0][2] == "none, see the walls"
+    none = make_page(before=[wall], after=[])
+    assert table_rows(page_section(none, "Slopes"), "`memory`")[0][2] == "none, see the walls"
 
 
-def test_a_figure_of_each_is_not_taken_past_a_wall_either(page):
-    text = page(before=[*SQUARE, Point("change", "served", "", "destinations", 200_000, note="ended")])
-    assert cells(text, "time at the figure of each")[0][2:7:4] == [
+def test_a_value_assumed_to_stay_the_same_is_not_used_past_a_wall_either(make_page):
+    text = make_page(before=[*SQUARE, Point("change", "served", "", "destinations", 200_000, note="ended")])
+    assert table_rows(text, "time at the figure of each")[0][2:7:4] == [
         "not measured",
         "none at 200,000 destinations, see the walls",
     ]
-    assert cells(text, "time of a change")[0][2] == "65 ms"
+    assert table_rows(text, "time of a change")[0][2] == "65 ms"
 
 
-def test_a_series_that_has_walls_alone_says_so_at_any_size(page):
-    text = page(before=[Point("rest", "served", "", "destinations", 500_000, note="ended")])
-    assert cells(text, "memory of all")[0][6] == "none at 500,000 destinations, see the walls"
+def test_a_series_with_only_walls_says_so_at_any_size(make_page):
+    text = make_page(before=[Point("rest", "served", "", "destinations", 500_000, note="ended")])
+    assert table_rows(text, "memory of all")[0][6] == "none at 500,000 destinations, see the walls"
 
 
-def test_a_run_that_failed_beside_others_takes_no_value_away(page):
-    text = page(before=[*MEMORY, Point("rest", "failed", "", "destinations", 180_000, note="run 2")])
-    assert cells(text, "memory of all")[0][2] == "580 MB"
+def test_a_failed_run_does_not_hide_values_of_other_runs(make_page):
+    text = make_page(before=[*MEMORY, Point("rest", "failed", "", "destinations", 180_000, note="run 2")])
+    assert table_rows(text, "memory of all")[0][2] == "580 MB"
 
 
-def test_walls_of_several_scenarios_at_one_place_stand_in_one_row(page):
+def test_equal_walls_of_several_scenarios_share_one_row(make_page):
     walls = [Point(name, "served", "", "destinations", 20_000, note="ended") for name in ("rest", "change")]
-    assert cells(section(page(before=walls), "Walls"), "before")[0][1:] == [
+    assert table_rows(page_section(make_page(before=walls), "Walls"), "before")[0][1:] == [
         "rest, change: served",
         "20,000 destinations",
         "none",
@@ -580,26 +601,26 @@
     ]
 
 
-def test_the_farthest_reading_of_a_figure_is_told(page, tmp_path):
-    page(before=SQUARE, after=MEMORY)
-    (tmp_path / made.ROLES).write_text(
+def test_a_value_is_marked_by_its_farthest_extrapolation(make_page, tmp_path):
+    make_page(before=SQUARE, after=MEMORY)
+    (tmp_path / capacity_page.ROLES).write_text(
         TOML.replace('time(destinations) * 2"', 'memory(destinations) + time(destinations * 3)"')
     )
-    assert cells(made.page(tmp_path), "time of a change")[0][6] == (
+    assert table_rows(capacity_page.page(tmp_path), "time of a change")[0][6] == (
         "arithmetic on extrapolated, 3 times past the last point of `time` (`after`, `before`)"
     )
 
 
-def test_a_size_that_arithmetic_misses_by_a_rounding_error_is_the_measured_one(page, tmp_path):
+def test_a_size_with_a_rounding_error_counts_as_the_measured_one(make_page, tmp_path):
     size = 0.1 + 0.2  # 0.30000000000000004
-    page(before=[Point("rest", "memory", "MB", "destinations", x, [x]) for x in (0.3, 3.0, 30.0, 300.0)])
-    (tmp_path / made.ROLES).write_text(TOML.replace("value = 180000", f"value = {size!r}"))
-    assert cells(made.page(tmp_path), "memory of all")[0][6] == "measured (`before`)"
+    make_page(before=[Point("rest", "memory", "MB", "destinations", x, [x]) for x in (0.3, 3.0, 30.0, 300.0)])
+    (tmp_path / capacity_page.ROLES).write_text(TOML.replace("value = 180000", f"value = {size!r}"))
+    assert table_rows(capacity_page.page(tmp_path), "memory of all")[0][6] == "measured (`before`)"
 
 
-def test_points_of_a_search_for_a_wall_stand_among_the_walls(page):
+def test_points_of_a_search_for_a_wall_are_listed_among_the_walls(make_page):
     found = Point("walls", "delivered", "texts", "highest number", 65_536, [1.0], "of 2")
-    assert cells(section(page(before=[found]), "Walls"), "before")[0][1:] == [
+    assert table_rows(page_section(make_page(before=[found]), "Walls"), "before")[0][1:] == [
         "walls: delivered",
         "65,536 highest number",
         "1 texts",
@@ -607,54 +628,57 @@
     ]
 
 
-def test_a_budget_that_is_a_figure_of_results_is_said_to_be_measured_or_not(page, tmp_path):
+def test_a_budget_from_results_is_marked_measured_or_not(make_page, tmp_path):
     toml = TOML.replace('budget = "limit"', 'budget = "memory(2000)"').replace("value = 64", "value = 1")
-    page()
-    (tmp_path / made.ROLES).write_text(toml)
-    row = cells(made.page(tmp_path), "memory of all")[0]
+    make_page()
+    (tmp_path / capacity_page.ROLES).write_text(toml)
+    row = table_rows(capacity_page.page(tmp_path), "memory of all")[0]
     assert (row[3], row[6]) == (
         "not measured (target)",
         "no points of `memory` yet; budget: no points of `memory` yet",
     )
-    page(before=MEMORY)
-    (tmp_path / made.ROLES).write_text(toml)
-    assert cells(made.page(tmp_path), "memory of all")[0][3:5] == ["46 MB (target)", "**12.6 times over**"]
+    make_page(before=MEMORY)
+    (tmp_path / capacity_page.ROLES).write_text(toml)
+    assert table_rows(capacity_page.page(tmp_path), "memory of all")[0][3:5] == [
+        "46 MB (target)",
+        "**12.6 times over**",
+    ]
 
 
-def test_the_first_file_that_has_a_series_holds_it(page):
-    text = page(before=MEMORY, after=points("rest", "memory", "MB", lambda x: 30.0))
-    assert cells(text, "memory of all")[0][2:5] == ["30 MB", "64 MB (target)", "0.469 of it"]
-    assert cells(section(text, "Slopes"), "`memory`")[0][9] == "after: the after one, abc1234"
+def test_a_series_is_taken_from_the_first_file_that_has_it(make_page):
+    text = make_page(before=MEMORY, after=points("rest", "memory", "MB", lambda x: 30.0))
+    assert table_rows(text, "memory of all")[0][2:5] == ["30 MB", "64 MB (target)", "0.469 of it"]
+    assert table_rows(page_section(text, "Slopes"), "`memory`")[0][9] == "after: the after one, abc1234"
 
 
-def test_before_and_after_stand_side_by_side(page):
-    gone = Point("rest", "served", "", "destinations", 2000, note="it refused")
+def test_before_and_after_are_shown_side_by_side(make_page):
+    refused = Point("rest", "served", "", "destinations", 2000, note="it refused")
     small = Point("rest", "memory", "MB", "destinations", 180_000, [58.0])
-    text = section(page(before=MEMORY, after=[gone, small]), "Before and after")
-    rows = cells(text, "memory at rest")
+    text = page_section(make_page(before=MEMORY, after=[refused, small]), "Before and after")
+    rows = table_rows(text, "memory at rest")
     assert rows[0][1:6] == ["2,000 destinations", "46 (45.5 to 46.5)", "none, see the walls", "", ""]
     assert rows[1][3] == "not measured"
     assert rows[-1][1:] == ["180,000 destinations", "580 (574 to 586)", "58", "MB", "0.1", "before", "64 MB"]
     assert "- before, before: the before one, abc1234\n- after, after: the after one, abc1234\n" in text
 
 
-def test_a_series_is_compared_with_the_first_file_before_that_has_values_of_it(page):
+def test_a_series_is_compared_with_the_first_earlier_file_that_has_values_of_it(make_page):
     lifted = points("rest", "memory", "MB", lambda x: 50.0)
-    text = page(lifted=lifted, before=MEMORY, after=MEMORY)
-    row = cells(section(text, "Before and after"), "memory at rest")[0]
+    text = make_page(lifted=lifted, before=MEMORY, after=MEMORY)
+    row = table_rows(page_section(text, "Before and after"), "memory at rest")[0]
     assert (row[2], row[6]) == ("50 (49.5 to 50.5)", "lifted")
     for other in SQUARE, [Point("rest", "served", "", "destinations", 2000, note="it refused")]:
-        text = page(lifted=other, before=MEMORY, after=MEMORY)
-        assert cells(section(text, "Before and after"), "memory at rest")[0][6] == "before"
+        text = make_page(lifted=other, before=MEMORY, after=MEMORY)
+        assert table_rows(page_section(text, "Before and after"), "memory at rest")[0][6] == "before"
 
 
-def test_a_side_that_is_not_there_is_said_so(page):
-    text = section(page(before=MEMORY), "Before and after")
-    assert cells(text, "memory at rest")[0][2:4] == ["46 (45.5 to 46.5)", "not measured"]
-    assert cells(section(page(), "Before and after"), "what")[0][0] == "what"
+def test_a_missing_side_of_a_comparison_is_marked_not_measured(make_page):
+    text = page_section(make_page(before=MEMORY), "Before and after")
+    assert table_rows(text, "memory at rest")[0][2:4] == ["46 (45.5 to 46.5)", "not measured"]
+    assert table_rows(page_section(make_page(), "Before and after"), "what")[0][0] == "what"
 
 
-def test_hollow_relays_stand_beside_real_ones_where_both_were_measured(page):
+def test_hollow_and_real_relays_are_compared_where_both_were_measured(make_page):
     found = [
         Point(f"down {kind}", "trials", "1/s", "relays", 7, [value, value + 1.0])
         for kind, value in (("hollow", 2.0), ("real", 3.0))
@@ -663,15 +687,15 @@
         Point("cold hollow", "trials", "1/s", "relays", 7, [1.0]),
         Point("cold real", "trials", "1/s", "relays", 8, [1.0]),
     ]
-    text = section(page(hollow=found + alone), "Hollow relays beside real ones")
-    assert cells(text, "")[2:] == [
+    text = page_section(make_page(hollow=found + alone), "Hollow relays beside real ones")
+    assert table_rows(text, "")[2:] == [
         ["down: trials", "7 relays", "2.5 (2 to 3)", "3.5 (3 to 4)", "1/s", "hollow"]
     ]
-    assert section(page(hollow=alone), "Hollow relays beside real ones").endswith("not measured\n")
+    assert page_section(make_page(hollow=alone), "Hollow relays beside real ones").endswith("not measured\n")
 
 
-def test_what_is_missing_is_ranked_by_its_factor_and_what_stands_aside_is_not(page):
-    text = section(page(before=MEMORY + SQUARE), "What is missing next")
+def test_missing_capacity_is_ranked_by_its_factor_without_rows_set_aside(make_page):
+    text = page_section(make_page(before=MEMORY + SQUARE), "What is missing next")
     rows = [line.split(" | ")[1:5] for line in text.splitlines() if re.match(r"\| \d", line)]
     assert rows == [
         ["650", "Relay: time of a change", "65 ms", "0.1 ms (aim)"],
@@ -682,8 +706,8 @@
     assert "- Relay: time at the figure of each, 32.5 ms" in text
 
 
-def test_a_name_that_is_not_there_is_bad_use(tmp_path):
-    (tmp_path / made.ROLES).write_text(TOML.replace('memory(destinations)"', 'memory(sizes)"'))
+def test_an_unknown_name_in_an_expression_is_bad_usage(tmp_path):
+    (tmp_path / capacity_page.ROLES).write_text(TOML.replace('memory(destinations)"', 'memory(sizes)"'))
     save(tmp_path / "before.json", Results("s", "c", "abc1234", "2026", "m", MEMORY))
     result = CliRunner().invoke(main, ["lab", "scale", "page", "--folder", str(tmp_path)])
     assert (result.exit_code, "sizes" in result.output) == (2, True)
@@ -702,6 +726,6 @@
         "memory(1, 2)",
     ],
 )
-def test_an_expression_is_arithmetic_and_nothing_else(word):
+def test_an_expression_that_is_more_than_arithmetic_is_rejected(word):
     with pytest.raises(ValueError, match="not a figure"):
         Book(msgspec.toml.decode(TOML, type=Roles), {}).work_out(word)
