--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -413,9 +413,9 @@
 @pytest.mark.parametrize(
     "broken, why",
     [
-        (DIGEST | {"deadline": 0}, "settings.classes[1].deadline: a validity period over 0"),
-        ({"name": "digest", "deadline": 9000}, "settings.classes[1].effect: is wanted"),
-        ({"name": "digest", "effect": "pure"}, "settings.classes[1].deadline: is wanted"),
+        (DIGEST | {"deadline": 0}, "settings.classes[1].deadline: expected a validity period over 0"),
+        ({"name": "digest", "deadline": 9000}, "settings.classes[1].effect: is required"),
+        ({"name": "digest", "effect": "pure"}, "settings.classes[1].deadline: is required"),
     ],
 )
 def test_an_invalid_new_configuration_changes_no_setting(program, agent, make_host, broken, why):
