--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -283,7 +283,7 @@
         )
         self.policy.settings = settings  # what it holds keeps the rows it came with
         self.catalog.change_address(plan.catalog_address)
-        self.notifier.move(plan.catalog_address)
+        self.notifier.change_address(plan.catalog_address)
         start_logs(plan.log)
         log_event(
             log,
