--- a/limelatch/relay/platform.py
+++ b/limelatch/relay/platform.py
@@ -35,7 +35,7 @@
         self.notifier.response_received(response.status)
 
     def connection_ended(self, end_reason: EndReason) -> None:
-        self.notifier.lost(self, end_reason)
+        self.notifier.connection_ended(self, end_reason)
 
 
 class Notifier(ClientFactory):
@@ -137,9 +137,9 @@
         return self.connection
 
     def clientConnectionFailed(self, connector, reason) -> None:
-        self.lost(None, EndReason.REFUSED)
+        self.connection_ended(None, EndReason.REFUSED)
 
-    def lost(self, connection: PlatformConnection | None, end_reason: EndReason) -> None:
+    def connection_ended(self, connection: PlatformConnection | None, end_reason: EndReason) -> None:
         """Handle the end of the connection: notices in flight stay pending and are sent again."""
         self._cancel_deadline()
         self.connection = self._connector = None
