--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -83,7 +83,7 @@
     signal.signal(signal.SIGHUP, lambda number, frame: early_reloads.append(number))
     try:
         plan = relay_plan(os.environ, path, form)
-        logs.take_twisteds()
+        logs.redirect_twisted_log()
         logs.start(plan.log)
         plan = limit_descriptors(plan, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         driver = open_driver(plan)
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -61,13 +61,13 @@
 @pytest.mark.parametrize(
     "peers, wanted",
     [
-        (PEERS + PEERS[:1], "stands 2 times"),
+        (PEERS + PEERS[:1], "occurs 2 times"),
         (["10.0.0.3:7946", "10.0.0.5:7946"], "own address 10.0.0.4:7946 is not among them"),
-        (["10.0.0.4:7946"], "2 to 1856 addresses are wanted, 1 found"),
-        ([], "0 found"),
-        ([*PEERS, "nowhere"], "'nowhere' is no address"),
-        ([*PEERS, "10.0.0.300:1"], "is no address"),
-        ([f"10.0.{number >> 8}.{number & 255}:7946" for number in range(2000)], "2000 found"),
+        (["10.0.0.4:7946"], "expected 2 to 1856 addresses, 1 given"),
+        ([], "0 given"),
+        ([*PEERS, "nowhere"], "'nowhere' is not an address"),
+        ([*PEERS, "10.0.0.300:1"], "is not an address"),
+        ([f"10.0.{number >> 8}.{number & 255}:7946" for number in range(2000)], "2000 given"),
     ],
 )
 def test_an_invalid_list_of_peers_is_reported_with_its_key(tmp_path, peers, wanted):
