--- a/limelatch/relay/catalog.py
+++ b/limelatch/relay/catalog.py
@@ -74,6 +74,7 @@
         self.catalog, self._reader, self._object_count = catalog, ListReader(self), 0
 
     def connectionMade(self) -> None:
+        """Request the list, or the changes since the catalog's index."""
         super().connectionMade()
         self._request_list(self.catalog.index)
 
@@ -82,6 +83,7 @@
         self.send_request(request_head("GET", target, str(self.catalog.address), None, []))
 
     def response_received(self, response: Response, body: bytes) -> None:
+        """The response has ended: make the next request if it was a complete list, else close."""
         object_count, self._object_count = self._object_count, 0
         if response.status != 200 or not object_count and self._reader.is_between_objects:
             self.close(EndReason.CLOSED_BY_PEER)  # the watch has ended, or there is no list
@@ -109,20 +111,25 @@
     # good.
 
     def object_started(self, index: int, is_whole_list: bool) -> None:
+        """Called by the ListReader: rows of an object follow."""
         self.catalog.start_object(index, is_whole_list)
 
     def row_read(self, raw: object) -> None:
+        """Called by the ListReader: one row."""
         self.catalog.add_row(raw)
 
     def empty_line_read(self) -> None:
+        """Called by the ListReader: an empty line, which the catalog sends as a sign of life."""
         self.catalog.note_activity()
 
     def object_finished(self) -> None:
+        """Called by the ListReader: the object is complete."""
         self._object_count += 1
         self.catalog.finish_object()
         self.catalog.note_activity()
 
     def connection_ended(self, end_reason: EndReason) -> None:
+        """Report the end of the watch."""
         self.catalog.watch_lost(end_reason)
 
 
@@ -302,10 +309,12 @@
         return self.is_fresh or len(self.directory) > 0
 
     def buildProtocol(self, address) -> Watch:
+        """Start a watch on a new connection."""
         self._watch = Watch(self)
         return self._watch
 
     def clientConnectionFailed(self, connector, reason) -> None:
+        """The connection was refused or the attempt stopped."""
         self.watch_lost(EndReason.REFUSED)
 
     def watch_lost(self, end_reason: EndReason) -> None:
--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -114,6 +114,7 @@
         self.deadline = None
 
     def connectionMade(self) -> None:
+        """Take a slot in the table, or close the connection if there is none."""
         super().connectionMade()
         self.listener.count_open(1)
         self.slot = self.listener.connections.take(self)
@@ -126,7 +127,7 @@
                 self.listener.make_room(self)
 
     def idle_deadline(self) -> int:
-        """When this connection is closed as idle. The first command, and one begun, have their own limit."""
+        """When this connection is closed as idle; a first or incomplete command has a limit of its own."""
         plan = self.listener.driver.plan
         if self.has_sent_command and self.between_requests():
             return self.last_received_at + plan.client_idle_timeout // (
@@ -192,6 +193,7 @@
         return self.end_reason is None and self.between_requests() and not has_unread_bytes(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
+        """Buffer and parse input; discard it while the connection is lingering."""
         if self.is_lingering:
             self._discard(len(data))
             return
@@ -204,9 +206,11 @@
         self.listener.count_buffered(self)
 
     def is_parsing_paused(self) -> bool:
+        """Whether a text awaits its answer, or the next reply might not fit into the outbound buffer."""
         return self.awaiting_answer or self._outbound.free < MAX_REPLY_SIZE
 
     def lineReceived(self, line: bytes) -> None:
+        """Parse the head of a command or of a bulk string, or an inline command."""
         if self.missing_arguments:
             if not line.startswith(b"$") or not DECIMAL.match(line[1:]):
                 self._protocol_error("a bulk string is wanted")
@@ -241,6 +245,7 @@
         self.end(EndReason.MALFORMED)
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Take the content of a bulk string, or skip part of an oversized one."""
         if self.bytes_to_skip:
             self.bytes_to_skip -= len(data)
             if self.bytes_to_skip:
@@ -314,9 +319,11 @@
             self.end(EndReason.CLOSED_BY_PEER)
 
     def writeConnectionLost(self) -> None:
+        """The connection has been closed for writing."""
         self.end(EndReason.CLOSED_BY_PEER)
 
     def connectionLost(self, reason) -> None:
+        """Release all that the connection holds, and tell the driver if a text awaits its answer."""
         self.listener.count_open(-1)
         self.end_reason = self.end_reason or EndReason.CLOSED_BY_PEER
         if self.end_reason in (EndReason.MALFORMED, EndReason.NO_SLOT, EndReason.ANSWER_TIMEOUT):
@@ -350,7 +357,7 @@
         )
         self._by_last_activity: OrderedDict[Client, None] = OrderedDict()  # the longest idle first
         self.open, self.max_open = 0, max_open  # open connections, including those that are closing
-        self._accept_update_due = False  # the port's limit of accepts is about to be set anew
+        self._accept_update_due = False  # the port's limit of accepts is about to be updated
         self.stopping, self.port, self._accepting_paused = False, None, False
         self.paused = self.closing = False  # paused: PING is refused; closing: idle connections are closed
         self._grace = self._room_check = None
@@ -367,7 +374,7 @@
         return Client(self)
 
     def count_open(self, more: int) -> None:
-        """Count connections, and set anew how many the port accepts in the reactor's next turn. The others
+        """Count connections, and update how many the port accepts in the reactor's next turn. The others
         wait in the kernel's queue and are not refused.
 
         Guards against Twisted's own limit, which grows by 20 a turn while connections wait: clients that
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -170,19 +170,23 @@
         return not has_unread_bytes(self.transport)
 
     def connectionMade(self) -> None:
+        """The connection is established: stop the timer and write the call."""
         super().connectionMade()
         self.is_connected = True
         self.deadline.cancel()
         self.pool.send_on(self)
 
     def response_started(self) -> None:
+        """Note when the status line was read; after an interim response, that of the last one."""
         if self.call is not None:
             self.call.response_started_at = self.pool.clock.now()
 
     def response_received(self, response: Response, body: bytes) -> None:
+        """Pass the response to the pool."""
         self.pool.response_received(self, response, body)
 
     def connection_ended(self, end_reason: EndReason) -> None:
+        """Tell the pool, and whether the request was written completely."""
         if end_reason is EndReason.CONNECTION_LOST and not self.outbound_writer.empty:
             end_reason = self.end_reason = EndReason.REQUEST_INCOMPLETE
         self.pool.connection_lost(self, end_reason)
@@ -206,9 +210,11 @@
         self.connection = connection
 
     def buildProtocol(self, address) -> Connection:
+        """The connection that the attempt was made for."""
         return self.connection
 
     def clientConnectionFailed(self, connector, reason) -> None:
+        """End the connection as refused, unless the relay stopped the attempt."""
         connection = self.connection
         connection.end_reason = connection.end_reason or EndReason.REFUSED
         connection.pool.connection_lost(connection, connection.end_reason)
@@ -290,20 +296,20 @@
         if call is None:  # the call was abandoned meanwhile
             connection.abandon(EndReason.IDLE)
             return
-        held_back = [
+        withdrawn = [
             each
             for each in call.texts
             if not (self.driver.may_send(now, each.text, call.host) and self.driver.start_submit(call, each))
         ]
-        if held_back:
-            call.texts = [each for each in call.texts if each not in held_back]
-            for each in held_back:
+        if withdrawn:
+            call.texts = [each for each in call.texts if each not in withdrawn]
+            for each in withdrawn:
                 self.driver.submit_ended(
                     call, each, Outcome(RESULT_BY_END_REASON[EndReason.NOT_SENT], unsent=True)
                 )
             if not call.texts:
                 self._finish(call)
-                self._keep_idle(connection, held_back[0].idle_limit)
+                self._keep_idle(connection, withdrawn[0].idle_limit)
                 return
         call.batched = len(call.texts) > 1
         connection.send_request(*write_call(call, str(self.addresses.get(call.host, "")), now))
@@ -399,10 +405,8 @@
             and not call.batched
             and not call.is_late(call.response_started_at)
         ):
-            result, finished = (
-                Result.MALFORMED,
-                True,
-            )  # its status line counts; the host may still be running the call
+            # its status line counts; the host may still be running the call
+            result, finished = Result.MALFORMED, True
         if not call.texts:
             self.driver.probe_ended(call, result, {})
         for each in call.texts:
--- a/limelatch/relay/http.py
+++ b/limelatch/relay/http.py
@@ -73,6 +73,7 @@
         raise NotImplementedError
 
     def lineReceived(self, line: bytes) -> None:
+        """Parse a line of a head, a chunk or a trailer."""
         if self._read_line not in (self._read_chunk_size, self._read_chunk_end):
             self._head_size += len(line) + 2
         if not self.awaiting_response or self._head_size > MAX_HEAD_SIZE:
@@ -154,6 +155,7 @@
             self._finish_response()
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Take part of the body: pass it on or collect it."""
         self.setLineMode()
         by_length = self._read_line is None
         if by_length and self._part_size is None or not self.body_received(data):
@@ -174,6 +176,7 @@
         self.response_received(response, body)
 
     def connectionLost(self, reason) -> None:
+        """Call `connection_ended` with the reason."""
         if self.end_reason is None:
             self.end_reason = (
                 EndReason.CONNECTION_LOST if self.awaiting_response else EndReason.CLOSED_BY_PEER
--- a/limelatch/relay/line_receiver.py
+++ b/limelatch/relay/line_receiver.py
@@ -59,9 +59,11 @@
         return not self.pieces and not self.ring
 
     def pauseProducing(self) -> None:
+        """The transport takes no more bytes for now."""
         self.paused = True
 
     def resumeProducing(self) -> None:
+        """The transport takes bytes again."""
         self.paused = False
         self.move()
         self.on_room()
@@ -72,6 +74,7 @@
         self.move()
 
     def stopProducing(self) -> None:
+        """The connection is lost: discard what is queued."""
         self.paused = True
         self.pieces.clear()
 
@@ -93,6 +96,7 @@
         self.end_reason: EndReason | None = None
 
     def connectionMade(self) -> None:
+        """Set up the socket and the writer of outbound bytes."""
         self.transport.bufferSize = READ_SIZE
         self.transport.setTcpNoDelay(True)
         self.outbound_writer = OutboundWriter(self.transport, self._outbound, self.pump)
@@ -113,6 +117,7 @@
         return False
 
     def dataReceived(self, data: bytes) -> None:
+        """Buffer input and parse what is complete."""
         if self.end_reason is None:
             self.inbound.write(data)
             self.pump()
@@ -141,6 +146,7 @@
         return self.inbound.read(end + len(self.delimiter)) if end >= 0 else b""
 
     def lineLengthExceeded(self, line: bytes) -> None:
+        """Close the connection because of a line over MAX_LENGTH."""
         self.close(EndReason.MALFORMED)
 
     def close(self, end_reason: EndReason, finish_writing: bool = False) -> None:
--- a/limelatch/relay/transport.py
+++ b/limelatch/relay/transport.py
@@ -38,20 +38,24 @@
     reading_paused = writing_paused = False
 
     def startReading(self) -> None:
+        """Start reading, or do so when the pause ends."""
         self.reading_wanted = True
         if not self.reading_paused:
             super().startReading()
 
     def stopReading(self) -> None:
+        """Stop reading, also after a pause."""
         self.reading_wanted = False
         super().stopReading()
 
     def startWriting(self) -> None:
+        """Start writing, or do so when the pause ends."""
         self.writing_wanted = True
         if not self.writing_paused:
             super().startWriting()
 
     def stopWriting(self) -> None:
+        """Stop writing, also after a pause."""
         self.writing_wanted = False
         super().stopWriting()
 
@@ -82,6 +86,7 @@
     """A TCP connection that survives resource errors of reads and writes by retrying them."""
 
     def doRead(self):
+        """Read once; pause after a resource error."""
         try:
             data = self.socket.recv(self.bufferSize)
         except BlockingIOError:
@@ -94,6 +99,7 @@
         return self._dataReceived(data)
 
     def writeSomeData(self, data):
+        """Write once and return the number of bytes; pause after a resource error."""
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except BlockingIOError:
@@ -137,6 +143,7 @@
         self.limited_log = LimitedLog(log, MonotonicClock())
 
     def doRead(self) -> None:
+        """Accept connections; pause if accepting failed and none was accepted."""
         accepted, failed = 0, None
         for _ in range(self.numberAccepts):
             try:
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -12,8 +12,8 @@
 
 
 def request(text, body=b"hello"):
-    words = [b"SUBMIT", b"0000", text.encode(), b"c=report,t=acme,d=9000,k=5c0f,dest=1", body]
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(each), each) for each in words)
+    arguments = [b"SUBMIT", b"0000", text.encode(), b"c=report,t=acme,d=9000,k=5c0f,dest=1", body]
+    return b"*%d\r\n" % len(arguments) + b"".join(b"$%d\r\n%s\r\n" % (len(each), each) for each in arguments)
 
 
 def read_reply(client):
@@ -30,14 +30,14 @@
     agent.list(host.address)
     program.start()
     clients = [program.client() for _ in range(PARTS)]
-    began = time.monotonic()
+    started_at = time.monotonic()
     for number, client in enumerate(clients):
         whole = request(f"t{number}")
         client.socket.sendall(whole[:30])
         client.rest = whole[30:]
     answers = {}
     for number, client in enumerate(clients):
-        due = began + (COMMAND_MS + 100 * number / PARTS) / 1000  # the relay checks within 100 ms
+        due = started_at + (COMMAND_MS + 100 * number / PARTS) / 1000  # the relay checks within 100 ms
         threading.Event().wait(max(0.0, due - time.monotonic()))
         try:
             client.socket.sendall(client.rest)
@@ -128,13 +128,13 @@
     program = make_program(client_command_ms=COMMAND_MS)
     agent.list("127.0.0.1:1")
     program.start()
-    bad = program.client()
-    bad.socket.sendall(b"*2\r\n$6\r\nSUB")
-    assert read_reply(bad).startswith(b"-ERR") and bad.lines.readline() == b""
+    client = program.client()
+    client.socket.sendall(b"*2\r\n$6\r\nSUB")
+    assert read_reply(client).startswith(b"-ERR") and client.lines.readline() == b""
     until = time.monotonic() + 2.0
     with pytest.raises(OSError) as ended:
         while time.monotonic() < until:  # it goes on writing and never closes
-            bad.socket.sendall(b"x")
+            client.socket.sendall(b"x")
             threading.Event().wait(0.02)
     assert ended.value.errno in (errno.ECONNRESET, errno.EPIPE)
     assert program.client().ask("PING") == "+PONG"
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -23,17 +23,19 @@
 from limelatch.relay.end_reason import EndReason
 
 TABLE = 300  # connections in the table
-ASKED = b"SUBMIT 0 t1 c=report,d=9000,dest=1 x\r\n"
+SUBMIT_COMMAND = b"SUBMIT 0 t1 c=report,d=9000,dest=1 x\r\n"
 
 
 @pytest.fixture
 def unread_checks(monkeypatch):
     """The transports that were checked for unread bytes, each a system call."""
-    asked, has_unread_bytes = [], clients.has_unread_bytes
+    checked, has_unread_bytes = [], clients.has_unread_bytes
     monkeypatch.setattr(
-        clients, "has_unread_bytes", lambda transport: asked.append(transport) or has_unread_bytes(transport)
+        clients,
+        "has_unread_bytes",
+        lambda transport: checked.append(transport) or has_unread_bytes(transport),
     )
-    return asked
+    return checked
 
 
 class FakePort:
@@ -63,17 +65,17 @@
 
 
 def connect_clients(listener, count=1):
-    made = []
+    connected_clients = []
     for _ in range(count):
         client = listener.buildProtocol(None)
         client.makeConnection(SocketPairTransport())
-        made.append(client)
-    return made
+        connected_clients.append(client)
+    return connected_clients
 
 
 def test_making_room_for_a_client_checks_few_others_for_unread_requests(listener, unread_checks):
-    """Each new client had the whole table checked: 1,200 idle clients cost 363,000 system calls, and no text
-    was served."""
+    """Guards against a check of the whole table for each new client: 1,200 idle clients cost 363,000 system
+    calls, and no text was served."""
     connect_clients(listener, 40)
     unread_checks.clear()
     connect_clients(listener, 400)
@@ -81,40 +83,44 @@
 
 
 def test_the_longest_idle_connection_makes_room(listener, clock):
-    made = connect_clients(listener, 39)
+    connected_clients = connect_clients(listener, 39)
     clock.advance(0.1)
-    made[0].dataReceived(b"PING")  # an incomplete command
+    connected_clients[0].dataReceived(b"PING")  # an incomplete command
     connect_clients(listener)
-    assert [each for each in made if each.end_reason is EndReason.NO_SLOT] == [made[1]]
+    assert [each for each in connected_clients if each.end_reason is EndReason.NO_SLOT] == [
+        connected_clients[1]
+    ]
 
 
 def test_no_connection_with_an_unread_request_is_closed_while_another_is_idle(listener, unread_checks):
-    made = connect_clients(listener, 39)
-    for each in made[:5]:
-        each.transport.peer.send(ASKED)
+    connected_clients = connect_clients(listener, 39)
+    for each in connected_clients[:5]:
+        each.transport.peer.send(SUBMIT_COMMAND)
     connect_clients(listener, 30)
-    assert not any(each.end_reason for each in made[:5])
-    assert sum(each.end_reason is EndReason.NO_SLOT for each in made) == 30
+    assert not any(each.end_reason for each in connected_clients[:5])
+    assert sum(each.end_reason is EndReason.NO_SLOT for each in connected_clients) == 30
     assert len(unread_checks) <= 30 + 5
 
 
 def test_accepting_is_paused_while_all_connections_have_unread_requests(listener, clock, unread_checks):
-    """The longest idle connection was closed although it had an unread request."""
-    made = connect_clients(listener, 39)
-    for each in made:
-        each.transport.peer.send(ASKED)
-    made += connect_clients(listener)
+    """Guards against closing the longest idle connection although it has an unread request."""
+    connected_clients = connect_clients(listener, 39)
+    for each in connected_clients:
+        each.transport.peer.send(SUBMIT_COMMAND)
+    connected_clients += connect_clients(listener)
     assert (
         not listener.port.reading
-        and not any(each.end_reason for each in made)
+        and not any(each.end_reason for each in connected_clients)
         and len(unread_checks) == MAX_UNREAD_CHECKS
     )
-    made[-1].transport.peer.send(ASKED)
+    connected_clients[-1].transport.peer.send(SUBMIT_COMMAND)
     clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
-    assert not listener.port.reading and not any(each.end_reason for each in made)
-    made[7].transport.socket.recv(99)  # its request is read
+    assert not listener.port.reading and not any(each.end_reason for each in connected_clients)
+    connected_clients[7].transport.socket.recv(99)  # its request is read
     clock.pump([FULL_TABLE_CHECK_INTERVAL / 10_000] * 4)
-    assert listener.port.reading and [each for each in made if each.end_reason] == [made[7]]
+    assert listener.port.reading and [each for each in connected_clients if each.end_reason] == [
+        connected_clients[7]
+    ]
 
 
 def test_a_client_whose_text_awaits_its_answer_is_not_closed_for_memory(listener):
@@ -122,14 +128,14 @@
     handed = []
     listener.driver.submission_received = lambda text, client: handed.append(client)
     waiting, partial = connect_clients(listener, 2)
-    waiting.dataReceived(ASKED + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
+    waiting.dataReceived(SUBMIT_COMMAND + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
     partial.dataReceived(b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 6000)
     assert handed == [waiting] and waiting.end_reason is None and partial.end_reason is EndReason.NO_SLOT
     assert b"-BUSY" not in waiting.transport.value() and b"-BUSY" in partial.transport.value()
 
 
 def test_nothing_refers_to_a_client_that_has_left(listener, clock):
-    """The timer that aborts a client which reads no more kept each for half a second after it had left."""
+    """Guards against the timer that aborts a client which reads no more: it kept each one half a second."""
     for each in connect_clients(listener, 60):
         each.connectionLost(None)
     clock.advance(0)  # the port's limit of accepts is updated
@@ -196,7 +202,7 @@
 def test_with_many_reconnecting_clients_texts_are_answered_and_accepts_in_a_turn_are_few(
     descriptors, make_program, agent, make_host
 ):
-    """Each reactor turn accepted 20 connections more than the one before, and closed them only afterwards."""
+    """Guards against reactor turns that each accept 20 connections more, which are closed only afterwards."""
     host, program = make_host(), make_program(limits={"disk_mb": 3, "sockets": 2 * TABLE})
     agent.list(host.address)
     program.start().socket.close()
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -277,7 +277,7 @@
         open_watch(catalog), list_object(4, [row_json(f"s-{number}", number) for number in range(5000)], True)
     )
     slices, sweep = [], catalog.directory.sweep
-    catalog.directory.sweep = lambda most: slices.append(most) or sweep(most)
+    catalog.directory.sweep = lambda max_rows: slices.append(max_rows) or sweep(max_rows)
     send_chunk(open_watch(catalog), list_object(5, [row_json()], True))
     assert slices[-1] <= 1024 and len(catalog.directory) == 1
     assert catalog.directory.find(b"s-4999") is None  # although it is not removed yet
@@ -436,8 +436,8 @@
         monkeypatch.setattr(
             list_copy.os,
             name,
-            lambda *words, real=real: (
-                steps.append((read_copy(copy.path)[1], os.path.exists(copy.path))) or real(*words)
+            lambda *arguments, real=real: (
+                steps.append((read_copy(copy.path)[1], os.path.exists(copy.path))) or real(*arguments)
             ),
         )
     write_copy(catalog, clock)  # at each step the previous file is in place, complete
@@ -451,7 +451,9 @@
     send_chunk(open_watch(catalog), list_object(4, ROWS, True))
     write_copy(catalog, clock)
     real = os.write
-    monkeypatch.setattr(list_copy.os, "write", lambda *words: (_ for _ in ()).throw(OSError(28, "no space")))
+    monkeypatch.setattr(
+        list_copy.os, "write", lambda *arguments: (_ for _ in ()).throw(OSError(28, "no space"))
+    )
     send_chunk(open_watch(catalog), list_object(5, [row_json("s-9", 9)]))
     write_copy(catalog, clock)
     assert read_copy(copy.path)[1] == 4 and "copy-not-written" in caplog.text
@@ -464,32 +466,32 @@
 
 def test_the_ledger_has_priority_over_the_copy(tmp_path, clock, make_catalog, caplog):
     ledger = Ledger(str(tmp_path), 100_000, 64_000_000)
-    most = ledger.max_live_bytes
+    limit_before = ledger.max_live_bytes
     catalog = make_catalog(ListCopy(str(tmp_path), Deadlines(clock, clock), ledger), "a:1")
     send_chunk(
         open_watch(catalog), list_object(4, [row_json(f"s-{number}", number) for number in range(400)], True)
     )
     write_copy(catalog, clock)
-    assert os.listdir(tmp_path) == ["ledger"] and ledger.max_live_bytes == most
+    assert os.listdir(tmp_path) == ["ledger"] and ledger.max_live_bytes == limit_before
     assert "copy-not-written" in caplog.text
     catalog.directory = Directory()  # fewer rows
     send_chunk(open_watch(catalog), list_object(5, [row_json()], True))
     write_copy(catalog, clock)
     assert (
-        "list" in os.listdir(tmp_path) and ledger.max_live_bytes < most
+        "list" in os.listdir(tmp_path) and ledger.max_live_bytes < limit_before
     )  # its space is no longer the ledger's
 
 
-@pytest.mark.parametrize("beside", [False, True])
-def test_a_copy_for_which_the_ledger_has_no_room_is_read_and_removed(make_catalog, copy, clock, beside):
+@pytest.mark.parametrize("is_standby", [False, True])
+def test_a_copy_for_which_the_ledger_has_no_room_is_read_and_removed(make_catalog, copy, clock, is_standby):
     catalog = make_catalog(copy, "a:1")
     send_chunk(open_watch(catalog), list_object(4, ROWS, True))
     write_copy(catalog, clock)
-    full = SimpleNamespace(is_standby=beside, reserve_disk=lambda size, at_once=False: False)
+    full = SimpleNamespace(is_standby=is_standby, reserve_disk=lambda size, at_once=False: False)
     after = make_catalog(ListCopy(os.path.dirname(copy.path), Deadlines(clock, clock), full), "a:1")
     after.load_copy()
     assert len(after.directory) == 6
-    assert os.path.exists(copy.path) == beside  # in an upgrade it belongs to the other process
+    assert os.path.exists(copy.path) == is_standby  # in an upgrade it belongs to the other process
 
 
 class ManualDeadlines:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -188,7 +188,7 @@
 
 
 def test_compaction_keeps_each_text_s_state_within_its_reserved_space(ledger):
-    """Each submit once kept its own records, at up to 2 KB a text, so that other texts were refused."""
+    """Guards against records of each submit, up to 2 KB a text, for which other texts are refused."""
     accept_text(ledger, b"a" * 64)
     for at in range(40):
         ledger.record_submit(b"a" * 64, at, 1)
@@ -396,7 +396,7 @@
     ],
 )
 def test_a_refused_and_closed_new_connection_means_a_full_table(idle, keeps, headers, result):
-    """Full tables were once mistaken for exhausted limits, and paces were reduced although much was left."""
+    """Guards against taking a full table for an exhausted limit, which reduced paces without need."""
     call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, idle_time=idle)
     assert read_outcomes(call, Response(503, headers, keeps), b"")[0].result is result
 
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -28,36 +28,38 @@
 def test_the_shares_of_all_parties_fit_the_descriptor_limit():
     for sockets in (*range(MIN_SOCKETS, 2000), 4096, 1 << 20):
         shares = DescriptorShares.of(sockets)
-        taken = (
+        used = (
             shares.max_clients + shares.hosts + shares.closing + 2 * shares.operators + RESERVED_DESCRIPTORS
         )
-        assert taken <= sockets and shares.clients == sockets // 2 < shares.max_clients
+        assert used <= sockets and shares.clients == sockets // 2 < shares.max_clients
         assert shares.hosts >= 6 and shares.closing >= 2 and shares.operators >= 1
         assert sockets < 400 or shares.hosts == sockets // 4
 
 
 def test_a_burst_in_one_turn_stays_within_the_clients_descriptors():
     """Connections that make room are closed only after the reactor turn."""
-    listener, made = Listener(Doorstep(Running()), 10, 10_000, 14), []
+    listener, connections = Listener(Doorstep(Running()), 10, 10_000, 14), []
     for _ in range(100):
         if (client := listener.buildProtocol(Peer)) is not None:
             client.makeConnection(SocketPairTransport())
-            made.append(client)
-    assert len(made) == listener.open == 14 and sum(each.end_reason is None for each in made) == 9
-    for each in made:
+            connections.append(client)
+    assert (
+        len(connections) == listener.open == 14 and sum(each.end_reason is None for each in connections) == 9
+    )
+    for each in connections:
         if each.end_reason is not None:
             each.connectionLost(None)
     assert listener.open == 9 and listener.buildProtocol(Peer) is not None
 
 
 def test_a_burst_at_the_operators_port_stays_within_its_descriptors():
-    operator_server, made = OperatorServer(Doorstep(Running()), None, 2), []
+    operator_server, connections = OperatorServer(Doorstep(Running()), None, 2), []
     for _ in range(100):
         if (caller := operator_server.buildProtocol(Peer)) is not None:
             caller.makeConnection(SocketPairTransport())
-            made.append(caller)
-    assert len(made) == operator_server.open == 4
-    for each in made[:2]:
+            connections.append(caller)
+    assert len(connections) == operator_server.open == 4
+    for each in connections[:2]:
         each.connectionLost(None)
     assert operator_server.open == 2 and operator_server.buildProtocol(Peer) is not None
 
@@ -125,8 +127,8 @@
         one.setblocking(False)
         one.connect_ex(self.address)
         self.opened += 1
-        asks = selectors.EVENT_WRITE if self.opened % 2 else 0
-        self.selector.register(one, selectors.EVENT_READ | asks)
+        write_event = selectors.EVENT_WRITE if self.opened % 2 else 0
+        self.selector.register(one, selectors.EVENT_READ | write_event)
 
     def _reconnect_closed(self):
         while not self.stopped.is_set():
@@ -159,14 +161,14 @@
     """Discovery's address, where nothing listens yet."""
 
     def __init__(self):
-        self.held = socket.socket()
-        self.held.bind(("127.0.0.1", 0))
-        self.port = self.held.getsockname()[1]
+        self.reserved_socket = socket.socket()
+        self.reserved_socket.bind(("127.0.0.1", 0))
+        self.port = self.reserved_socket.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
 
     def start(self, host):
         """Start discovery at the address, with this host on its list."""
-        self.held.close()
+        self.reserved_socket.close()
         port = self.port
 
         class DiscoveryAgent(Agent):
@@ -181,17 +183,17 @@
 @pytest.fixture
 def limited_relay(tmp_path):
     """Makes relays whose discovery refuses connections; they are stopped with the test."""
-    made = []
+    cleanups = []
 
     def make(descriptor_limit, sockets):
         discovery = DiscoveryAddress()
         program = LimitedProgram(tmp_path, discovery, descriptor_limit, sockets)
         program.start()
-        made.extend([program.kill, (crowd := Crowd(program, descriptor_limit + 30)).end])
+        cleanups.extend([program.kill, (crowd := Crowd(program, descriptor_limit + 30)).end])
         return program, discovery, crowd
 
     yield make
-    for end in reversed(made):
+    for end in reversed(cleanups):
         end()
 
 
@@ -222,23 +224,23 @@
         first = host.next()
         assert first.at - back_at < MAX_CHANGE_DELAY
         answers |= {text: submit_once(program, text) for text in map("b{}".format, range(12))}
-        taken = {text for text, answer in answers.items() if answer == "+OK"}
+        accepted = {text for text, answer in answers.items() if answer == "+OK"}
         got = {first.headers["X-Txn"]}
         until(
             lambda: (
-                got.update(each.headers["X-Txn"] for each in iter(lambda: next_of(host), None))
-                or got >= taken
+                got.update(each.headers["X-Txn"] for each in iter(lambda: next_request(host), None))
+                or got >= accepted
             )
         )
         assert crowd.peak < descriptor_limit, f"{crowd.opened} connections were opened"
-        assert agent.notices.empty() and set(answers.values()) <= {"+OK", "-BUSY", ""} and len(taken) >= 20
+        assert agent.notices.empty() and set(answers.values()) <= {"+OK", "-BUSY", ""} and len(accepted) >= 20
         assert not [line for line in program.lines if "EMFILE" in line or "many open files" in line]
     finally:
         agent.released.set()
         agent.shutdown()
 
 
-def next_of(host):
+def next_request(host):
     try:
         return host.requests.get_nowait()
     except queue.Empty:
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -31,7 +31,7 @@
     return b"%x\r\n%s\r\n" % (len(raw), raw)
 
 
-def line(object_):
+def json_line(object_):
     return chunk(json.dumps(object_).encode() + b"\n")
 
 
@@ -40,8 +40,8 @@
 
     def __init__(self, agent, factory, where):
         self.agent, self.factory, self.state, self.protocol = agent, factory, "connecting", None
-        self.asked, self.respond, self.at = [], None, agent.seconds()
-        self.answers = where == OTHER_ADDRESS or self.at >= agent.recovers_at
+        self.requests, self.respond, self.at = [], None, agent.seconds()
+        self.is_answered = where == OTHER_ADDRESS or self.at >= agent.recovers_at
 
     def connect(self):
         self.state, self.protocol = "connected", self.factory.buildProtocol(None)
@@ -58,11 +58,11 @@
         self.protocol.makeConnection(RecordingTransport())
 
     def request_received(self):
-        asked = self.protocol.transport.value()
+        requests = self.protocol.transport.value()
         self.protocol.transport.clear()
-        if asked and self.state == "connected":
-            self.asked.append(asked.split()[1].decode())
-            (Call.answer if self.answers else self.respond)(self)
+        if requests and self.state == "connected":
+            self.requests.append(requests.split()[1].decode())
+            (Call.answer if self.is_answered else self.respond)(self)
 
     def send(self, raw):
         if self.state == "connected":
@@ -75,9 +75,9 @@
 
     def answer(self):
         """As in the protocol: the whole list, or the changes since, followed by empty lines."""
-        whole = "stream" not in self.asked[-1]
-        raw = json.dumps(page(43, whole, name=CHANGED_HOST)).encode()
-        if whole:
+        is_whole_list = "stream" not in self.requests[-1]
+        raw = json.dumps(page(43, is_whole_list, name=CHANGED_HOST)).encode()
+        if is_whole_list:
             self.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
         else:
             self.send(HEAD + chunk(raw + b"\n"))
@@ -116,7 +116,7 @@
 
     def handle_call(self, call):
         if call.state == "connecting":
-            (Call.connect if call.answers else self.state)(call)
+            (Call.connect if call.is_answered else self.state)(call)
 
     def run(self, until):
         """Advance the clock timer by timer, so that each timer counts from its own moment."""
@@ -157,7 +157,7 @@
 
 
 def half_an_object(call):
-    call.send(HEAD + line(page(42))[:60])
+    call.send(HEAD + json_line(page(42))[:60])
 
 
 def trickle_in_an_object(call):
@@ -184,8 +184,8 @@
 
 def an_old_index(call):
     """The relay then requests the whole list, and that request gets no response."""
-    if "stream" in call.asked[-1]:
-        call.send(HEAD + line(page(40, status="left")))
+    if "stream" in call.requests[-1]:
+        call.send(HEAD + json_line(page(40, status="left")))
 
 
 def an_error(call):
@@ -213,10 +213,10 @@
 @pytest.fixture
 def relays(tmp_path):
     """Makes relays without a port, each on its own clock."""
-    made = []
+    drivers = []
 
     def make(agent, seed=7, **settings):
-        folder = tmp_path / str(len(made))
+        folder = tmp_path / str(len(drivers))
         folder.mkdir()
         raw = VALID_CONFIG | {
             "state": str(folder),
@@ -226,11 +226,11 @@
         }
         driver = Driver(plan_of(read_platform(raw)[0]), agent, agent)
         driver.ready, driver.changed_at = True, None
-        made.append(driver)
+        drivers.append(driver)
         original_on_update = driver.catalog.on_update
 
-        def on_update(entries, whole):
-            original_on_update(entries, whole)
+        def on_update(entries, is_whole_list):
+            original_on_update(entries, is_whole_list)
             if driver.changed_at is None and driver.catalog.directory.find(CHANGED_HOST.encode()) is not None:
                 driver.changed_at = agent.seconds()
 
@@ -239,7 +239,7 @@
         return driver
 
     yield make
-    for driver in made:
+    for driver in drivers:
         driver.ledger.close()
 
 
@@ -297,21 +297,21 @@
 @pytest.mark.parametrize("state", WATCHED_DELAYS)
 @pytest.mark.parametrize("moved", [0.0, 0.9, 3.0, 17.7, 40.0])
 def test_after_a_change_of_address_the_new_one_is_requested_at_once(relays, state, settings, moved):
-    """During a wait after a failure, the new address was requested only once that wait was over."""
+    """Guards against a wait after a failure of the old address that delays the request to the new one."""
     agent = Agent(state)
     driver = relays(agent, **settings)
     agent.run(moved)
     driver.catalog.change_address(Address(*OTHER_ADDRESS))
     agent.run(moved + 1)
     assert driver.changed_at is not None and driver.changed_at - moved < 0.26
-    assert agent.calls_made[-1].asked[0] == "/catalog/members"
+    assert agent.calls_made[-1].requests[0] == "/catalog/members"
     agent.run(moved + 30)
     assert agent.calls_made[-1].state == "connected" and agent.calls_made[-1].at <= driver.changed_at
 
 
 @pytest.mark.parametrize("state", ["refused", "connecting_and_silent"])
 def test_relays_spread_their_retries(relays, state):
-    """The last call is spread over the remaining time instead of made at its end."""
+    """The last call has to be spread over the remaining time instead of made at its end."""
     agents = [Agent(state) for _ in range(40)]
     for seed, agent in enumerate(agents):
         relays(agent, seed=seed + 1, **POLLED)
