--- a/limelatch/relay/catalog.py
+++ b/limelatch/relay/catalog.py
@@ -161,9 +161,8 @@
         self.index: int | None = None
         self.is_fresh = False  # the catalog itself has sent a list since the start
         self.directory, self.copy, self.is_wanted = Directory(), copy, is_wanted
-        self._current_object: tuple[int, bool] | None = (
-            None  # index of the object being read, and whether it is a whole list
-        )
+        # index of the object being read, and whether it is a whole list
+        self._current_object: tuple[int, bool] | None = None
         self._changes: list[HostEntry] = []  # read and not reported yet
         self._row_count = self._reported_row_count = 0  # of the object being read
         self.limited_log = LimitedLog(log, deadlines.clock) if deadlines is not None else None
--- a/limelatch/relay/directory.py
+++ b/limelatch/relay/directory.py
@@ -73,10 +73,8 @@
 
     def __init__(self, rows: int = 0) -> None:
         """`rows`: the number of rows to be added, if known."""
-        self._buffer, self._unused_bytes = (
-            bytearray(),
-            0,
-        )  # every row's line; bytes in it that belong to no row any more
+        # every row's line, and the bytes in it that belong to no row any more
+        self._buffer, self._unused_bytes = bytearray(), 0
         self._line_starts = array("I")  # by row number: offset of its line; END: the number is free
         self._name_hashes, self._destinations = array("I"), array("I")
         self._seen = bytearray()  # by row number: whether the last whole list, or the one being read, has it
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -125,17 +125,18 @@
 
 def test_a_client_whose_text_awaits_its_answer_is_not_closed_for_memory(listener):
     """The client would take the refusal for the answer, and submit again a text that may be accepted."""
-    handed = []
-    listener.driver.submission_received = lambda text, client: handed.append(client)
+    submitters = []
+    listener.driver.submission_received = lambda text, client: submitters.append(client)
     waiting, partial = connect_clients(listener, 2)
     waiting.dataReceived(SUBMIT_COMMAND + b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 7000)
     partial.dataReceived(b"*5\r\n$6\r\nSUBMIT\r\n$8000\r\n" + b"x" * 6000)
-    assert handed == [waiting] and waiting.end_reason is None and partial.end_reason is EndReason.NO_SLOT
+    assert submitters == [waiting] and waiting.end_reason is None and partial.end_reason is EndReason.NO_SLOT
     assert b"-BUSY" not in waiting.transport.value() and b"-BUSY" in partial.transport.value()
 
 
 def test_nothing_refers_to_a_client_that_has_left(listener, clock):
-    """Guards against the timer that aborts a client which reads no more: it kept each one half a second."""
+    """Guards against the timer that aborts a client which reads no more: it kept each one for half a
+    second after it had left."""
     for each in connect_clients(listener, 60):
         each.connectionLost(None)
     clock.advance(0)  # the port's limit of accepts is updated
