--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -1,7 +1,7 @@
-"""What the decision module is told and what it answers, whatever protocol stands before it.
+"""The types that the decision module (limelatch/policy.py) takes in and returns, whatever the protocol is.
 
-Times are whole tenths of a millisecond on one clock that only increases. Ids of texts, their keys and hosts
-are handed back as they came; the module never reads anything out of them.
+Times are whole tenths of a millisecond on one clock that only increases. Ids of texts, hosts and keys are
+opaque: the module returns them as they came.
 """
 
 from __future__ import annotations
@@ -11,11 +11,16 @@
 
 HostId = bytes
 TextId = int | bytes
-MS, SECOND = 10, 10_000
+# Units of time: tenths of a millisecond.
+MS = 10
+SECOND = 10_000
 
 
 class Effect(Enum):
-    """What a repeat of a text does at its destination."""
+    """What a repeat of a text does at its destination.
+
+    Resendable: no effect, or a harmless one. Referenced: for a while the destination recognises the text and
+    does not run it again. Once-only: the text may take effect twice."""
 
     RESENDABLE = "resendable"
     REFERENCED = "referenced"
@@ -27,17 +32,17 @@
 
     DELIVERED = "delivered"
     ERROR = "error"
-    MALFORMED = "spoilt"  # its answer can't be read: it may have run, and may still be running
-    FULL = "full"
+    MALFORMED = "spoilt"  # the answer can't be read: the text may have run, or may still be running
+    FULL = "full"  # refused by a limit or a full queue: the text has not run
     TIMEOUT = "timeout"
-    CONNECT = "connect"
+    CONNECT = "connect"  # no connection came up: the text has not run
     RESET = "reset"
-    CANCELLED = "cancelled"
-    NOT_SENT = "moot"
+    CANCELLED = "cancelled"  # given up by the relay: the text may have run
+    NOT_SENT = "moot"  # never sent, or answered as certainly not run
 
 
 class Listing(Enum):
-    """What the list says of a host; it says nothing of its health."""
+    """What the host list says of a host; it says nothing of the host's health."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -46,7 +51,11 @@
 
 @dataclass(slots=True)
 class Product:
-    """One row of the product table."""
+    """One row of the product table: what its texts are worth, and what may be done with them.
+
+    `revenue` is earned by a delivery within `sla_time` of the submission, `late_share` of it by one within
+    `validity_period`. `retry_window`: time from the first submit in which the destination recognises a repeat
+    of a referenced text; `retry_anywhere`: in all of its zones. `in_order`: texts of a key go one by one."""
 
     effect: Effect
     sla_time: int
@@ -61,7 +70,9 @@
 
 @dataclass(slots=True)
 class HostKind:
-    """One kind of destination."""
+    """One kind of destination.
+
+    `routes_apart`: each host has a limit of its own, instead of one for the whole destination."""
 
     texts_per_call: int = 1
     routes_apart: bool = False
@@ -69,7 +80,11 @@
 
 @dataclass(slots=True)
 class PolicySettings:
-    """All that a relay is told when it starts."""
+    """The configuration of one relay's decisions.
+
+    `relays`: number of relays in the fleet. `max_advice`: the wait that a nack advises, at the most.
+    `key_cooldown`: how long the other texts of an ordered key wait after a call that may still run.
+    `cold_share`, `cold_time`, `fall_multiple`, `fall_time`: what a host bears after an outage."""
 
     seed: int
     relays: int
@@ -81,9 +96,9 @@
     kinds: list[HostKind]
     zone_fees: list[float] = field(default_factory=list)
     rates_listed: bool = False
-    list_asked: bool = False  # news of the hosts comes only to relays that ask for it
-    hosts_on_demand: bool = False  # the list is kept outside: a destination's hosts are told as it is met
-    ask_within: int = 0  # who has not asked for so long is taken as told all the same
+    list_asked: bool = False  # the host list and its changes come only on request
+    hosts_on_demand: bool = False  # a destination's hosts are listed when its first text comes
+    ask_within: int = 0  # relays have to ask for the list within this time
     cold_share: float = 1.0
     cold_time: int = 0
     fall_multiple: float = 1.0
@@ -94,7 +109,7 @@
 
 @dataclass(slots=True)
 class HostEntry:
-    """One line of the list of hosts."""
+    """One line of the host list; `rate` is the limit in calls a second, 0 where none is known."""
 
     host: HostId
     destination: int
@@ -106,7 +121,7 @@
 
 @dataclass(slots=True)
 class Text:
-    """One text taken from a client; it is owed one final answer before `valid_until`."""
+    """One text accepted from a client, which gets one final answer by `valid_until`."""
 
     id: TextId
     destination: int
@@ -114,8 +129,8 @@
     valid_until: int
     customer: int = 0
     key: int | bytes = 0
-    resubmitted: bool = False  # its client hands it in again after a nack
-    received_at: int | None = None  # its place in its key's order; None: as it is told
+    resubmitted: bool = False  # its client submits it again after a nack
+    received_at: int | None = None  # decides its place in its key's order; None: the time of the event
 
 
 @dataclass(slots=True)
@@ -131,14 +146,16 @@
     first_run_zone: int | None = None
     in_flight: bool = False
     is_answered: bool = False
-    in_order: bool | None = None  # as its product was when it was taken on; None: as its product is now
+    in_order: bool | None = None  # what its product said when it was accepted; None: as it says now
 
 
 @dataclass(slots=True)
 class SubmitReport:
     """How a submit ended.
 
-    `finished`: the text is finished. `retry_after`: the wait that the destination asked for, 0 for none."""
+    `finished`: nothing more is to be done for the text. `took`: from the start of the call to its outcome.
+    `retry_after`: the wait that the destination asked for, 0 for none. `limit_left`, `limit_rate`: the share
+    of the limit that is left and the limit in calls a second, None where the answer did not say."""
 
     text: TextId
     host: HostId
@@ -148,8 +165,8 @@
     retry_after: int = 0
     limit_left: float | None = None
     limit_rate: float | None = None
-    idle: int | None = None  # how long its connection had stood idle; 0 if it was new, None if nobody knows
-    unsent: bool = False  # held back as its connection came up: no byte of it went, and no host counts it
+    idle_time: int | None = None  # how long the connection had been idle; 0: a new one, None: unknown
+    unsent: bool = False  # stopped when its connection came up: no byte was sent, no host counts it
 
 
 @dataclass(slots=True)
@@ -164,7 +181,7 @@
 
 @dataclass(slots=True)
 class Submit:
-    """Send the text to the host, stop waiting after `timeout`; keep the connection idle for `idle_limit`."""
+    """Send the text to the host, give up after `timeout`; keep the connection idle for `idle_limit`."""
 
     text: TextId
     host: HostId
@@ -174,7 +191,7 @@
 
 @dataclass(slots=True)
 class Nack:
-    """Final answer: not delivered, and coming again (after `advice`, if above 0) is harmless."""
+    """Final answer: not delivered; submitting again, after `advice` if that is above 0, is harmless."""
 
     text: TextId
     advice: int
@@ -182,7 +199,7 @@
 
 @dataclass(slots=True)
 class Undeliverable:
-    """Final answer: given up, with no promise about its effect."""
+    """Final answer: given up; the text may or may not have taken effect."""
 
     text: TextId
 
@@ -203,7 +220,7 @@
 
 @dataclass(slots=True)
 class Forget:
-    """The module knows nothing of the destination and its hosts any more: it is to be told again when met."""
+    """The module has dropped the destination and its hosts; list them again when a text for it comes."""
 
     destination: int
     hosts: list[HostId]
@@ -211,7 +228,7 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Ask for the list of hosts and what changes in it from now on."""
+    """Ask for the host list and its changes from now on."""
 
 
 @dataclass(slots=True)
@@ -222,15 +239,15 @@
 
 
 class Health(Enum):
-    """What the module has come to hold of a host."""
+    """What the module has found about a host."""
 
-    OUTAGE = "sick"  # in an outage: it gets trials alone
-    WARMING = "warming"  # back from one, and cold
+    OUTAGE = "sick"  # it gets only trials
+    WARMING = "warming"  # back from an outage: its calls grow step by step
 
 
 @dataclass(slots=True)
 class LogLine:
-    """One line for the relay's log, on a host; `health`: what the other process of an upgrade hears."""
+    """One line on a host for the relay's log; `health` is passed to the other process of an upgrade."""
 
     line: str
     host: HostId
@@ -238,9 +255,9 @@
 
 
 def limit_from_report(report: dict[str, float]) -> tuple[float | None, float | None]:
-    """Share of the limit left and the limit's rate, None where not told: both are 0 where there is no limit.
+    """Share of the limit that is left, and the limit in calls a second; None where the report doesn't say.
 
-    Guards against a host without a limit that passes for one whose limit is used up."""
+    A host without a limit reports 0 for both. Guards against taking it for one whose limit is used up."""
     left, rate = report.get("x0"), report.get("x1")
     return (None, None) if not left and rate == 0 else (left, rate)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -301,7 +301,7 @@
     driver._apply_host_list(
         clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, OTHER_HOST)]
     )
-    driver.policy.log.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
+    driver.policy.log_lines.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
     beside = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has seen it, and has turned
     assert driver.ledger.state.host_health[OTHER_HOST].health is Health.OUTAGE
@@ -518,9 +518,9 @@
     monkeypatch.setattr(entry, "Driver", Stage)
     monkeypatch.setattr(entry, "reactor", Stage())
     monkeypatch.setattr(entry, "relay_plan", lambda *given: plan_of(read_platform(VALID_CONFIG)[0]))
-    monkeypatch.setattr(entry, "retuned_plan", lambda *given: "the file as it is now")
+    monkeypatch.setattr(entry, "reloaded_plan", lambda *given: "the file as it is now")
     monkeypatch.setattr(entry.logs, "start", lambda plan: None)
-    monkeypatch.setattr(entry.logs, "take_twisteds", lambda: None)
+    monkeypatch.setattr(entry.logs, "redirect_twisted_log", lambda: None)
     assert entry.main() == entry.DONE and hangup == []
     assert Stage.done == ["read", "started", "the file as it is now"]
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,7 +12,7 @@
 from twisted.internet.testing import StringTransport
 
 from limelatch.client.wire import HandedText
-from limelatch.configuration import bench_terms, plan_of
+from limelatch.configuration import bench_settings, plan_of
 from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import SECOND, Effect, Listing, Result
 from limelatch.logs import LimitedLog
@@ -608,7 +608,7 @@
 
 
 def test_settings_get_defaults_and_unknown_effects_are_once_only():
-    settings = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
+    settings = bench_settings(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
     assert settings.products[0].effect is Effect.ONCE_ONLY and (settings.slots, settings.max_texts) == (
         16,
         500,
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -58,10 +58,10 @@
         if (caller := operator_server.buildProtocol(Peer)) is not None:
             caller.makeConnection(SocketPairTransport())
             connections.append(caller)
-    assert len(connections) == operator_server.open == 4
+    assert len(connections) == operator_server.open_count == 4
     for each in connections[:2]:
         each.connectionLost(None)
-    assert operator_server.open == 2 and operator_server.buildProtocol(Peer) is not None
+    assert operator_server.open_count == 2 and operator_server.buildProtocol(Peer) is not None
 
 
 class Peer:
