--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -105,11 +105,8 @@
             False,
         )
         self.is_lingering, self.discarded_bytes = False, 0  # closed for writing; bytes discarded since then
-        self.has_sent_command, self.bad_command_count, self.buffered_bytes = (
-            False,
-            0,
-            0,
-        )  # as the listener counts
+        # buffered_bytes: this connection's part of the listener's count
+        self.has_sent_command, self.bad_command_count, self.buffered_bytes = False, 0, 0
         self.last_received_at = self.command_started_at = listener.driver.clock.now()
         self.deadline = None
 
