--- a/limelatch/command/config.py
+++ b/limelatch/command/config.py
@@ -52,7 +52,7 @@
         except SystemExit:
             bad = True
             continue
-        for doubt in found.doubts():
+        for doubt in found.warnings():
             click.echo(f"doubt: {error_line(path, doubt)}", err=True)
         click.echo(f"{path}: good ({found.form.value}, {len(found.given)} keys told)")
     if bad:
--- a/limelatch/configuration/checks.py
+++ b/limelatch/configuration/checks.py
@@ -106,7 +106,7 @@
     return []
 
 
-def doubts(installation: Installation) -> list[ConfigError]:
+def inconsistencies(installation: Installation) -> list[ConfigError]:
     """Return all other inconsistencies, by the path of their key in the model.
 
     They are errors in TOML and warnings in the platform's JSON.
--- a/limelatch/configuration/errors.py
+++ b/limelatch/configuration/errors.py
@@ -27,7 +27,7 @@
         self.errors, self.text = errors, text  # `text` is the file's content, empty if it could not be read
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """Format a value for an error message: short, on one line, and cheap even for a huge value."""
     if isinstance(value, dict):
         return "a table" if value else "an empty table"
@@ -41,4 +41,4 @@
 
 def invalid_value(path: str, expected: str, value: object) -> ConfigError:
     """Return the error for a value that is not what the key expects."""
-    return ConfigError(path, f"{expected} is expected, not {shown(value)}")
+    return ConfigError(path, f"{expected} is expected, not {format_value(value)}")
--- a/limelatch/configuration/files.py
+++ b/limelatch/configuration/files.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from limelatch.configuration.checks import conflicts, doubts
+from limelatch.configuration.checks import conflicts, inconsistencies
 from limelatch.configuration.errors import ConfigError, ConfigurationError
 from limelatch.configuration.model import Installation
 from limelatch.configuration.platform_form import PLATFORM_UNITS, read_platform
@@ -58,9 +58,11 @@
         """The paths of the keys that the file sets; all others have their defaults."""
         return self.reader.given
 
-    def doubts(self) -> list[ConfigError]:
+    def warnings(self) -> list[ConfigError]:
         """Return warnings: values that are accepted although they are inconsistent."""
-        found = [replace(each, path=self.reader.where(each.path)) for each in doubts(self.installation)]
+        found = [
+            replace(each, path=self.reader.where(each.path)) for each in inconsistencies(self.installation)
+        ]
         return with_lines(found, self.text, self.form)
 
 
@@ -171,8 +173,8 @@
             }
             raw = given | {key: value for key, value in raw.items() if value is not None}
         installation, errors, reader = read_platform(raw)
-    if form is Form.TOML and installation is not None:  # in the platform's JSON doubts are warnings
-        errors = errors + conflicts(installation, is_toml=True) + doubts(installation)
+    if form is Form.TOML and installation is not None:  # in the platform's JSON inconsistencies are warnings
+        errors = errors + conflicts(installation, is_toml=True) + inconsistencies(installation)
     if errors:
         raise ConfigurationError(errors, text)
     return LoadedFile(path, form, text, installation, reader)
--- a/limelatch/configuration/line_numbers.py
+++ b/limelatch/configuration/line_numbers.py
@@ -17,10 +17,10 @@
 MAX_DEPTH = 50  # of nested tables; the model needs less, and deeper keys get no line number
 
 
-def lines_of(text: str, toml: bool) -> dict[str, int]:
+def lines_of(text: str, is_toml: bool) -> dict[str, int]:
     """Return the line number, from 1, of each key and row by its path, such as `products[0].sla_time`."""
-    tree, lines = Parser(TOML if toml else JSON).parse(text.encode()), {}
-    if toml:
+    tree, lines = Parser(TOML if is_toml else JSON).parse(text.encode()), {}
+    if is_toml:
         _visit_toml(tree.root_node, lines)
     elif tree.root_node.named_children:
         _visit_json(tree.root_node.named_children[0], "", lines, 0)
--- a/limelatch/events.py
+++ b/limelatch/events.py
@@ -211,7 +211,7 @@
     "mode": Event(
         "policy",
         INFO,
-        "the policy has changed its state of a host",
+        "the policy has changed its assessment of a host",
         {"host": HOST, "change": "the new state, with the figures that caused it"},
     ),
     "command-bad": Event(
