--- a/limelatch/lab/load.py
+++ b/limelatch/lab/load.py
@@ -16,7 +16,7 @@
 from limelatch.client.drive import Summary, drive
 from limelatch.client.pool import Pool
 from limelatch.client.wire import HandedText
-from limelatch.lab.world.chance import Draws, Streams
+from limelatch.lab.world.random_streams import Draws, Streams
 from limelatch.lab.world.world import zipf_weights
 
 STEPS_MOST = 1000
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -18,7 +18,7 @@
 from limelatch.lab.record import Answer, Fate
 from limelatch.lab.scenario.model import FaultKeys, Scenario, What
 from limelatch.lab.stages.terms import terms_of
-from limelatch.lab.world.chance import Streams
+from limelatch.lab.world.random_streams import Streams
 from limelatch.lab.world.clients import Arrival, Arrivals, Habits
 from limelatch.lab.world.endpoint import Endpoint, Reply, Route, WorldCall, WorldText
 from limelatch.lab.world.world import World
--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -42,7 +42,7 @@
     line_of,
     read_order,
 )
-from limelatch.lab.world.chance import Streams
+from limelatch.lab.world.random_streams import Streams
 from limelatch.lab.world.clients import Arrival, Arrivals, Habits
 
 ANSWERS = {
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -11,7 +11,7 @@
 
 from limelatch import interface as li
 from limelatch.interface import MS, SECOND, Effect, Listing, Result
-from limelatch.lab.world.chance import Streams
+from limelatch.lab.world.random_streams import Streams
 from limelatch.policy import Policy
 
 LAST_MOMENT = 100 * MS
--- a/limelatch/lab/world/clients.py
+++ b/limelatch/lab/world/clients.py
@@ -12,7 +12,7 @@
 from limelatch.interface import SECOND
 from limelatch.lab.scenario.check import destinations
 from limelatch.lab.scenario.model import Backoff, FaultKeys, Scenario, Shape, What
-from limelatch.lab.world.chance import Streams
+from limelatch.lab.world.random_streams import Streams
 from limelatch.lab.world.world import zipf_weights
 
 CHUNK = SECOND  # arrivals are drawn for so long at once
--- a/limelatch/lab/world/endpoint.py
+++ b/limelatch/lab/world/endpoint.py
@@ -27,7 +27,7 @@
     RuleKeys,
     Spread,
 )
-from limelatch.lab.world.chance import Draws, Streams
+from limelatch.lab.world.random_streams import Draws, Streams
 from limelatch.lab.world.clock import Clock
 
 FALL_SLACK = 2  # texts beyond the bound that chance may bring
--- a/limelatch/lab/world/world.py
+++ b/limelatch/lab/world/world.py
@@ -13,7 +13,7 @@
 from limelatch.lab.record import Condition
 from limelatch.lab.scenario.check import destinations
 from limelatch.lab.scenario.model import FaultKeys, Scenario, What
-from limelatch.lab.world.chance import Streams
+from limelatch.lab.world.random_streams import Streams
 from limelatch.lab.world.clock import Clock
 from limelatch.lab.world.endpoint import Ailment, Destination, Endpoint, Route, WorldEars, WorldText
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -25,7 +25,7 @@
 from limelatch.lab.report.compare import compare, paired, verdict
 from limelatch.lab.scenario import library, load, parse
 from limelatch.lab.scenario.model import LimitForm, LimitKeys, ProductKeys
-from limelatch.lab.world.chance import Streams
+from limelatch.lab.world.random_streams import Streams
 from limelatch.lab.world.clients import Arrivals
 from limelatch.lab.world.clock import Queue
 from limelatch.lab.world.endpoint import Limit, WorldCall, WorldText
