--- a/limelatch/lab/load.py
+++ b/limelatch/lab/load.py
@@ -16,7 +16,7 @@
 from limelatch.client.drive import Summary, drive
 from limelatch.client.pool import Pool
 from limelatch.client.wire import HandedText
-from limelatch.lab.world.random_streams import Draws, Streams
+from limelatch.lab.world.random_streams import BatchedDraws, RandomStreams
 from limelatch.lab.world.world import zipf_weights
 
 STEPS_MOST = 1000
@@ -59,9 +59,9 @@
 
 def texts_of(shape: Shape) -> Callable[[int], HandedText]:
     """Makes the texts, each with a new id, its destination by the law of Zipf."""
-    generator = Streams(shape.seed).generator("destinations")
+    generator = RandomStreams(shape.seed).generator("destinations")
     weights = zipf_weights(len(shape.destinations), shape.zipf)
-    drawn = Draws(lambda count: generator.choice(np.array(shape.destinations), count, p=weights))
+    drawn = BatchedDraws(lambda count: generator.choice(np.array(shape.destinations), count, p=weights))
     body = b"." * shape.size
 
     def made(number: int) -> HandedText:
--- a/limelatch/lab/play.py
+++ b/limelatch/lab/play.py
@@ -20,7 +20,7 @@
 from limelatch.lab.stages import real
 from limelatch.lab.stages.fleet import STAGE, STEP, Fleet, Subject, duration
 from limelatch.lab.subjects import SUBJECTS
-from limelatch.lab.world.clock import Queue
+from limelatch.lab.world.clock import EventQueue
 
 Progress = Callable[[float], None]
 
@@ -55,7 +55,7 @@
     """Play it on the fleet stage; interrupted, the record holds what has been played."""
     head = head_of(scenario, text, STAGE, seed, subject, {})
     made: Subject = SUBJECTS[subject]
-    began, queue, end = time.monotonic(), Queue(), duration(scenario)
+    began, queue, end = time.monotonic(), EventQueue(), duration(scenario)
     with rec.Writer(target, head) as writer:
         whole = False
         try:
--- a/limelatch/lab/scale/hollow.py
+++ b/limelatch/lab/scale/hollow.py
@@ -22,7 +22,7 @@
 from limelatch.lab.scenario import parse
 from limelatch.lab.scenario.model import RuleKeys, Scenario
 from limelatch.lab.stages.fleet import STEP, Fleet, duration
-from limelatch.lab.world.clock import Queue
+from limelatch.lab.world.clock import EventQueue
 
 EACH = 95_000 / 180_000  # texts a second to one destination, at even traffic
 GROUPS = ("struck", "lowered", "steady")  # out for a while; with a lowered limit; left alone
@@ -425,7 +425,7 @@
 def play_hollow(form: Form, relays: int, seed: int) -> Tally:
     """One run of modules alone; the same seed gives the same counts."""
     scenario, _ = form.scenario(relays)
-    tally, queue, end = Tally(scenario), Queue(), duration(scenario)
+    tally, queue, end = Tally(scenario), EventQueue(), duration(scenario)
     fleet = Fleet(scenario, seed, queue, tally.add)
     fleet.begin()
     while queue.time < end and not (queue.time >= scenario.scenario.seconds and fleet.over):
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -18,8 +18,8 @@
 from limelatch.lab.record import Answer, Fate
 from limelatch.lab.scenario.model import FaultKeys, Scenario, What
 from limelatch.lab.stages.terms import terms_of
-from limelatch.lab.world.random_streams import Streams
-from limelatch.lab.world.clients import Arrival, Arrivals, Habits
+from limelatch.lab.world.random_streams import RandomStreams
+from limelatch.lab.world.clients import Arrival, Arrivals, ClientBehavior
 from limelatch.lab.world.endpoint import Endpoint, Reply, Route, WorldCall, WorldText
 from limelatch.lab.world.world import World
 from limelatch.policy import Policy
@@ -393,7 +393,7 @@
         self.relays: list[FleetRelay] = []
         self.world = World(scenario, seed, clock, self)
         self.policy_kinds = terms_of(scenario, seed, 0, 0).kinds
-        self.chance, self.habits = Streams(seed), Habits(scenario, seed)
+        self.random_streams, self.client_behavior = RandomStreams(seed), ClientBehavior(scenario, seed)
         self.count = self.next_id = self.open = 0
         self.waiting_keys: dict[int, deque[FleetText]] = {}
         self.arrivals = iter(Arrivals(scenario, seed))
@@ -407,7 +407,7 @@
         lag, spread = self.scenario.catalog.lag, self.scenario.catalog.spread
         for number in range(self.scenario.relays.count):
             relay = FleetRelay(number, self)
-            relay.lag = round(lag * (1 + spread * (2 * self.chance.uniform("lag") - 1)))
+            relay.lag = round(lag * (1 + spread * (2 * self.random_streams.uniform("lag") - 1)))
             for endpoint in self.world.endpoints:
                 relay.known[endpoint.number] = li.HostEntry(
                     endpoint.name.encode(),
@@ -459,7 +459,7 @@
             waiting.append(text)
             if len(waiting) > 1:
                 return
-        self._ask(text, self.habits.relay(key))
+        self._ask(text, self.client_behavior.relay(key))
 
     def _ask(self, text: FleetText, number: int) -> None:
         now, row = self.clock.now(), text.text
@@ -516,7 +516,7 @@
     def _again(self, text: FleetText, told: int) -> None:
         """A nacked text is handed in again, if its client does so and its time lasts."""
         now, row = self.clock.now(), text.text
-        wait = self.habits.comes_again(text.tries, told)
+        wait = self.client_behavior.retry_delay(text.tries, told)
         if wait is not None and now + wait < row.valid_until:
             again = self._text(
                 text.first,
@@ -544,7 +544,9 @@
         if waiting and waiting[0] is text:
             waiting.popleft()
             if waiting:
-                self.clock.at(self.clock.now() + 1, self._ask, waiting[0], self.habits.relay(text.text.key))
+                self.clock.at(
+                    self.clock.now() + 1, self._ask, waiting[0], self.client_behavior.relay(text.text.key)
+                )
             else:
                 del self.waiting_keys[text.text.key]
 
@@ -575,7 +577,7 @@
         """One way, in ticks."""
         keys = self.scenario.network
         base = keys.same_floor if relay.floor == endpoint.floor else keys.cross_floor
-        return max(1, round(base * (1 + keys.jitter * self.chance.uniform("network"))))
+        return max(1, round(base * (1 + keys.jitter * self.random_streams.uniform("network"))))
 
     def open_at(self, now: int, endpoint: Endpoint) -> int:
         """Connections at a host, less those whose idle time is over."""
@@ -668,7 +670,7 @@
                         self.clock.now() + self.way(relay, endpoint), relay.outcome, call, Result.RESET
                     )
 
-    def fell(self, route: Route, bore: float, load: dict[int, int]) -> None:
+    def route_overloaded(self, route: Route, bore: float, load: dict[int, int]) -> None:
         self.note(rec.Fell(self.clock.now(), route.number, bore, load))
 
     def listed(self, endpoint: Endpoint, listing: Listing) -> None:
@@ -715,7 +717,7 @@
                     each.tries + 1,
                 )
                 self.open += 1
-                wait = low + round((high - low) * self.chance.uniform("handed on"))
+                wait = low + round((high - low) * self.random_streams.uniform("handed on"))
                 self.clock.at(self.clock.now() + wait, self._hand_in_again, again)
         relay.texts.clear()
 
--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -42,8 +42,8 @@
     line_of,
     read_order,
 )
-from limelatch.lab.world.random_streams import Streams
-from limelatch.lab.world.clients import Arrival, Arrivals, Habits
+from limelatch.lab.world.random_streams import RandomStreams
+from limelatch.lab.world.clients import Arrival, Arrivals, ClientBehavior
 
 ANSWERS = {
     Ending.TAKEN: Answer.TAKEN,
@@ -93,8 +93,8 @@
             host, _, port = address.partition(":")
             self.pools.append(Pool(host, int(port), CONNECTIONS, wait))
         self.texts = drawn(Arrivals(self.scenario, begin.seed))
-        self.habits = Habits(self.scenario, begin.seed)
-        self.chance = Streams(begin.seed)
+        self.client_behavior = ClientBehavior(self.scenario, begin.seed)
+        self.random_streams = RandomStreams(begin.seed)
         self.count = self.open = self.taken = 0
         self.all_came = False
         self.tasks: set[asyncio.Task] = set()
@@ -129,7 +129,7 @@
                     arrival.key,
                     until,
                     0,
-                    self.habits.relay(arrival.key),
+                    self.client_behavior.relay(arrival.key),
                     arrival.at,
                 )
             )
@@ -213,7 +213,7 @@
 
     def again(self, coming: Coming, told: int, now: int) -> None:
         """A nacked text comes again after a while, if its client does so and its time lasts."""
-        wait = self.habits.comes_again(coming.tries, told)
+        wait = self.client_behavior.retry_delay(coming.tries, told)
         if wait is not None and now + wait < coming.until:
             self.later(coming, now + wait)
 
@@ -228,7 +228,7 @@
             coming.key,
             coming.until,
             coming.tries + 1,
-            self.habits.relay(coming.key),
+            self.client_behavior.relay(coming.key),
             at,
         )
         self.open += 1
@@ -265,7 +265,7 @@
             del self.held[coming.id]
             safe = self.scenario.products[coming.product].effect is Effect.RESENDABLE
             if coming.id not in ran or safe:
-                self.later(coming, now + low + round((high - low) * self.chance.uniform("handed on")))
+                self.later(coming, now + low + round((high - low) * self.random_streams.uniform("handed on")))
 
     @property
     def idle(self) -> bool:
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -471,7 +471,7 @@
             await self._close()
 
     async def _start_relays(self) -> None:
-        keys, generator = self.scenario.catalog, self.world.chance
+        keys, generator = self.scenario.catalog, self.world.random_streams
         for number in range(self.scenario.relays.count):
             relay = self.make_relay(number)
             relay.lag = round(keys.lag * (1 + keys.spread * (2 * generator.uniform("lag") - 1)))
@@ -647,7 +647,7 @@
         if endpoint.number in self.doors:
             self.doors[endpoint.number].reachable()
 
-    def fell(self, route: Route, bore: float, load: dict[int, int]) -> None:
+    def route_overloaded(self, route: Route, bore: float, load: dict[int, int]) -> None:
         self.writer.add(rec.Fell(self.clock.now(), route.number, bore, load))
 
     def listed(self, endpoint: Endpoint, listing: Listing) -> None:
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -11,7 +11,7 @@
 
 from limelatch import interface as li
 from limelatch.interface import MS, SECOND, Effect, Listing, Result
-from limelatch.lab.world.random_streams import Streams
+from limelatch.lab.world.random_streams import RandomStreams
 from limelatch.policy import Policy
 
 LAST_MOMENT = 100 * MS
@@ -43,7 +43,7 @@
     tries = 1
 
     def __init__(self, settings: li.PolicySettings, now: int) -> None:
-        self.settings, self.chance = settings, Streams(settings.seed)
+        self.settings, self.random_streams = settings, RandomStreams(settings.seed)
         self.texts: dict[li.TextId, PlainText] = {}
         self.over: dict[li.TextId, li.Text] = {}
         self.hosts: dict[li.HostId, li.HostEntry] = {}
@@ -172,7 +172,7 @@
             hosts = [each for each in hosts if self.hosts[each].zone == held.floor]
         if not hosts:
             return
-        host = hosts[self.chance.below("host", len(hosts))]
+        host = hosts[self.random_streams.next_below("host", len(hosts))]
         held.tries, held.out = held.tries + 1, True
         self.used += 1
         self.waiting.pop(text.id, None)
--- a/limelatch/lab/world/__init__.py
+++ b/limelatch/lab/world/__init__.py
@@ -1,1 +1,1 @@
-"""The world: partners, endpoints, clients, catalog, faults as pure models, seeded, on any stage's clock."""
+"""The simulated world: seeded models of partners, clients, catalog and faults, on any stage's clock."""
--- a/limelatch/lab/world/clock.py
+++ b/limelatch/lab/world/clock.py
@@ -1,4 +1,4 @@
-"""The clock that a world hangs on: a queue of events in virtual time; a stage in real time brings its own."""
+"""The clock interface of a world, and its implementation in virtual time."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Clock(Protocol):
-    """Whole tenths of a millisecond from the start of the run."""
+    """Time in ticks (tenths of a millisecond) since the start of the run, and a scheduler of calls."""
 
     def now(self) -> int:
-        """The time."""
+        """Returns the time in ticks."""
 
     def at(self, when: int, call: Callable[..., None], *arguments: object) -> None:
-        """Make the call at that time, or now if it is past."""
+        """Schedules a call for time `when`, or for now if that is past."""
 
 
-class Queue:
-    """Virtual time: the next event is next; those of one time come in the order they were asked for."""
+class EventQueue:
+    """An event queue in virtual time; events of the same time run in the order of their scheduling."""
 
     __slots__ = ("time", "_heap", "_count", "stopped")
 
@@ -26,14 +26,16 @@
         self.time, self._heap, self._count, self.stopped = 0, [], 0, False
 
     def now(self) -> int:
+        """Returns the virtual time in ticks."""
         return self.time
 
     def at(self, when: int, call: Callable[..., None], *arguments: object) -> None:
+        """Schedules a call for time `when`, or for now if that is past."""
         self._count = count = self._count + 1
         heapq.heappush(self._heap, (when if when > self.time else self.time, count, call, arguments))
 
     def run(self, until: int) -> None:
-        """All events up to `until`, or until `stopped` is set."""
+        """Runs all events up to time `until`, or until `stopped` is set."""
         heap, pop = self._heap, heapq.heappop
         while heap and heap[0][0] <= until and not self.stopped:
             self.time, _, call, arguments = pop(heap)
--- a/limelatch/lab/world/random_streams.py
+++ b/limelatch/lab/world/random_streams.py
@@ -1,4 +1,4 @@
-"""Chance: one seeded stream for each concern, so that a change in one does not shift the others."""
+"""Seeded random streams, one per concern, so that a change in one does not shift the others."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import numpy as np
 
-BATCH = 256
+BATCH_SIZE = 256  # values per call of the generator
 
 
-class Draws:
-    """Values of one distribution, drawn a batch at a time."""
+class BatchedDraws:
+    """Values of one distribution, generated a batch at a time."""
 
     __slots__ = ("_draw", "_values", "_at")
 
@@ -19,30 +19,32 @@
         self._draw, self._values, self._at = draw, [], 0
 
     def next(self) -> float:
+        """Returns the next value."""
         if self._at >= len(self._values):
-            self._values, self._at = self._draw(BATCH).tolist(), 0
+            self._values, self._at = self._draw(BATCH_SIZE).tolist(), 0
         value = self._values[self._at]
         self._at += 1
         return value
 
 
-class Streams:
-    """Generators by the name of their concern."""
+class RandomStreams:
+    """Random generators by the name of their concern, all derived from one seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self._draws: dict[str, Draws] = {}
+        self._draws: dict[str, BatchedDraws] = {}
 
     def generator(self, concern: str) -> np.random.Generator:
-        """A new generator at the beginning of the concern's stream."""
+        """Returns a new generator at the start of the concern's stream."""
         return np.random.default_rng([self.seed, zlib.crc32(concern.encode())])
 
     def uniform(self, concern: str) -> float:
-        """The concern's next value in [0, 1)."""
+        """Returns the concern's next value in [0, 1)."""
         draws = self._draws.get(concern)
         if draws is None:
-            draws = self._draws[concern] = Draws(self.generator(concern).random)
+            draws = self._draws[concern] = BatchedDraws(self.generator(concern).random)
         return draws.next()
 
-    def below(self, concern: str, bound: int) -> int:
+    def next_below(self, concern: str, bound: int) -> int:
+        """Returns the concern's next integer in [0, bound)."""
         return int(self.uniform(concern) * bound)
--- a/limelatch/lab/world/world.py
+++ b/limelatch/lab/world/world.py
@@ -1,4 +1,4 @@
-"""One world: a scenario's partners, list of hosts and faults, on a clock; what happens goes to ears."""
+"""A simulated world: a scenario's partners, list of hosts and faults, with events to a listener."""
 
 from __future__ import annotations
 
@@ -13,76 +13,76 @@
 from limelatch.lab.record import Condition
 from limelatch.lab.scenario.check import destinations
 from limelatch.lab.scenario.model import FaultKeys, Scenario, What
-from limelatch.lab.world.random_streams import Streams
+from limelatch.lab.world.random_streams import RandomStreams
 from limelatch.lab.world.clock import Clock
-from limelatch.lab.world.endpoint import Ailment, Destination, Endpoint, Route, WorldEars, WorldText
+from limelatch.lab.world.endpoint import FaultEffect, Destination, Endpoint, Route, EndpointContext, WorldText
 
-ROUGH = 0.5  # by which a rough rate may be off
-LEAVE_TIME = 30_000  # ticks from a drain to the end of the drained endpoint, where the fault tells none
+ROUGH_RATE_ERROR = 0.5  # maximum relative error of a rough rate
+DEFAULT_DRAIN_TIME = 30_000  # ticks from a drain to the removal of the endpoint, unless the fault sets them
 RELAY_FAULTS = (What.KILL, What.RESTART, What.RELOAD, What.WIPE)
 CLIENT_FAULTS = (What.SURGE, What.CLUMP)
 
 
-class Ears(Protocol):
-    """What a stage hears of its world."""
+class WorldListener(Protocol):
+    """The events that a stage receives from its world."""
 
     def ran(self, endpoint: Endpoint, text: WorldText, known: bool) -> None:
-        """A text takes effect."""
+        """A text was processed; if `known`, it was recognized as a repeat and had no effect."""
 
     def host(self, endpoint: Endpoint) -> None:
-        """There is a host."""
+        """A host was added."""
 
     def condition(self, endpoint: Endpoint, condition: Condition) -> None:
-        """A host's condition changes."""
+        """A host's condition has changed."""
 
     def reachable(self, endpoint: Endpoint) -> None:
-        """Connections to a host come up now, or do not."""
+        """Whether a host accepts connections has changed."""
 
-    def fell(self, route: Route, bore: float, load: dict[int, int]) -> None:
-        """A cold route was pushed over."""
+    def route_overloaded(self, route: Route, capacity: float, load: dict[int, int]) -> None:
+        """A cold route went down by overload; `load` is the texts of each relay."""
 
     def listed(self, endpoint: Endpoint, listing: Listing) -> None:
-        """The list of hosts changes; it is for the stage to tell the relays, each after its lag."""
+        """The list of hosts has changed; the stage passes it on to each relay after its lag."""
 
     def fault(self, number: int, on: bool, endpoints: list[Endpoint]) -> None:
         """A fault begins or ends."""
 
     def relay_fault(self, fault: FaultKeys, relay: int) -> None:
-        """A relay is to be killed, stopped, or told to read its configuration again."""
+        """A relay must be killed, restarted or wiped, or must reload its configuration."""
 
     def cut_off(self, relays: list[int], endpoints: list[Endpoint], on: bool) -> None:
-        """Relays reach endpoints no more, or again."""
+        """Relays lose (`on`) or regain the connection to endpoints."""
 
     def list_lag(self, fault: FaultKeys, relays: list[int], on: bool) -> None:
-        """The catalog is late, or silent, for these relays."""
+        """The catalog begins or ceases to be late or silent for these relays."""
 
 
-class World(WorldEars):
-    """The partners and what befalls them."""
+class World(EndpointContext):
+    """The partners of a scenario and the faults that happen to them."""
 
-    def __init__(self, scenario: Scenario, seed: int, clock: Clock, ears: Ears) -> None:
-        self.scenario, self.clock, self.ears = scenario, clock, ears
-        self.chance = Streams(seed)
+    def __init__(self, scenario: Scenario, seed: int, clock: Clock, listener: WorldListener) -> None:
+        self.scenario, self.clock, self.listener = scenario, clock, listener
+        self.random_streams = RandomStreams(seed)
         self.rules, self.products = scenario.rules, scenario.products
         self.kinds = [row.name for row in scenario.kinds]
         self.floors = [row.name for row in scenario.floors] or [""]
         self.destinations: list[Destination] = []
-        self.endpoints: list[Endpoint] = []  # by number, those gone by too
+        self.endpoints: list[Endpoint] = []  # by number, with the removed ones
         self.routes: list[Route] = []
-        self.listing: dict[int, Listing] = {}  # of each endpoint on the list
+        self.listing: dict[int, Listing] = {}  # by the number of each listed endpoint
         self._build()
 
-    # Building it.
+    # Construction.
 
     def _build(self) -> None:
-        uneven, rate = self.chance.generator("uneven"), self.chance.generator("rates")
+        uneven, rate = self.random_streams.generator("uneven"), self.random_streams.generator("rates")
         for number, (name, group) in enumerate(destinations(self.scenario), start=1):
             low, high = 1 - group.uneven, 1 + group.uneven
             capacity = group.capacity * float(uneven.uniform(low, high))
             latency = group.latency * float(uneven.uniform(low, high))
             kind = self.kinds.index(group.kind) if group.kind else 0
             destination = Destination(number, name, group, kind, capacity, latency)
-            destination.rate_error = float(rate.uniform(1 - ROUGH, 1 + ROUGH))
+            destination.rate_error = float(rate.uniform(1 - ROUGH_RATE_ERROR, 1 + ROUGH_RATE_ERROR))
             self.destinations.append(destination)
             apart = bool(self.scenario.kinds) and self.scenario.kinds[kind].routes_apart
             shared = None if apart else self._route(group.limit, capacity)
@@ -106,41 +106,43 @@
         destination.endpoints.append(endpoint)
         route.endpoints.append(endpoint)
         self.listing[endpoint.number] = Listing.READY
-        self.ears.host(endpoint)
+        self.listener.host(endpoint)
         return endpoint
 
     def weight(self, endpoint: Endpoint) -> float:
-        """The rate that the list tells of it; 0 where it tells none."""
+        """Returns the rate in the list of hosts; 0 if the list has no rates."""
         rates = self.scenario.catalog.rates
         if rates is RateQuality.NONE:
             return 0.0
-        told = endpoint.route.limit.told or sum(each.capacity for each in endpoint.route.endpoints)
-        return told * (endpoint.destination.rate_error if rates is RateQuality.ROUGH else 1.0)
+        listed_rate = endpoint.route.limit.current_rate or sum(
+            each.capacity for each in endpoint.route.endpoints
+        )
+        return listed_rate * (endpoint.destination.rate_error if rates is RateQuality.ROUGH else 1.0)
 
-    # What endpoints tell goes on to the stage.
+    # Events of endpoints, passed on to the stage.
 
     def ran(self, endpoint: Endpoint, text: WorldText, known: bool) -> None:
-        self.ears.ran(endpoint, text, known)
+        self.listener.ran(endpoint, text, known)
 
     def condition(self, endpoint: Endpoint, condition: Condition) -> None:
-        self.ears.condition(endpoint, condition)
+        self.listener.condition(endpoint, condition)
 
     def reachable(self, endpoint: Endpoint) -> None:
-        self.ears.reachable(endpoint)
+        self.listener.reachable(endpoint)
 
-    def fell(self, route: Route, bore: float, load: dict[int, int]) -> None:
-        self.ears.fell(route, bore, load)
+    def route_overloaded(self, route: Route, capacity: float, load: dict[int, int]) -> None:
+        self.listener.route_overloaded(route, capacity, load)
 
-    # The time-line.
+    # Faults over time.
 
     def begin(self) -> None:
-        """Put every fault on the clock."""
+        """Schedules all faults."""
         for number, fault in enumerate(self.scenario.faults):
             if fault.what not in CLIENT_FAULTS:
                 self.clock.at(fault.at, self._begin_fault, number, fault)
 
-    def struck(self, number: int, fault: FaultKeys) -> list[Endpoint]:
-        """The endpoints that a fault strikes: those of its scope, and of them its part by chance."""
+    def affected_endpoints(self, number: int, fault: FaultKeys) -> list[Endpoint]:
+        """Returns the endpoints that a fault affects: a random part of those in its scope."""
         floors = {self.floors.index(name) for name in fault.floors}
         kinds = {self.kinds.index(name) for name in fault.kinds}
         found = [
@@ -154,41 +156,48 @@
             and (not floors or each.floor in floors)
             and (not kinds or each.destination.kind in kinds)
         ]
-        return self._part(f"fault {number}", found, fault.part)
+        return self._random_part(f"fault {number}", found, fault.part)
 
-    def _part(self, concern: str, found: list, part: float) -> list:
+    def _random_part(self, concern: str, found: list, part: float) -> list:
         if part >= 1 or not found:
             return found
         count = max(1, round(len(found) * part))
-        drawn = self.chance.generator(concern).permutation(len(found))[:count]
+        drawn = self.random_streams.generator(concern).permutation(len(found))[:count]
         return [found[at] for at in sorted(drawn.tolist())]
 
-    def relays_of(self, number: int, fault: FaultKeys) -> list[int]:
+    def affected_relays(self, number: int, fault: FaultKeys) -> list[int]:
+        """Returns the relays that a fault affects."""
         every = fault.relays or list(range(self.scenario.relays.count))
-        return self._part(f"fault {number}", every, fault.part)
+        return self._random_part(f"fault {number}", every, fault.part)
 
     def _begin_fault(self, number: int, fault: FaultKeys) -> None:
         if fault.what in RELAY_FAULTS:
-            self.ears.fault(number, True, [])
-            relays, now = self.relays_of(number, fault), self.clock.now()
+            self.listener.fault(number, True, [])
+            relays, now = self.affected_relays(number, fault), self.clock.now()
             for at, relay in enumerate(relays):
-                self.clock.at(now + at * fault.period, self.ears.relay_fault, fault, relay)
-            self.clock.at(now + (len(relays) - 1) * fault.period, self.ears.fault, number, False, [])
+                self.clock.at(now + at * fault.period, self.listener.relay_fault, fault, relay)
+            self.clock.at(now + (len(relays) - 1) * fault.period, self.listener.fault, number, False, [])
             return
         if fault.what in (What.LIST_LATE, What.LIST_SILENT):
             relays = fault.relays or list(range(self.scenario.relays.count))
-            self._hold(number, fault, [], lambda on: self.ears.list_lag(fault, relays, on))
+            self._apply_for_duration(number, fault, [], lambda on: self.listener.list_lag(fault, relays, on))
             return
-        endpoints = self.struck(number, fault)
+        endpoints = self.affected_endpoints(number, fault)
         if fault.what is What.DRAIN:
-            self.ears.fault(number, True, endpoints)
+            self.listener.fault(number, True, endpoints)
             for at, endpoint in enumerate(endpoints):
                 self.clock.at(self.clock.now() + at * fault.period, self._drain, endpoint, fault.lasts)
-            over = self.clock.now() + max(0, len(endpoints) - 1) * fault.period + (fault.lasts or LEAVE_TIME)
-            self.clock.at(over, self.ears.fault, number, False, endpoints)
+            finished = (
+                self.clock.now()
+                + max(0, len(endpoints) - 1) * fault.period
+                + (fault.lasts or DEFAULT_DRAIN_TIME)
+            )
+            self.clock.at(finished, self.listener.fault, number, False, endpoints)
         elif fault.what is What.CUT_OFF:
             relays = fault.relays or list(range(self.scenario.relays.count))
-            self._hold(number, fault, endpoints, lambda on: self.ears.cut_off(relays, endpoints, on))
+            self._apply_for_duration(
+                number, fault, endpoints, lambda on: self.listener.cut_off(relays, endpoints, on)
+            )
         elif fault.what is What.LIMIT:
             limits = list({id(each.route): each.route.limit for each in endpoints}.values())
 
@@ -196,46 +205,46 @@
                 for limit in limits:
                     limit.factor *= fault.times if on else 1 / fault.times
 
-            self._hold(number, fault, endpoints, cut)
+            self._apply_for_duration(number, fault, endpoints, cut)
         elif fault.what is What.SWING:
-            ailment = Ailment(slow=fault.times)
-            self.ears.fault(number, True, endpoints)
-            self._swing(number, fault, endpoints, ailment, self.clock.now() + fault.lasts, True)
+            effect = FaultEffect(slow=fault.times)
+            self.listener.fault(number, True, endpoints)
+            self._swing(number, fault, endpoints, effect, self.clock.now() + fault.lasts, True)
         else:
-            ailment = ailment_of(fault)
+            effect = fault_effect_of(fault)
 
-            def strike(on: bool) -> None:
+            def switch_effect(on: bool) -> None:
                 for endpoint in endpoints:
-                    (endpoint.strike if on else endpoint.heal)(ailment)
+                    (endpoint.add_fault_effect if on else endpoint.remove_fault_effect)(effect)
 
-            self._hold(number, fault, endpoints, strike)
+            self._apply_for_duration(number, fault, endpoints, switch_effect)
 
-    def _hold(
-        self, number: int, fault: FaultKeys, endpoints: list[Endpoint], turn: Callable[[bool], None]
+    def _apply_for_duration(
+        self, number: int, fault: FaultKeys, endpoints: list[Endpoint], switch: Callable[[bool], None]
     ) -> None:
-        """Turn something on now and off when the fault's time is over."""
-        self.ears.fault(number, True, endpoints)
-        turn(True)
-        self.clock.at(self.clock.now() + fault.lasts, self._let_go, number, endpoints, turn)
+        """Begins a fault now and ends it after its duration."""
+        self.listener.fault(number, True, endpoints)
+        switch(True)
+        self.clock.at(self.clock.now() + fault.lasts, self._end_fault, number, endpoints, switch)
 
-    def _let_go(self, number: int, endpoints: list[Endpoint], turn: Callable[[bool], None]) -> None:
-        self.ears.fault(number, False, endpoints)
-        turn(False)
+    def _end_fault(self, number: int, endpoints: list[Endpoint], switch: Callable[[bool], None]) -> None:
+        self.listener.fault(number, False, endpoints)
+        switch(False)
 
     def _swing(
         self,
         number: int,
         fault: FaultKeys,
         endpoints: list[Endpoint],
-        ailment: Ailment,
+        effect: FaultEffect,
         until: int,
         slow: bool,
     ) -> None:
-        over = self.clock.now() >= until
+        finished = self.clock.now() >= until
         for endpoint in endpoints:
-            (endpoint.strike if slow and not over else endpoint.heal)(ailment)
-        if over:
-            self.ears.fault(number, False, endpoints)
+            (endpoint.add_fault_effect if slow and not finished else endpoint.remove_fault_effect)(effect)
+        if finished:
+            self.listener.fault(number, False, endpoints)
         else:
             self.clock.at(
                 min(until, self.clock.now() + fault.period),
@@ -243,56 +252,56 @@
                 number,
                 fault,
                 endpoints,
-                ailment,
+                effect,
                 until,
                 not slow,
             )
 
     def _drain(self, endpoint: Endpoint, lasts: int) -> None:
-        """A new endpoint takes the place of this one, which finishes what it has and goes."""
+        """Adds an endpoint that replaces this one, which finishes its calls and is removed later."""
         if endpoint.leaving or self.listing.get(endpoint.number) is not Listing.READY:
             return
         base, _, count = endpoint.name.partition("~")
         new = self._add(f"{base}~{int(count or 0) + 1}", endpoint.destination, endpoint.route, endpoint.floor)
-        self.ears.listed(new, Listing.READY)
-        self.ears.reachable(new)
+        self.listener.listed(new, Listing.READY)
+        self.listener.reachable(new)
         self.listing[endpoint.number] = Listing.DRAINING
-        self.ears.listed(endpoint, Listing.DRAINING)
-        self.clock.at(self.clock.now() + (lasts or LEAVE_TIME), self._gone, endpoint)
+        self.listener.listed(endpoint, Listing.DRAINING)
+        self.clock.at(self.clock.now() + (lasts or DEFAULT_DRAIN_TIME), self._remove, endpoint)
 
-    def _gone(self, endpoint: Endpoint) -> None:
+    def _remove(self, endpoint: Endpoint) -> None:
         self.listing.pop(endpoint.number, None)
-        self.ears.listed(endpoint, Listing.GONE)
+        self.listener.listed(endpoint, Listing.GONE)
         endpoint.leave()
         endpoint.route.endpoints.remove(endpoint)
         endpoint.destination.endpoints.remove(endpoint)
 
 
-def ailment_of(fault: FaultKeys) -> Ailment:
-    """What a fault does to each endpoint that it strikes."""
+def fault_effect_of(fault: FaultKeys) -> FaultEffect:
+    """Returns what a fault does to each affected endpoint. Raises TypeError for other kinds of faults."""
     match fault.what:
         case What.HANG:
-            return Ailment(hang=True, runs=fault.runs)
+            return FaultEffect(hang=True, runs=fault.runs)
         case What.SILENT:
-            return Ailment(silent=True, runs=fault.runs)
+            return FaultEffect(silent=True, runs=fault.runs)
         case What.DOWN:
-            return Ailment(down=True)
+            return FaultEffect(down=True)
         case What.SHUT:
-            return Ailment(shut=fault.wait)
+            return FaultEffect(shut=fault.wait)
         case What.SLOW:
-            return Ailment(slow=fault.times)
+            return FaultEffect(slow=fault.times)
         case What.ERRORS:
-            return Ailment(errors=fault.share, runs=fault.runs)
+            return FaultEffect(errors=fault.share, runs=fault.runs)
         case What.RESET:
-            return Ailment(reset=fault.share, runs=fault.runs)
+            return FaultEffect(reset=fault.share, runs=fault.runs)
         case What.GARBLE:
-            return Ailment(garble=fault.share)
+            return FaultEffect(garble=fault.share)
         case What.LOSS:
-            return Ailment(loss=fault.share)
+            return FaultEffect(loss=fault.share)
     raise TypeError(fault.what)
 
 
 def zipf_weights(count: int, exponent: float) -> np.ndarray:
-    """Shares by rank, adding up to 1."""
+    """Returns `count` shares by rank, with a sum of 1."""
     weights = np.arange(1, count + 1, dtype=float) ** -exponent
     return weights / weights.sum()
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -332,7 +332,11 @@
 
 
 def test_a_new_outage_is_learned_of_anew(story):
-    story.tell(rec.State(S, 0, Condition.OUT), rec.Missed(2 * S, 0, 0), rec.State(3 * S, 0, Condition.COLD))
+    story.tell(
+        rec.State(S, 0, Condition.OUT),
+        rec.Missed(2 * S, 0, 0),
+        rec.State(3 * S, 0, Condition.COLD),
+    )
     story.tell(rec.State(4 * S, 0, Condition.OUT), rec.State(5 * S, 0, Condition.COLD))
     assert story.tell(rec.Fell(6 * S, 0, 5.0, {0: 9})).over() == {}
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -25,9 +25,9 @@
 from limelatch.lab.report.compare import compare, paired, verdict
 from limelatch.lab.scenario import library, load, parse
 from limelatch.lab.scenario.model import LimitForm, LimitKeys, ProductKeys
-from limelatch.lab.world.random_streams import Streams
+from limelatch.lab.world.random_streams import RandomStreams
 from limelatch.lab.world.clients import Arrivals
-from limelatch.lab.world.clock import Queue
+from limelatch.lab.world.clock import EventQueue
 from limelatch.lab.world.endpoint import Limit, WorldCall, WorldText
 from limelatch.lab.world.world import World
 
@@ -118,8 +118,8 @@
 # The world.
 
 
-class Ears:
-    """A stage that only listens."""
+class RecordingListener:
+    """A stage that only records events."""
 
     def __init__(self):
         self.conditions, self.effects, self.falls, self.faults = [], [], [], []
@@ -130,7 +130,7 @@
     def condition(self, endpoint, condition):
         self.conditions.append((endpoint.name, condition))
 
-    def fell(self, route, bore, load):
+    def route_overloaded(self, route, bore, load):
         self.falls.append((route.number, load))
 
     def host(self, endpoint):
@@ -149,8 +149,8 @@
     """A world in virtual time, and calls to it."""
 
     def __init__(self, more="", seed=1):
-        self.clock, self.ears, self.replies = Queue(), Ears(), []
-        self.world = World(parse("short", SHORT + more), seed, self.clock, self.ears)
+        self.clock, self.listener, self.replies = EventQueue(), RecordingListener(), []
+        self.world = World(parse("short", SHORT + more), seed, self.clock, self.listener)
         self.world.begin()
 
     def at(self, seconds):
@@ -175,7 +175,7 @@
     workers = stage.world.endpoints[0].workers
     assert len(refused) == 40 - workers - 16
     stage.at(30)
-    assert len(stage.ears.effects) == workers + 16 and len(stage.replies) == 40
+    assert len(stage.listener.effects) == workers + 16 and len(stage.replies) == 40
 
 
 @pytest.mark.parametrize("form, passed", [(LimitForm.RATE, 5), (LimitForm.WINDOW, 5)])
@@ -196,14 +196,14 @@
 def test_an_endpoint_returns_cold_and_warms_in_a_line():
     stage = Stage('[[faults]]\nwhat = "down"\nat = "1s"\nlasts = "1s"\npartners = ["portal-1"]\n').at(1.5)
     host = stage.world.endpoints[0]
-    assert host.down and host.bears(stage.clock.time) == 0
+    assert host.down and host.available_capacity(stage.clock.time) == 0
     stage.at(2)
-    assert host.warmth(stage.clock.time) == pytest.approx(0.2)
+    assert host.capacity_share(stage.clock.time) == pytest.approx(0.2)
     stage.at(3.5)
-    assert host.warmth(stage.clock.time) == pytest.approx(0.6)
+    assert host.capacity_share(stage.clock.time) == pytest.approx(0.6)
     stage.at(5.1).call("t")
-    assert host.warmth(stage.clock.time) == 1.0
-    assert [each for name, each in stage.ears.conditions if name == host.name] == [
+    assert host.capacity_share(stage.clock.time) == 1.0
+    assert [each for name, each in stage.listener.conditions if name == host.name] == [
         Condition.OUT,
         Condition.COLD,
         Condition.WELL,
@@ -214,10 +214,10 @@
     stage = Stage('[[faults]]\nwhat = "down"\nat = "1s"\nlasts = "1s"\npartners = ["portal-1"]\n').at(2.1)
     for number in range(30):
         stage.call(number, host=number % 3, relay=number % 2)
-    ((_, load),) = stage.ears.falls
+    ((_, load),) = stage.listener.falls
     assert set(load) == {0, 1} and stage.world.endpoints[1].condition is Condition.FALLEN
     stage.at(20)
-    assert stage.world.endpoints[0].bears(stage.clock.time) == 0
+    assert stage.world.endpoints[0].available_capacity(stage.clock.time) == 0
 
 
 def test_overlapping_faults_compose_and_each_lets_go_of_its_own():
@@ -239,7 +239,7 @@
     for at, host in ((0, 0), (1, 0), (2, 1), (6, 0)):
         stage.at(at).call("t", host=host)
     stage.at(20)
-    assert [known for _, known in stage.ears.effects] == [False, True, False, False]
+    assert [known for _, known in stage.listener.effects] == [False, True, False, False]
 
 
 def test_a_change_in_one_concern_does_not_shift_the_others():
@@ -253,7 +253,7 @@
 
 
 def test_draws_come_in_batches_and_stay_the_same():
-    first, second = Streams(3), Streams(3)
+    first, second = RandomStreams(3), RandomStreams(3)
     second.uniform("other")
     assert [first.uniform("a") for _ in range(600)] == [second.uniform("a") for _ in range(600)]
 
