--- a/limelatch/command/lab.py
+++ b/limelatch/command/lab.py
@@ -211,12 +211,12 @@
 def judged(path: str):
     """A record's figures and its checker; BadUse where it is none."""
     from limelatch.lab.figures import judge
-    from limelatch.lab.record import NoRecord, Reader
+    from limelatch.lab.record import RecordError, Reader
 
     try:
         reader = Reader(path)
         figures, checker = judge(reader.head, reader)
-    except NoRecord as error:
+    except RecordError as error:
         raise BadUse(str(error)) from None
     return figures, checker, reader
 
--- a/limelatch/lab/checker.py
+++ b/limelatch/lab/checker.py
@@ -66,7 +66,7 @@
 class TextState:
     """One handing in of a text."""
 
-    handed: rec.Handed
+    handed: rec.Submitted
     taken_at: int | None = None
     end: str = ""  # delivered, nacked, undeliverable, answered at once
     end_at: int = 0
@@ -161,7 +161,7 @@
 
     # Taking events.
 
-    def take(self, event: rec.Any_) -> None:
+    def take(self, event: rec.AnyEvent) -> None:
         """The next event."""
         while self.coming and self.coming[0][0] < event.at:
             self._heard(heapq.heappop(self.coming)[2])
@@ -200,7 +200,7 @@
         self._count += 1
         heapq.heappush(self.due, (due, self._count, name))
 
-    def handed(self, event: rec.Handed) -> None:
+    def handed(self, event: rec.Submitted) -> None:
         self.texts[event.text] = text = TextState(event)
         self._trail(text, event.at, f"handed in at relay {event.relay}, try {event.again + 1}")
 
@@ -398,7 +398,7 @@
             until = now + self.scenario.rules.key_rest
             self.rests[(text.handed.relay, text.handed.key)] = (until, name)
 
-    def ran(self, event: rec.Ran) -> None:
+    def ran(self, event: rec.EffectTaken) -> None:
         text = self.texts.get(event.text)
         if text is None or event.known or text.lost:
             return
@@ -423,7 +423,7 @@
                 )
         seen.append((event.at, event.host, event.text))
 
-    def noticed(self, event: rec.Noticed) -> None:
+    def noticed(self, event: rec.NoticeAnswered) -> None:
         text = self.texts.get(event.text)
         if text is None:
             self.breach(
@@ -469,14 +469,14 @@
         self.hosts[event.host] = event
         self.routes.setdefault(event.route, RouteState())
 
-    def told(self, event: rec.Told) -> None:
+    def told(self, event: rec.ListingReceived) -> None:
         told = self.relay(event.relay).told
         if event.listing == 0:
             told.pop(event.host, None)
         else:
             told.setdefault(event.host, event.at)
 
-    def state(self, event: rec.State) -> None:
+    def state(self, event: rec.ConditionChanged) -> None:
         host = self.hosts.get(event.host)
         if host is None:
             return
@@ -489,12 +489,12 @@
         else:
             route.out.discard(event.host)
 
-    def missed(self, event: rec.Missed) -> None:
+    def missed(self, event: rec.CallFailed) -> None:
         host = self.hosts.get(event.host)
         if host is not None and self.routes[host.route].out:
             self.routes[host.route].knowing.add(event.relay)
 
-    def fell(self, event: rec.Fell) -> None:
+    def fell(self, event: rec.RouteOverloaded) -> None:
         route = self.routes[event.route]
         total = sum(event.load.values())
         knew = sum(count for relay, count in event.load.items() if relay in route.knowing)
@@ -534,34 +534,34 @@
                 text.out = None
                 self._over(text, "lost with its machine", event.at)
 
-    def over(self, event: rec.Over) -> None:
+    def over(self, event: rec.RunEnded) -> None:
         """The end: every text whose time is up must have its answer."""
         while self.coming:
             self._heard(heapq.heappop(self.coming)[2])
         if event.whole:
             self._overdue(event.at + 1)
 
-    def judge(self, events: Iterable[rec.Any_]) -> Checker:
+    def judge(self, events: Iterable[rec.AnyEvent]) -> Checker:
         for event in events:
             self.take(event)
         return self
 
 
 HANDLERS = {
-    rec.Handed: Checker.handed,
+    rec.Submitted: Checker.handed,
     rec.Answered: Checker.answered,
     rec.Called: Checker.called,
     rec.Responded: Checker.responded,
     rec.GaveUp: Checker.gave_up,
-    rec.Ran: Checker.ran,
-    rec.Noticed: Checker.noticed,
+    rec.EffectTaken: Checker.ran,
+    rec.NoticeAnswered: Checker.noticed,
     rec.Host: Checker.host,
-    rec.Told: Checker.told,
-    rec.State: Checker.state,
-    rec.Missed: Checker.missed,
-    rec.Fell: Checker.fell,
+    rec.ListingReceived: Checker.told,
+    rec.ConditionChanged: Checker.state,
+    rec.CallFailed: Checker.missed,
+    rec.RouteOverloaded: Checker.fell,
     rec.Relay: Checker.relay_event,
-    rec.Over: Checker.over,
+    rec.RunEnded: Checker.over,
 }
 
 
--- a/limelatch/lab/figures.py
+++ b/limelatch/lab/figures.py
@@ -161,13 +161,13 @@
         self.taken: set[rec.TextId] = set()
         self.now, self.whole = 0, False
 
-    def take(self, event: rec.Any_) -> None:
+    def take(self, event: rec.AnyEvent) -> None:
         self.now = event.at
         handler = HANDLERS.get(type(event))
         if handler is not None:
             handler(self, event)
 
-    def handed(self, event: rec.Handed) -> None:
+    def handed(self, event: rec.Submitted) -> None:
         place = self.firsts.get(event.first)
         if place is None:
             place = self.firsts[event.first] = len(self.came)
@@ -224,7 +224,7 @@
             self.fates["given up"] += len(found[0].texts)
             self.fates_at.setdefault(event.at // SECOND, Counter())["given up"] += len(found[0].texts)
 
-    def noticed(self, event: rec.Noticed) -> None:
+    def noticed(self, event: rec.NoticeAnswered) -> None:
         place = self.texts.get(event.text)
         if place is not None and self.ends[place] != "delivered":
             self.ends[place] = "nacked" if event.nacked else "undeliverable"
@@ -241,14 +241,14 @@
         if what is not None:
             self.open[kind, subject] = (at, what)
 
-    def state(self, event: rec.State) -> None:
+    def state(self, event: rec.ConditionChanged) -> None:
         condition = Condition(event.condition)
         well = condition in (Condition.WELL, Condition.GONE)
         self._span(
             "conditions", self.hosts[event.host].name, event.at, None if well else condition.name.lower()
         )
 
-    def believes(self, event: rec.Believes) -> None:
+    def believes(self, event: rec.BeliefChanged) -> None:
         host = self.hosts.get(event.host)
         subject = f"{host.name if host else event.host} at relay {event.relay}"
         word = event.words.partition(":")[0].split()[0]
@@ -269,19 +269,19 @@
             for kind, subject in [each for each in self.open if each[1].endswith(f" at relay {event.relay}")]:
                 self._span(kind, subject, event.at, None)
 
-    def missed_(self, event: rec.Missed) -> None:
+    def missed_(self, event: rec.CallFailed) -> None:
         self.missed += 1
 
-    def gauge(self, event: rec.Gauge) -> None:
+    def gauge(self, event: rec.ResourceUsage) -> None:
         second = event.at // SECOND
         self.memory[second] = max(self.memory.get(second, 0), event.memory)
         self.descriptors[second] = max(self.descriptors.get(second, 0), event.descriptors)
         self.cpu.setdefault(event.relay, []).append(event.cpu)
 
-    def was_late(self, event: rec.Late) -> None:
+    def was_late(self, event: rec.StageLate) -> None:
         self.late.setdefault(event.who, []).append(event.by)
 
-    def over(self, event: rec.Over) -> None:
+    def over(self, event: rec.RunEnded) -> None:
         self.whole = event.whole
 
     # The sum of it.
@@ -390,21 +390,21 @@
 
 
 HANDLERS = {
-    rec.Handed: Collector.handed,
+    rec.Submitted: Collector.handed,
     rec.Answered: Collector.answered,
     rec.Called: Collector.called,
     rec.Responded: Collector.responded,
     rec.GaveUp: Collector.gave_up,
-    rec.Noticed: Collector.noticed,
+    rec.NoticeAnswered: Collector.noticed,
     rec.Host: Collector.host,
-    rec.State: Collector.state,
-    rec.Believes: Collector.believes,
+    rec.ConditionChanged: Collector.state,
+    rec.BeliefChanged: Collector.believes,
     rec.Fault: Collector.fault,
     rec.Relay: Collector.relay,
-    rec.Missed: Collector.missed_,
-    rec.Gauge: Collector.gauge,
-    rec.Late: Collector.was_late,
-    rec.Over: Collector.over,
+    rec.CallFailed: Collector.missed_,
+    rec.ResourceUsage: Collector.gauge,
+    rec.StageLate: Collector.was_late,
+    rec.RunEnded: Collector.over,
 }
 
 
@@ -417,7 +417,7 @@
     return found
 
 
-def judge(head: rec.Head, events: Iterable[rec.Any_]) -> tuple[Figures, Checker]:
+def judge(head: rec.Head, events: Iterable[rec.AnyEvent]) -> tuple[Figures, Checker]:
     """Figures and breaches of a run, in one pass over its events."""
     collector, checker = Collector(head), Checker(head)
     for event in events:
--- a/limelatch/lab/play.py
+++ b/limelatch/lab/play.py
@@ -66,7 +66,7 @@
                 progress(min(1.0, queue.time / scenario.scenario.seconds))
             whole = True
         finally:
-            writer.add(rec.Over(queue.time, whole))
+            writer.add(rec.RunEnded(queue.time, whole))
     return Played(str(target), seed, writer.count, time.monotonic() - began, whole)
 
 
@@ -102,7 +102,7 @@
                     await stage.run()
                     whole = True
                 finally:
-                    writer.add(rec.Over(stage.clock.now(), whole))
+                    writer.add(rec.RunEnded(stage.clock.now(), whole))
 
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -120,13 +120,13 @@
     ends, count = [], 0
     with rec.Writer(target, head) as writer:
         for event in heapq.merge(*readers, key=lambda each: each.at):
-            if isinstance(event, rec.Over):
+            if isinstance(event, rec.RunEnded):
                 ends.append(event)
             else:
                 writer.add(event)
                 count += 1
         writer.add(
-            rec.Over(
+            rec.RunEnded(
                 max((each.at for each in ends), default=0), bool(ends) and all(each.whole for each in ends)
             )
         )
--- a/limelatch/lab/record.py
+++ b/limelatch/lab/record.py
@@ -51,7 +51,7 @@
     """Each event; `at` comes first."""
 
 
-class Handed(Event, tag=1):
+class Submitted(Event, tag=1):
     """A client hands in a text. `first`: the id of its first try; `again`: tries before this one."""
 
     at: int
@@ -103,7 +103,7 @@
     call: int
 
 
-class Ran(Event, tag=6):
+class EffectTaken(Event, tag=6):
     """A text takes effect at a host; `known`: as a repeat it has none."""
 
     at: int
@@ -113,7 +113,7 @@
     known: bool
 
 
-class Noticed(Event, tag=7):
+class NoticeAnswered(Event, tag=7):
     """A relay's notice has been answered: `nacked`, or undeliverable."""
 
     at: int
@@ -135,7 +135,7 @@
     capacity: float
 
 
-class Told(Event, tag=9):
+class ListingReceived(Event, tag=9):
     """A relay has been told of a host: 0 ready, 1 draining, 2 gone."""
 
     at: int
@@ -162,7 +162,7 @@
     hosts: list[int]
 
 
-class State(Event, tag=12):
+class ConditionChanged(Event, tag=12):
     """A host's condition changes; a cold one began at `since`."""
 
     at: int
@@ -170,7 +170,7 @@
     condition: int
 
 
-class Fell(Event, tag=13):
+class RouteOverloaded(Event, tag=13):
     """A returning route was pushed over; `load` is the texts of each relay in the window that did it."""
 
     at: int
@@ -179,7 +179,7 @@
     load: dict[int, int]
 
 
-class Missed(Event, tag=14):
+class CallFailed(Event, tag=14):
     """A call of a relay that a host refused, failed or never answered, as far as the stage knows."""
 
     at: int
@@ -187,7 +187,7 @@
     host: int
 
 
-class Believes(Event, tag=15):
+class BeliefChanged(Event, tag=15):
     """The relay's decision module has changed its mind on a host."""
 
     at: int
@@ -196,7 +196,7 @@
     words: str
 
 
-class Gauge(Event, tag=16):
+class ResourceUsage(Event, tag=16):
     """A relay's memory and descriptors, and the CPU time it has used, in microseconds."""
 
     at: int
@@ -206,7 +206,7 @@
     cpu: int
 
 
-class Late(Event, tag=17):
+class StageLate(Event, tag=17):
     """The stage itself was late, by so much: the emulator, or the load."""
 
     at: int
@@ -214,14 +214,14 @@
     by: int
 
 
-class Over(Event, tag=18):
+class RunEnded(Event, tag=18):
     """The run is over; `whole` unless it was interrupted."""
 
     at: int
     whole: bool
 
 
-class Foreign(Event, tag=19):
+class ForeignCall(Event, tag=19):
     """A call that is none of this play's was refused at a host, and is not judged."""
 
     at: int
@@ -229,26 +229,26 @@
     why: str
 
 
-Any_ = (
-    Handed
+AnyEvent = (
+    Submitted
     | Answered
     | Called
     | Responded
     | GaveUp
-    | Ran
-    | Noticed
+    | EffectTaken
+    | NoticeAnswered
     | Host
-    | Told
+    | ListingReceived
     | Relay
     | Fault
-    | State
-    | Fell
-    | Missed
-    | Believes
-    | Gauge
-    | Late
-    | Over
-    | Foreign
+    | ConditionChanged
+    | RouteOverloaded
+    | CallFailed
+    | BeliefChanged
+    | ResourceUsage
+    | StageLate
+    | RunEnded
+    | ForeignCall
 )
 
 
@@ -304,7 +304,7 @@
         self._file.close()
 
 
-class NoRecord(Exception):
+class RecordError(Exception):
     """The file is no record."""
 
 
@@ -318,10 +318,10 @@
             self._stream = zstandard.ZstdDecompressor().stream_reader(self._file)
             self.head = msgspec.msgpack.decode(self._read() or b"", type=Head)
         except (OSError, zstandard.ZstdError, msgspec.DecodeError) as error:
-            raise NoRecord(f"{self.path}: no record of a run: {error}") from None
+            raise RecordError(f"{self.path}: no record of a run: {error}") from None
         if self.head.version != VERSION:
-            raise NoRecord(f"{self.path}: a record of version {self.head.version}, {VERSION} is wanted")
-        self._decoder = msgspec.msgpack.Decoder(list[Any_])
+            raise RecordError(f"{self.path}: a record of version {self.head.version}, {VERSION} is wanted")
+        self._decoder = msgspec.msgpack.Decoder(list[AnyEvent])
         self.cut = False  # it ended within a block
 
     def _exactly(self, count: int) -> bytes:
@@ -344,7 +344,7 @@
         raw = self._exactly(size)
         return raw if len(raw) == size else None
 
-    def __iter__(self) -> Iterator[Any_]:
+    def __iter__(self) -> Iterator[AnyEvent]:
         try:
             while (raw := self._read()) is not None:
                 yield from self._decoder.decode(raw)
--- a/limelatch/lab/scale/hollow.py
+++ b/limelatch/lab/scale/hollow.py
@@ -224,7 +224,7 @@
                 seen = self.seen.setdefault(event.destination, Seen(name))
                 seen.capacity += event.capacity
                 self._host[event.host], self._route[event.route] = event.destination, event.destination
-            case rec.Handed():
+            case rec.Submitted():
                 self._first[event.text] = event.first
                 if event.first not in self.traces:
                     self.traces[event.first] = Trace(event.destination, event.at, event.valid_until)
@@ -234,14 +234,14 @@
                 self._calls[event.call] = destination, event.texts
             case rec.Responded():
                 self._responded(event)
-            case rec.Missed():
+            case rec.CallFailed():
                 self.seen[self._host[event.host]].missed.append(event.at)
-            case rec.Noticed():
+            case rec.NoticeAnswered():
                 if (first := self._first.get(event.text)) is not None:
                     self.traces[first].ended = event.at
-            case rec.Fell():
+            case rec.RouteOverloaded():
                 self.seen[self._route[event.route]].fell = True
-            case rec.Late():
+            case rec.StageLate():
                 self.latest[event.who] = max(self.latest.get(event.who, 0), event.by)
 
     def _responded(self, event: rec.Responded) -> None:
--- a/limelatch/lab/soak/relay.py
+++ b/limelatch/lab/soak/relay.py
@@ -123,7 +123,7 @@
         self._within("descriptors", descriptors, keys.sockets)
         self._within("bytes of memory", memory, keys.memory)
         self._within("bytes of disk", size_of(self.state), keys.disk)
-        self.stage.writer.add(rec.Gauge(self.stage.clock.now(), self.number, memory, descriptors, 0))
+        self.stage.writer.add(rec.ResourceUsage(self.stage.clock.now(), self.number, memory, descriptors, 0))
 
     def _within(self, what: str, held: int, most: int) -> None:
         if held > most and what not in self.over:
--- a/limelatch/lab/soak/run.py
+++ b/limelatch/lab/soak/run.py
@@ -78,7 +78,7 @@
                     whole = True
                 finally:
                     wrongs.extend(stage.wrongs)
-                    writer.add(rec.Over(stage.clock.now(), whole))
+                    writer.add(rec.RunEnded(stage.clock.now(), whole))
 
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -94,11 +94,11 @@
     """The verdict on a play whose record and logs are in the folder."""
     counts, late = {"handed": 0, "called": 0}, []
 
-    def counted(events) -> Iterator[rec.Any_]:
+    def counted(events) -> Iterator[rec.AnyEvent]:
         for event in events:
-            counts["handed"] += isinstance(event, rec.Handed)
+            counts["handed"] += isinstance(event, rec.Submitted)
             counts["called"] += isinstance(event, rec.Called)
-            if isinstance(event, rec.Late):
+            if isinstance(event, rec.StageLate):
                 late.append(event.by)
             yield event
 
--- a/limelatch/lab/soak/timeline.py
+++ b/limelatch/lab/soak/timeline.py
@@ -28,12 +28,12 @@
     """What happened to the breach's texts, and to the relays that had them, by the stage's time."""
     texts = texts_of(breach)
     events = list(rec.Reader(record))
-    relays = {each.relay for each in events if isinstance(each, rec.Handed) and each.text in texts}
+    relays = {each.relay for each in events if isinstance(each, rec.Submitted) and each.text in texts}
     calls = {each.call for each in events if isinstance(each, rec.Called) and named(each, texts)}
     begin = min((each.at for each in events if named(each, texts)), default=breach.at) - BEFORE
     end = breach.at + AFTER
 
-    def concerned(event: rec.Any_) -> bool:
+    def concerned(event: rec.AnyEvent) -> bool:
         if isinstance(event, rec.Relay):
             return event.relay in relays
         if isinstance(event, rec.Fault):
@@ -48,15 +48,15 @@
     return [f"{write_span(at)} {words}" for at, words in kept[-LINES_MOST:]]
 
 
-def named(event: rec.Any_, texts: set[str]) -> bool:
+def named(event: rec.AnyEvent, texts: set[str]) -> bool:
     """Whether an event is about one of the texts."""
     return getattr(event, "text", None) in texts or bool(texts.intersection(getattr(event, "texts", ())))
 
 
-def words_of(event: rec.Any_) -> str:
+def words_of(event: rec.AnyEvent) -> str:
     """An event in words; its own form where it needs none."""
     match event:
-        case rec.Handed():
+        case rec.Submitted():
             return (
                 f"client hands {event.text} in at relay {event.relay}, key {event.key}, try {event.again + 1}"
             )
@@ -71,7 +71,7 @@
             return f"host: call {event.call} is answered: {fates}, wait {event.wait}"
         case rec.GaveUp():
             return f"host: call {event.call} is given up by its relay"
-        case rec.Noticed():
+        case rec.NoticeAnswered():
             return f"platform: {event.text} {'bounced' if event.nacked else 'dead'}, by relay {event.relay}"
         case rec.Relay():
             return f"relay {event.relay}: {event.what}"
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -179,7 +179,7 @@
             self.close_idle(endpoint.number)
         else:
             self.known[endpoint.number] = entry
-        stage.note(rec.Told(stage.clock.now(), self.number, endpoint.number, LISTED[listing]))
+        stage.note(rec.ListingReceived(stage.clock.now(), self.number, endpoint.number, LISTED[listing]))
         if self.up:
             self.policy.hosts_listed(stage.clock.now(), [entry], False)
             self.touch()
@@ -231,7 +231,9 @@
             elif type(action) is li.CloseIdle:
                 self.close_idle(stage.numbers[action.host])
             elif type(action) is li.LogLine:
-                stage.note(rec.Believes(now, self.number, stage.numbers.get(action.host, -1), action.line))
+                stage.note(
+                    rec.BeliefChanged(now, self.number, stage.numbers.get(action.host, -1), action.line)
+                )
         for host, submits in packs.items():
             endpoint = stage.world.endpoints[stage.numbers[host]]
             most = stage.policy_kinds[endpoint.destination.kind].texts_per_call
@@ -351,7 +353,7 @@
         )
         self.policy.submit_ended(now, report)
         if result in FAILED:
-            self.stage.note(rec.Missed(now, self.number, call.endpoint.number))
+            self.stage.note(rec.CallFailed(now, self.number, call.endpoint.number))
         text.out = False
         if result is Result.DELIVERED:
             del self.texts[text.text.id]
@@ -474,7 +476,7 @@
                 return
             relay = serving[number % len(serving)]
         self.note(
-            rec.Handed(
+            rec.Submitted(
                 now,
                 relay.number,
                 row.id,
@@ -559,7 +561,7 @@
             return
         now, (nack, wait) = self.clock.now(), text.notice
         del relay.texts[text.text.id]
-        self.note(rec.Noticed(now, relay.number, text.text.id, nack, wait))
+        self.note(rec.NoticeAnswered(now, relay.number, text.text.id, nack, wait))
         self.open -= 1
         relay.policy.text_finished(now, text.text.id)
         relay.touch()
@@ -638,7 +640,7 @@
     # What the world tells.
 
     def ran(self, endpoint: Endpoint, text: WorldText, known: bool) -> None:
-        self.note(rec.Ran(self.clock.now(), endpoint.number, text.id, text.first, known))
+        self.note(rec.EffectTaken(self.clock.now(), endpoint.number, text.id, text.first, known))
 
     def host(self, endpoint: Endpoint) -> None:
         self.numbers[endpoint.name.encode()] = endpoint.number
@@ -655,7 +657,7 @@
         )
 
     def condition(self, endpoint: Endpoint, condition: rec.Condition) -> None:
-        self.note(rec.State(self.clock.now(), endpoint.number, int(condition)))
+        self.note(rec.ConditionChanged(self.clock.now(), endpoint.number, int(condition)))
 
     def reachable(self, endpoint: Endpoint) -> None:
         """A host that died resets what is open; one that was silent resets it once it is back."""
@@ -671,7 +673,7 @@
                     )
 
     def route_overloaded(self, route: Route, bore: float, load: dict[int, int]) -> None:
-        self.note(rec.Fell(self.clock.now(), route.number, bore, load))
+        self.note(rec.RouteOverloaded(self.clock.now(), route.number, bore, load))
 
     def listed(self, endpoint: Endpoint, listing: Listing) -> None:
         for relay in self.relays:
--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -157,7 +157,7 @@
                 coming.id = f"{coming.first}.{coming.tries}.{self.count}"
             writer = self.writer
             writer.add(
-                rec.Handed(
+                rec.Submitted(
                     now,
                     coming.relay,
                     coming.id,
@@ -171,7 +171,7 @@
                 )
             )
             if self.count % LATE_EACH == 0 and not coming.lost:
-                writer.add(rec.Late(now, "load", max(0, now - coming.due)))
+                writer.add(rec.StageLate(now, "load", max(0, now - coming.due)))
             answer = await self.pools[coming.relay].submit(self.text_of(coming, now))
             now = self.now()
             kind = ANSWERS[answer.ending]
@@ -291,7 +291,7 @@
     load = Load(read_order(await reader.readline()), say)
     say(Ready())
     load.origin = read_order(await reader.readline()).origin
-    beat = Heartbeat(lambda by: load.writer.add(rec.Late(load.now(), "load's loop", by)))
+    beat = Heartbeat(lambda by: load.writer.add(rec.StageLate(load.now(), "load's loop", by)))
     running = loop.create_task(load.run())
     news = loop.create_task(tell(load, say))
     try:
@@ -304,7 +304,7 @@
         for task in ending:
             task.cancel()
         await asyncio.gather(*ending, return_exceptions=True)
-        load.writer.add(rec.Over(load.now(), True))
+        load.writer.add(rec.RunEnded(load.now(), True))
         load.writer.close()
 
 
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -175,7 +175,7 @@
             for each in world.texts:
                 stage.ran_at.pop(each.id, None)
         if first != Fate.DELIVERED:
-            stage.writer.add(rec.Missed(now, world.relay, self.endpoint.number))
+            stage.writer.add(rec.CallFailed(now, world.relay, self.endpoint.number))
         if first == Fate.RESET:
             connection.reset()
         elif first == Fate.GARBLED:
@@ -311,7 +311,7 @@
                 descriptors = self.watch.num_fds()
             self.cpu = round((times.user + times.system) * 1e6)
             self.stage.writer.add(
-                rec.Gauge(
+                rec.ResourceUsage(
                     self.stage.clock.now(), self.number, memory, descriptors, self.cpu_before + self.cpu
                 )
             )
@@ -436,7 +436,7 @@
     def foreign_call(self, endpoint: Endpoint, why: str) -> None:
         """A call that is none of this play's: it is counted and told, and no rule is judged by it."""
         self.foreign += 1
-        self.writer.add(rec.Foreign(self.clock.now(), endpoint.number, why))
+        self.writer.add(rec.ForeignCall(self.clock.now(), endpoint.number, why))
 
     def spawn(self, work) -> asyncio.Task:
         task = asyncio.get_running_loop().create_task(work)
@@ -517,7 +517,7 @@
         for relay in range(len(self.relays)):
             self.writer.add(rec.Relay(0, relay, "ready"))
         self.begin()
-        beat = Heartbeat(lambda by: self.writer.add(rec.Late(self.clock.now(), "emulator", by)))
+        beat = Heartbeat(lambda by: self.writer.add(rec.StageLate(self.clock.now(), "emulator", by)))
         news = self.spawn(self._hear_load())
         gauges, sweeps = self.spawn(self._gauge()), self.spawn(self._sweep())
         end = self.scenario.scenario.seconds + self.scenario.scenario.settle
@@ -607,13 +607,13 @@
     # What relays and the platform tell.
 
     def believes(self, relay: int, name: str, words: str) -> None:
-        self.writer.add(rec.Believes(self.clock.now(), relay, self.numbers.get(name, -1), words))
+        self.writer.add(rec.BeliefChanged(self.clock.now(), relay, self.numbers.get(name, -1), words))
         if words.startswith("sick") and name in self.numbers:  # it may have been refused a connection there
-            self.writer.add(rec.Missed(self.clock.now(), relay, self.numbers[name]))
+            self.writer.add(rec.CallFailed(self.clock.now(), relay, self.numbers[name]))
 
     def noticed(self, relay: int, notice: Notice) -> None:
         nacked, wait = notice.result == "bounced", (notice.wait_ms or 0) * MS
-        self.writer.add(rec.Noticed(self.clock.now(), relay, notice.text, nacked, wait))
+        self.writer.add(rec.NoticeAnswered(self.clock.now(), relay, notice.text, nacked, wait))
         if nacked and self.load is not None and self.load.returncode is None:
             self.load.stdin.write(line_of(Nacked(notice.text, wait)))
 
@@ -624,7 +624,7 @@
     # What the world tells.
 
     def ran(self, endpoint: Endpoint, text: WorldText, known: bool) -> None:
-        self.writer.add(rec.Ran(self.clock.now(), endpoint.number, text.id, text.first, known))
+        self.writer.add(rec.EffectTaken(self.clock.now(), endpoint.number, text.id, text.first, known))
 
     def host(self, endpoint: Endpoint) -> None:
         self.numbers[endpoint.name] = endpoint.number
@@ -641,14 +641,14 @@
         )
 
     def condition(self, endpoint: Endpoint, condition: Condition) -> None:
-        self.writer.add(rec.State(self.clock.now(), endpoint.number, int(condition)))
+        self.writer.add(rec.ConditionChanged(self.clock.now(), endpoint.number, int(condition)))
 
     def reachable(self, endpoint: Endpoint) -> None:
         if endpoint.number in self.doors:
             self.doors[endpoint.number].reachable()
 
     def route_overloaded(self, route: Route, bore: float, load: dict[int, int]) -> None:
-        self.writer.add(rec.Fell(self.clock.now(), route.number, bore, load))
+        self.writer.add(rec.RouteOverloaded(self.clock.now(), route.number, bore, load))
 
     def listed(self, endpoint: Endpoint, listing: Listing) -> None:
         self.spawn(self._listed(endpoint, listing))
@@ -668,7 +668,9 @@
         if relay.agent.silent:
             relay.untold.append((endpoint.number, listing))
         else:
-            self.writer.add(rec.Told(self.clock.now(), relay.number, endpoint.number, LISTED[listing]))
+            self.writer.add(
+                rec.ListingReceived(self.clock.now(), relay.number, endpoint.number, LISTED[listing])
+            )
 
     def fault(self, number: int, on: bool, endpoints: list[Endpoint]) -> None:
         self.writer.add(rec.Fault(self.clock.now(), number, on, [each.number for each in endpoints]))
@@ -695,7 +697,9 @@
                 relay.agent.hush(on)
                 untold, relay.untold = relay.untold, []
                 for host, listing in untold:
-                    self.writer.add(rec.Told(self.clock.now(), relay.number, host, LISTED[listing]))
+                    self.writer.add(
+                        rec.ListingReceived(self.clock.now(), relay.number, host, LISTED[listing])
+                    )
 
 
 def installation_of(
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -60,7 +60,7 @@
         return self.tell(rec.Answered(at, text, Answer.TAKEN, 0))
 
     def handed(self, at, text, product=REPORT, key=0, relay=0, first=None, valid=12 * S):
-        return self.tell(rec.Handed(at, relay, text, first or text, product, 1, 0, key, at + valid, 0))
+        return self.tell(rec.Submitted(at, relay, text, first or text, product, 1, 0, key, at + valid, 0))
 
     def called(self, at, text, host=0, relay=0):
         self.calls += 1
@@ -75,7 +75,7 @@
 
     def over(self, at=60 * S):
         """The rules that were broken, and how often."""
-        self.tell(rec.Over(at, True))
+        self.tell(rec.RunEnded(at, True))
         return {rule: count for rule, count in self.checker.counts.items() if count}
 
 
@@ -96,7 +96,7 @@
 )
 def test_a_final_answer_is_due_when_the_texts_time_is_up(sockets, late, broken):
     story = Story(sockets).taken(S, "t")
-    story.tell(rec.Noticed(13 * S + late, 0, "t", False, 0))
+    story.tell(rec.NoticeAnswered(13 * S + late, 0, "t", False, 0))
     assert story.over() == broken
 
 
@@ -120,7 +120,7 @@
     if end == "delivered":
         story.ends(2 * S, story.called(S + 1, "t"))
     else:
-        story.tell(rec.Noticed(2 * S, 0, "t", end == "nacked", 0))
+        story.tell(rec.NoticeAnswered(2 * S, 0, "t", end == "nacked", 0))
     story.called(3 * S, "t")
     assert Rule.LOST in story.over()
 
@@ -128,7 +128,7 @@
 def test_a_relay_that_is_down_or_just_back_owes_no_notice_yet():
     story = Story(sockets=True).taken(S, "t")
     story.tell(rec.Relay(12 * S, 0, "killed"), rec.Relay(14 * S, 0, "ready"))
-    story.tell(rec.Noticed(15 * S + 4000, 0, "t", False, 0))
+    story.tell(rec.NoticeAnswered(15 * S + 4000, 0, "t", False, 0))
     assert story.over() == {}
     other = Story(sockets=True).taken(S, "t")
     other.tell(rec.Relay(12 * S, 0, "killed"), rec.Relay(14 * S, 0, "ready"))
@@ -169,11 +169,13 @@
 @pytest.mark.parametrize("at_once", [True, False])
 def test_a_nack_invites_a_repeat_so_what_may_have_run_must_bear_one(story, product, broken, at_once):
     if at_once:  # the answer to its handing in; a text of which a call is out by then was sent too soon
-        story.tell(rec.Handed(S, 0, "t", "t", product, 1, 0, 0, 13 * S, 0))
+        story.tell(rec.Submitted(S, 0, "t", "t", product, 1, 0, 0, 13 * S, 0))
     else:
         story.taken(S, "t", product)
     story.gives_up(2 * S, story.called(S + 1, "t"))
-    story.tell(rec.Answered(3 * S, "t", Answer.BUSY, 0) if at_once else rec.Noticed(3 * S, 0, "t", True, 0))
+    story.tell(
+        rec.Answered(3 * S, "t", Answer.BUSY, 0) if at_once else rec.NoticeAnswered(3 * S, 0, "t", True, 0)
+    )
     assert story.over() == broken
 
 
@@ -208,28 +210,30 @@
     for text, at in (("t", S), ("u", 3 * S)):  # a nacked text comes again under a new id
         story.taken(at, text, CHARGE, first="t", key=at)
         call = story.called(at + 1, text)
-        story.tell(rec.Ran(at + 2, 0, text, "t", False)).ends(at + 3, call)
+        story.tell(rec.EffectTaken(at + 2, 0, text, "t", False)).ends(at + 3, call)
     assert story.over() == {Rule.TWICE: 1} and story.checker.doubles == 1
 
 
 def test_what_a_client_heard_no_answer_of_counts_for_nothing(story):
-    story.tell(rec.Handed(S, 0, "t", "t", CHARGE, 1, 0, 0, 13 * S, 0), rec.Answered(S, "t", Answer.SILENT, 0))
-    story.tell(rec.Ran(S + 2, 0, "t", "t", False))
+    story.tell(
+        rec.Submitted(S, 0, "t", "t", CHARGE, 1, 0, 0, 13 * S, 0), rec.Answered(S, "t", Answer.SILENT, 0)
+    )
+    story.tell(rec.EffectTaken(S + 2, 0, "t", "t", False))
     story.taken(2 * S, "u", CHARGE, first="t", relay=1)
     call = story.called(2 * S + 1, "u", relay=1)
-    story.tell(rec.Ran(2 * S + 2, 0, "u", "t", False)).ends(2 * S + 3, call)
+    story.tell(rec.EffectTaken(2 * S + 2, 0, "u", "t", False)).ends(2 * S + 3, call)
     assert story.over() == {}
 
 
 @pytest.mark.parametrize("after, relay, broken", [(2500, 0, {}), (2501, 0, {Rule.DRAINS: 1}), (9000, 1, {})])
 def test_a_host_that_is_known_to_drain_gets_nothing_after_the_grace(story, after, relay, broken):
-    story.tell(rec.Told(S, 0, 0, 1)).taken(S, "t", relay=relay)
+    story.tell(rec.ListingReceived(S, 0, 0, 1)).taken(S, "t", relay=relay)
     story.ends(3 * S, story.called(S + after, "t", relay=relay))
     assert story.over() == broken
 
 
 def test_a_host_that_is_listed_again_may_be_sent_to(story):
-    story.tell(rec.Told(S, 0, 0, 1), rec.Told(2 * S, 0, 0, 0)).taken(3 * S, "t")
+    story.tell(rec.ListingReceived(S, 0, 0, 1), rec.ListingReceived(2 * S, 0, 0, 0)).taken(3 * S, "t")
     story.ends(4 * S, story.called(3 * S + 1, "t"))
     assert story.over() == {}
 
@@ -276,7 +280,7 @@
     story.taken(S, "t", CHARGE, key=7).taken(S, "u", CHARGE, key=7)
     call = story.called(S + 1, "t")
     story.gives_up(2 * S, call) if fate is None else story.ends(2 * S, call, fate)
-    story.tell(rec.Noticed(2 * S, 0, "t", False, 0))
+    story.tell(rec.NoticeAnswered(2 * S, 0, "t", False, 0))
     story.ends(9 * S, story.called(2 * S + after, "u"))
     assert story.over() == broken
 
@@ -297,7 +301,7 @@
 def test_a_key_does_not_rest_after_an_error_which_is_an_answer(story):
     story.taken(S, "t", CHARGE, key=7).taken(S, "u", CHARGE, key=7)
     story.ends(2 * S, story.called(S + 1, "t"), Fate.FAILED)
-    story.tell(rec.Noticed(2 * S, 0, "t", False, 0))
+    story.tell(rec.NoticeAnswered(2 * S, 0, "t", False, 0))
     story.ends(9 * S, story.called(2 * S + 1, "u"))
     assert story.over() == {}
 
@@ -321,11 +325,13 @@
 
 @pytest.mark.parametrize("knew, broken", [(4, {Rule.PUSHED: 1}), (3, {})])
 def test_who_pushed_a_returning_route_over_is_told_by_what_relays_knew(story, knew, broken):
-    story.tell(rec.State(S, 0, Condition.OUT))
+    story.tell(rec.ConditionChanged(S, 0, Condition.OUT))
     for relay in range(knew):
-        story.tell(rec.Missed(2 * S, relay, 0))
-    story.tell(rec.State(3 * S, 0, Condition.COLD), rec.Missed(3 * S + 1, 5, 0))  # that one learned too late
-    story.tell(rec.Fell(4 * S, 0, 5.0, dict.fromkeys(range(6), 1)))
+        story.tell(rec.CallFailed(2 * S, relay, 0))
+    story.tell(
+        rec.ConditionChanged(3 * S, 0, Condition.COLD), rec.CallFailed(3 * S + 1, 5, 0)
+    )  # that one learned too late
+    story.tell(rec.RouteOverloaded(4 * S, 0, 5.0, dict.fromkeys(range(6), 1)))
     assert story.over() == broken
     if broken:
         assert "4 of them from relays that knew" in story.checker.breaches[0].words
@@ -333,12 +339,12 @@
 
 def test_a_new_outage_is_learned_of_anew(story):
     story.tell(
-        rec.State(S, 0, Condition.OUT),
-        rec.Missed(2 * S, 0, 0),
-        rec.State(3 * S, 0, Condition.COLD),
+        rec.ConditionChanged(S, 0, Condition.OUT),
+        rec.CallFailed(2 * S, 0, 0),
+        rec.ConditionChanged(3 * S, 0, Condition.COLD),
     )
-    story.tell(rec.State(4 * S, 0, Condition.OUT), rec.State(5 * S, 0, Condition.COLD))
-    assert story.tell(rec.Fell(6 * S, 0, 5.0, {0: 9})).over() == {}
+    story.tell(rec.ConditionChanged(4 * S, 0, Condition.OUT), rec.ConditionChanged(5 * S, 0, Condition.COLD))
+    assert story.tell(rec.RouteOverloaded(6 * S, 0, 5.0, {0: 9})).over() == {}
 
 
 def test_an_answer_on_its_way_to_a_relay_that_gave_up_was_not_heard(story):
@@ -357,7 +363,7 @@
     if end == "delivered":
         story.ends(at, story.called(at, text))
     else:
-        story.tell(rec.Noticed(at, 0, text, end == "nacked", 0))
+        story.tell(rec.NoticeAnswered(at, 0, text, end == "nacked", 0))
 
 
 @pytest.mark.parametrize("end", ["delivered", "nacked", "undeliverable"])
@@ -365,7 +371,7 @@
     """The relay ends it at once; its client, in another process, is late to read that it was taken on. The
     next text of its key was said to have been sent while this one was not over."""
     story = Story(sockets=True)
-    story.tell(rec.Handed(S, 0, "t", "t", CHARGE, 1, 0, 7, 13 * S, 0))
+    story.tell(rec.Submitted(S, 0, "t", "t", CHARGE, 1, 0, 7, 13 * S, 0))
     end_of(story, end, S + 10, "t")
     story.tell(rec.Answered(S + 20, "t", Answer.TAKEN, 0))
     story.taken(2 * S, "u", CHARGE, key=7)
@@ -383,7 +389,7 @@
 
 
 def lost(story, answer=Answer.LOST):
-    story.tell(rec.Handed(S, 0, "t", "t", NOTICE, 1, 0, 0, 13 * S, 0))
+    story.tell(rec.Submitted(S, 0, "t", "t", NOTICE, 1, 0, 0, 13 * S, 0))
     return story.tell(rec.Answered(S + 20, "t", answer, 0))
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -322,13 +322,13 @@
 def test_a_record_that_is_cut_short_is_read_as_far_as_it_goes(tmp_path):
     path = tmp_path / f"x{rec.SUFFIX}"
     head = rec.Head(rec.VERSION, "story", 1, {}, "")
-    rec.write(path, head, (rec.Late(number, "x", 1) for number in range(9000)))
+    rec.write(path, head, (rec.StageLate(number, "x", 1) for number in range(9000)))
     assert sum(1 for _ in rec.Reader(path)) == 9000
     path.write_bytes(path.read_bytes()[:-400])
     reader = rec.Reader(path)
     assert 2000 <= sum(1 for _ in reader) < 9000
     path.write_bytes(b"no record")
-    with pytest.raises(rec.NoRecord):
+    with pytest.raises(rec.RecordError):
         rec.Reader(path)
 
 
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -90,9 +90,9 @@
         return stage, connection
 
     stage, connection = asyncio.run(play())
-    events = [event for event in rec.Reader(target) if isinstance(event, (rec.Called, rec.Foreign))]
+    events = [event for event in rec.Reader(target) if isinstance(event, (rec.Called, rec.ForeignCall))]
     assert connection.statuses[0] == 400 and stage.foreign == 1 and stage.calls == 1
-    assert [type(event) for event in events] == [rec.Foreign, rec.Called]
+    assert [type(event) for event in events] == [rec.ForeignCall, rec.Called]
     assert events[0].why == "a text of the play at 127.64.0.9"
 
 
@@ -135,4 +135,4 @@
         events = list(rec.Reader(record))
         ready = [event.relay for event in events if isinstance(event, rec.Relay) and event.what == "ready"]
         assert {0, 1, 2} <= set(ready) and len(ready) >= 5
-        assert not [event for event in events if isinstance(event, rec.Foreign)]
+        assert not [event for event in events if isinstance(event, rec.ForeignCall)]
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -88,14 +88,14 @@
     tally.add(rec.Host(0, 2, "lowered-1a", 2, 1, 0, 4.0))
     tally.add(rec.Host(0, 3, "steady-1a", 3, 2, 0, 4.0))
     for text, at in enumerate((back - 30 * SECOND, back - 20 * SECOND, back - SECOND, back + SECOND)):
-        tally.add(rec.Handed(at, 0, text, text, 0, 1, 0, 0, at + 24 * SECOND, 0))
-        tally.add(rec.Missed(at, 0, 0))
-    tally.add(rec.Noticed(back - 10 * SECOND, 0, 0, True, 0))  # 4 s before its time was up
+        tally.add(rec.Submitted(at, 0, text, text, 0, 1, 0, 0, at + 24 * SECOND, 0))
+        tally.add(rec.CallFailed(at, 0, 0))
+    tally.add(rec.NoticeAnswered(back - 10 * SECOND, 0, 0, True, 0))  # 4 s before its time was up
     for call, at in enumerate((back + SECOND, back + SECOND + 1, back + 2 * SECOND)):
         tally.add(rec.Called(at, at, call, call, call % 2, [call + 1]))
     tally.add(rec.Responded(back + 2 * SECOND, back + 2 * SECOND, 0, [Fate.REFUSED], 0))
     tally.add(rec.Responded(back + 3 * SECOND, back + 3 * SECOND, 2, [Fate.DELIVERED], 0))
-    tally.add(rec.Fell(back + 3 * SECOND, 0, 1.0, {}))
+    tally.add(rec.RouteOverloaded(back + 3 * SECOND, 0, 1.0, {}))
     figures = tally.figures()
     assert figures["down", "trials", "1/s"] == 3 / SMALL.lasts
     assert figures["down", "texts lost", "share"] == 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -59,14 +59,14 @@
     head = head_of(draw_plan(1, 10).scenario, "", STAGE, 1, "program", ALLOWANCES)
     with rec.Writer(record, head) as writer:
         for event in (
-            rec.Handed(10_000, 0, "t1", "t1", 0, 1, 0, "7", 90_000, 0),
-            rec.Handed(10_500, 0, "t2", "t2", 0, 1, 0, "8", 90_000, 0),
+            rec.Submitted(10_000, 0, "t1", "t1", 0, 1, 0, "7", 90_000, 0),
+            rec.Submitted(10_500, 0, "t2", "t2", 0, 1, 0, "8", 90_000, 0),
             rec.Answered(11_000, "t1", 0, 0),
             rec.Relay(12_000, 0, "upgrade"),
             rec.Relay(12_500, 1, "killed"),
             rec.Called(13_000, 13_000, 5, 0, 2, ["t1"]),
             rec.GaveUp(14_000, 5),
-            rec.Over(90_000, True),
+            rec.RunEnded(90_000, True),
         ):
             writer.add(event)
     log.write_text('13100 {"event":"submit-going","text":"t1"}\n13200 {"event":"mode"}\nno time\n')
