--- a/limelatch/lab/figures.py
+++ b/limelatch/lab/figures.py
@@ -1,7 +1,7 @@
-"""What a run came to: revenue, SLA share, latencies, calls and their outcomes, over the whole and over time.
+"""The figures of a run: revenue, SLA share, latencies, calls and their outcomes, in total and over time.
 
-A text counts once, by its first try; its time runs from when its first try was handed in. Revenue is whole
-within the SLA time, then falls as the scenario says, and is nothing after the validity period.
+A text counts once, by its first submission, from whose time its latency is measured. Revenue is full within
+the SLA time, then falls as the scenario defines, and is zero after the validity period.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from limelatch.lab.record import Answer, Condition, Fate
 from limelatch.lab.scenario.model import ProductKeys, Scenario
 
-WINDOW = 10 * SECOND  # the worst of which is told
-WINDOW_STEP = SECOND
-LEAST_IN_WINDOW = 20  # texts, for a window to count
-LATE_MOST = 200  # ticks at the 99th percentile by which a stage may be late in a run that can be used
-PERCENTILES = (50, 90, 99, 99.9)
-PENDING = -1
+WINDOW_LENGTH = 10 * SECOND  # ticks of a window; the worst one is reported
+WINDOW_STEP = SECOND  # ticks between the beginnings of two windows
+MIN_WINDOW_TEXTS = 20  # texts that a window needs to be considered
+LATE_MOST = 200  # ticks: 99th percentile of the stage's own delay in a usable run
+PERCENTILES = (50, 90, 99, 99.9)  # of latency
+PENDING = -1  # delivery time of a text that was not delivered
 
 
 class Interval(msgspec.Struct, frozen=True):
-    """From when until when something was so, in seconds."""
+    """A period, in seconds, during which `what` was true of a subject."""
 
     subject: str
     what: str
@@ -37,13 +37,13 @@
 
 
 class Second(msgspec.Struct):
-    """One second of a run."""
+    """The figures of one second of a run."""
 
-    asked: float = 0.0  # revenue of the texts that came in it
-    earned: float = 0.0  # and what they brought in the end
+    asked: float = 0.0  # possible revenue of the texts first submitted in it
+    earned: float = 0.0  # revenue that they earned in the end
     texts: int = 0
     calls: int = 0
-    p50: float = 0.0  # milliseconds until delivery, of the texts that came in it
+    p50: float = 0.0  # milliseconds until delivery of the texts first submitted in it
     p99: float = 0.0
     held: int = 0
     memory: int = 0
@@ -52,7 +52,7 @@
 
 
 class Part(msgspec.Struct):
-    """A product's or a customer's share of it."""
+    """The figures of one product or customer."""
 
     name: str
     texts: int
@@ -61,11 +61,12 @@
 
     @property
     def service(self) -> float:
+        """Revenue earned as a share of the possible revenue; 1 without texts."""
         return self.earned / self.asked if self.asked else 1.0
 
 
 class Figures(msgspec.Struct):
-    """All that reports show of one run."""
+    """All figures of one run that reports show."""
 
     scenario: str
     stage: str
@@ -73,11 +74,11 @@
     seed: int
     build: str
     texts: int
-    service: float  # revenue earned over revenue asked
+    service: float  # revenue earned as a share of the possible revenue
     worst_window: float
     worst_window_at: float
-    sla_share: float  # of the texts
-    latency: dict[str, float]  # milliseconds until delivery
+    sla_share: float  # share of texts delivered within their SLA time
+    latency: dict[str, float]  # milliseconds until delivery, by percentile
     ends: dict[str, int]
     calls: int
     calls_a_text: float
@@ -94,25 +95,28 @@
     breach_lines: list[str]
     memory: int = 0
     descriptors: int = 0
-    cpu_a_text: float = 0.0  # microseconds
-    late: dict[str, float] = {}  # milliseconds at the 99th percentile, by who was late
+    cpu_a_text: float = 0.0  # microseconds of CPU time per text
+    late: dict[str, float] = {}  # 99th percentile of the stage's own delay in milliseconds, by process
     whole: bool = True
     worst_product: float = 1.0
     worst_customer: float = 1.0
 
     @property
     def usable(self) -> bool:
-        """Whether the stage kept up; a run in which it did not says nothing of the relays."""
+        """Whether the stage kept up; otherwise the run is no evidence about the relays."""
         return self.whole and all(ms * 10 <= LATE_MOST for ms in self.late.values())
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was broken."""
         return not any(self.breaches.values())
 
     @property
     def score(self) -> float:
-        """Half the whole, three tenths the worst window, a tenth each the worst product and customer; 0
-        where a rule is broken."""
+        """Weighted service: 0.5 total, 0.3 worst window, 0.1 each worst product and customer.
+
+        0 if a rule was broken.
+        """
         if not self.kept:
             return 0.0
         return (
@@ -123,29 +127,29 @@
         )
 
 
-def worth(product: ProductKeys, falls: RevenueDecay, took: np.ndarray) -> np.ndarray:
-    """The share of its revenue that a text brings which is delivered after `took` ticks; negative: never."""
+def revenue_share(product: ProductKeys, falls: RevenueDecay, delivery_time: np.ndarray) -> np.ndarray:
+    """Returns the share of a text's revenue by its delivery time in ticks (negative: not delivered)."""
     sla, until = product.sla_time, product.validity_period
-    late = np.maximum(0, took - sla)
+    late = np.maximum(0, delivery_time - sla)
     if falls is RevenueDecay.HALVES:
         share = np.maximum(product.late_share, 0.5 ** (late / max(1, sla)))
     else:
         share = 1 - (1 - product.late_share) * np.minimum(1, late / max(1, until - sla))
-    return np.where((took < 0) | (took > until), 0.0, np.where(late > 0, share, 1.0))
+    return np.where((delivery_time < 0) | (delivery_time > until), 0.0, np.where(late > 0, share, 1.0))
 
 
 class Collector:
-    """Takes a record's events in order."""
+    """Collects the events of a record, in their order, for the figures."""
 
     def __init__(self, head: rec.Head) -> None:
         self.head, self.scenario = head, msgspec.convert(head.scenario, Scenario)
-        self.firsts: dict[rec.TextId, int] = {}
-        self.came: list[int] = []
+        self.place_by_first: dict[rec.TextId, int] = {}
+        self.arrived_at: list[int] = []
         self.product: list[int] = []
         self.customer: list[int] = []
         self.delivered: list[int] = []
         self.ends: list[str] = []
-        self.texts: dict[rec.TextId, int] = {}  # handed in, not over -> its first's place
+        self.texts: dict[rec.TextId, int] = {}  # id of each submission -> index of its first one
         self.calls: dict[int, tuple[rec.Called, int]] = {}
         self.call_count = self.missed = 0
         self.fates: Counter[str] = Counter()
@@ -162,39 +166,44 @@
         self.now, self.whole = 0, False
 
     def take(self, event: rec.AnyEvent) -> None:
+        """Collects the next event."""
         self.now = event.at
         handler = HANDLERS.get(type(event))
         if handler is not None:
             handler(self, event)
 
-    def handed(self, event: rec.Submitted) -> None:
-        place = self.firsts.get(event.first)
-        if place is None:
-            place = self.firsts[event.first] = len(self.came)
-            self.came.append(event.at)
+    def submitted(self, event: rec.Submitted) -> None:
+        """A client submitted a text."""
+        index = self.place_by_first.get(event.first)
+        if index is None:
+            index = self.place_by_first[event.first] = len(self.arrived_at)
+            self.arrived_at.append(event.at)
             self.product.append(event.product)
             self.customer.append(event.customer)
             self.delivered.append(PENDING)
             self.ends.append("not taken")
-        self.texts[event.text] = place
+        self.texts[event.text] = index
 
     def answered(self, event: rec.Answered) -> None:
-        place = self.texts.get(event.text)
-        if place is None:
+        """A client received its answer, or none."""
+        index = self.texts.get(event.text)
+        if index is None:
             return
         if event.answer == Answer.TAKEN:
             self.held += 1
             self.taken.add(event.text)
             self.held_at[event.at // SECOND] = self.held
-            self.ends[place] = "held"
-        elif self.ends[place] != "delivered":
-            self.ends[place] = Answer(event.answer).name.lower()
+            self.ends[index] = "held"
+        elif self.ends[index] != "delivered":
+            self.ends[index] = Answer(event.answer).name.lower()
 
     def called(self, event: rec.Called) -> None:
+        """A call arrived at a host."""
         self.call_count += 1
         self.calls[event.call] = (event, event.at)
 
     def responded(self, event: rec.Responded) -> None:
+        """A host answered a call."""
         found = self.calls.pop(event.call, None)
         if found is None:
             return
@@ -207,110 +216,127 @@
             name = Fate(fate).name.lower()
             self.fates[name] += 1
             counter[name] += 1
-            if fate == Fate.DELIVERED and (place := self.texts.get(text)) is not None:
-                if self.delivered[place] < 0:
-                    self.delivered[place] = event.heard
-                self.ends[place] = "delivered"
-                self._over(text, event.at)
+            if fate == Fate.DELIVERED and (index := self.texts.get(text)) is not None:
+                if self.delivered[index] < 0:
+                    self.delivered[index] = event.heard
+                self.ends[index] = "delivered"
+                self._mark_finished(text, event.at)
 
-    def _over(self, text: rec.TextId, at: int) -> None:
+    def _mark_finished(self, text: rec.TextId, at: int) -> None:
         if text in self.taken:
             self.taken.discard(text)
             self.held -= 1
             self.held_at[at // SECOND] = self.held
 
     def gave_up(self, event: rec.GaveUp) -> None:
+        """A relay stopped waiting for a call's answer."""
         if (found := self.calls.pop(event.call, None)) is not None:
             self.fates["given up"] += len(found[0].texts)
             self.fates_at.setdefault(event.at // SECOND, Counter())["given up"] += len(found[0].texts)
 
     def noticed(self, event: rec.NoticeAnswered) -> None:
-        place = self.texts.get(event.text)
-        if place is not None and self.ends[place] != "delivered":
-            self.ends[place] = "nacked" if event.nacked else "undeliverable"
-        self._over(event.text, event.at)
+        """The platform acknowledged a notice."""
+        index = self.texts.get(event.text)
+        if index is not None and self.ends[index] != "delivered":
+            self.ends[index] = "nacked" if event.nacked else "undeliverable"
+        self._mark_finished(event.text, event.at)
 
     def host(self, event: rec.Host) -> None:
+        """A host was added."""
         self.hosts[event.host] = event
 
-    def _span(self, kind: str, subject: str, at: int, what: str | None) -> None:
-        """Something of a subject changes: what was so ends, what is so now begins."""
+    def _switch_interval(self, kind: str, subject: str, at: int, what: str | None) -> None:
+        """Ends the subject's open interval of this kind, and begins the next one unless `what` is None."""
         before = self.open.pop((kind, subject), None)
         if before is not None:
             self.intervals[kind].append(Interval(subject, before[1], before[0] / SECOND, at / SECOND))
         if what is not None:
             self.open[kind, subject] = (at, what)
 
-    def state(self, event: rec.ConditionChanged) -> None:
+    def condition_changed(self, event: rec.ConditionChanged) -> None:
+        """A host's condition changed."""
         condition = Condition(event.condition)
-        well = condition in (Condition.WELL, Condition.GONE)
-        self._span(
-            "conditions", self.hosts[event.host].name, event.at, None if well else condition.name.lower()
+        is_normal = condition in (Condition.WELL, Condition.GONE)
+        self._switch_interval(
+            "conditions", self.hosts[event.host].name, event.at, None if is_normal else condition.name.lower()
         )
 
-    def believes(self, event: rec.BeliefChanged) -> None:
+    def belief_changed(self, event: rec.BeliefChanged) -> None:
+        """A relay changed its view of a host, by the first word of its log text."""
         host = self.hosts.get(event.host)
         subject = f"{host.name if host else event.host} at relay {event.relay}"
         word = event.message.partition(":")[0].split()[0]
-        known = {"sick": "sick", "back": "warming", "warm": None}
-        if word in known:
-            self._span("beliefs", subject, event.at, known[word])
+        conditions_by_word = {"sick": "sick", "back": "warming", "warm": None}
+        if word in conditions_by_word:
+            self._switch_interval("beliefs", subject, event.at, conditions_by_word[word])
 
     def fault(self, event: rec.Fault) -> None:
+        """A fault began or ended."""
         what = self.scenario.faults[event.number].what.value
-        self._span("faults", f"{event.number}: {what}", event.at, what if event.on else None)
+        self._switch_interval("faults", f"{event.number}: {what}", event.at, what if event.on else None)
 
     def relay(self, event: rec.Relay) -> None:
+        """A relay started or stopped."""
         if event.what in ("killed", "wiped", "stopping"):
-            self._span("conditions", f"relay {event.relay}", event.at, event.what)
+            self._switch_interval("conditions", f"relay {event.relay}", event.at, event.what)
         elif event.what == "ready":
-            self._span("conditions", f"relay {event.relay}", event.at, None)
-        if event.what in ("killed", "wiped", "ended"):  # a new process believes nothing
+            self._switch_interval("conditions", f"relay {event.relay}", event.at, None)
+        if event.what in ("killed", "wiped", "ended"):  # a new process has no view of any host
             for kind, subject in [each for each in self.open if each[1].endswith(f" at relay {event.relay}")]:
-                self._span(kind, subject, event.at, None)
+                self._switch_interval(kind, subject, event.at, None)
 
-    def missed_(self, event: rec.CallFailed) -> None:
+    def call_failed(self, event: rec.CallFailed) -> None:
+        """A call failed."""
         self.missed += 1
 
-    def gauge(self, event: rec.ResourceUsage) -> None:
+    def resource_usage(self, event: rec.ResourceUsage) -> None:
+        """A relay's memory, descriptors and CPU time were measured."""
         second = event.at // SECOND
         self.memory[second] = max(self.memory.get(second, 0), event.memory)
         self.descriptors[second] = max(self.descriptors.get(second, 0), event.descriptors)
         self.cpu.setdefault(event.relay, []).append(event.cpu)
 
-    def was_late(self, event: rec.StageLate) -> None:
+    def stage_late(self, event: rec.StageLate) -> None:
+        """The stage itself was late."""
         self.late.setdefault(event.who, []).append(event.by)
 
-    def over(self, event: rec.RunEnded) -> None:
+    def run_ended(self, event: rec.RunEnded) -> None:
+        """The run ended."""
         self.whole = event.whole
 
-    # The sum of it.
+    # Results.
 
     def figures(self, checker: Checker) -> Figures:
-        """What it came to; the checker has seen the same events."""
+        """Returns the figures; the checker must have seen the same events."""
         scenario, head = self.scenario, self.head
         for kind, subject in list(self.open):
-            self._span(kind, subject, self.now, None)
-        came = np.array(self.came, dtype=np.int64)
+            self._switch_interval(kind, subject, self.now, None)
+        arrived_at = np.array(self.arrived_at, dtype=np.int64)
         product, customer = np.array(self.product, dtype=int), np.array(self.customer, dtype=int)
         delivered = np.array(self.delivered, dtype=np.int64)
-        took = np.where(delivered < 0, PENDING, delivered - came)
-        asked, earned, in_sla = np.zeros(len(came)), np.zeros(len(came)), np.zeros(len(came), dtype=bool)
+        delivery_time = np.where(delivered < 0, PENDING, delivered - arrived_at)
+        asked, earned, in_sla = (
+            np.zeros(len(arrived_at)),
+            np.zeros(len(arrived_at)),
+            np.zeros(len(arrived_at), dtype=bool),
+        )
         for at, row in enumerate(scenario.products):
-            mine = product == at
-            asked[mine] = row.revenue
-            earned[mine] = row.revenue * worth(row, scenario.revenue.falls, took[mine])
-            in_sla[mine] = (took[mine] >= 0) & (took[mine] <= row.sla_time)
-        counts = came >= scenario.scenario.warm_up
-        worst, worst_at = self._worst(came[counts], asked[counts], earned[counts])
+            selected = product == at
+            asked[selected] = row.revenue
+            earned[selected] = row.revenue * revenue_share(
+                row, scenario.revenue.falls, delivery_time[selected]
+            )
+            in_sla[selected] = (delivery_time[selected] >= 0) & (delivery_time[selected] <= row.sla_time)
+        measured = arrived_at >= scenario.scenario.warm_up
+        worst, worst_at = self._worst_window(arrived_at[measured], asked[measured], earned[measured])
         products = parts(
-            [row.name for row in scenario.products], product[counts], asked[counts], earned[counts]
+            [row.name for row in scenario.products], product[measured], asked[measured], earned[measured]
         )
         customers = parts(
-            [row.name for row in scenario.customers], customer[counts], asked[counts], earned[counts]
+            [row.name for row in scenario.customers], customer[measured], asked[measured], earned[measured]
         )
-        total = max(1, int(counts.sum()))
-        reached = took[counts & (took >= 0)] / 10
+        total = max(1, int(measured.sum()))
+        latencies = delivery_time[measured & (delivery_time >= 0)] / 10
         cpu = sum(max(each) - min(each) for each in self.cpu.values())
         return Figures(
             scenario=scenario.scenario.name,
@@ -318,23 +344,27 @@
             subject=head.subject,
             seed=head.seed,
             build=head.build,
-            texts=int(counts.sum()),
-            service=float(earned[counts].sum() / max(1e-9, asked[counts].sum())) if len(came) else 1.0,
+            texts=int(measured.sum()),
+            service=float(earned[measured].sum() / max(1e-9, asked[measured].sum()))
+            if len(arrived_at)
+            else 1.0,
             worst_window=worst,
             worst_window_at=worst_at,
-            sla_share=float(in_sla[counts].sum() / total),
-            latency={f"p{each:g}": float(np.percentile(reached, each)) for each in PERCENTILES}
-            if len(reached)
+            sla_share=float(in_sla[measured].sum() / total),
+            latency={f"p{each:g}": float(np.percentile(latencies, each)) for each in PERCENTILES}
+            if len(latencies)
             else {},
-            ends=dict(Counter(each for each, counted in zip(self.ends, counts, strict=True) if counted)),
+            ends=dict(
+                Counter(each for each, is_measured in zip(self.ends, measured, strict=True) if is_measured)
+            ),
             calls=self.call_count,
-            calls_a_text=self.call_count / max(1, len(came)),
+            calls_a_text=self.call_count / max(1, len(arrived_at)),
             fates=dict(self.fates),
             missed=self.missed,
             doubles=checker.repeat_effects,
             products=products,
             customers=customers,
-            seconds=self._seconds(came, asked, earned, took),
+            seconds=self._seconds(arrived_at, asked, earned, delivery_time),
             faults=self.intervals["faults"],
             conditions=self.intervals["conditions"],
             beliefs=self.intervals["beliefs"],
@@ -342,46 +372,53 @@
             breach_lines=[line for breach in checker.breaches[:10] for line in breach.lines()],
             memory=max(self.memory.values(), default=0),
             descriptors=max(self.descriptors.values(), default=0),
-            cpu_a_text=cpu / max(1, len(came)),
+            cpu_a_text=cpu / max(1, len(arrived_at)),
             late={who: float(np.percentile(each, 99)) / 10 for who, each in sorted(self.late.items())},
             whole=self.whole,
             worst_product=min((each.service for each in products if each.texts), default=1.0),
             worst_customer=min((each.service for each in customers if each.texts), default=1.0),
         )
 
-    def _worst(self, came: np.ndarray, asked: np.ndarray, earned: np.ndarray) -> tuple[float, float]:
-        """The worst window's service, and when it begins, in seconds."""
+    def _worst_window(
+        self, arrived_at: np.ndarray, asked: np.ndarray, earned: np.ndarray
+    ) -> tuple[float, float]:
+        """Returns the lowest service of any window, and when that window begins, in seconds."""
         found, at = 1.0, 0.0
-        if not len(came):
+        if not len(arrived_at):
             return found, at
-        order = np.argsort(came, kind="stable")
-        came, asked, earned = came[order], np.cumsum(asked[order]), np.cumsum(earned[order])
+        order = np.argsort(arrived_at, kind="stable")
+        arrived_at, asked, earned = arrived_at[order], np.cumsum(asked[order]), np.cumsum(earned[order])
         asked, earned = np.concatenate([[0], asked]), np.concatenate([[0], earned])
-        last = max(0, int(came[-1]) - WINDOW)
-        for begin in range(int(came[0]), last + 1, WINDOW_STEP):
-            low, high = np.searchsorted(came, [begin, begin + WINDOW])
-            if high - low >= LEAST_IN_WINDOW:
+        last = max(0, int(arrived_at[-1]) - WINDOW_LENGTH)
+        for begin in range(int(arrived_at[0]), last + 1, WINDOW_STEP):
+            low, high = np.searchsorted(arrived_at, [begin, begin + WINDOW_LENGTH])
+            if high - low >= MIN_WINDOW_TEXTS:
                 service = (earned[high] - earned[low]) / (asked[high] - asked[low])
                 if service < found:
                     found, at = float(service), begin / SECOND
         return found, at
 
     def _seconds(
-        self, came: np.ndarray, asked: np.ndarray, earned: np.ndarray, took: np.ndarray
+        self, arrived_at: np.ndarray, asked: np.ndarray, earned: np.ndarray, delivery_time: np.ndarray
     ) -> list[Second]:
+        """Returns the figures of each second of the run."""
         count = int(self.now // SECOND) + 1
         rows = [Second() for _ in range(count)]
-        second = came // SECOND
+        second = arrived_at // SECOND
         order = np.argsort(second, kind="stable")
         edges = np.searchsorted(second[order], np.arange(count + 1))
         held = 0
         for at, row in enumerate(rows):
-            mine = order[edges[at] : edges[at + 1]]
-            row.texts, row.asked, row.earned = len(mine), float(asked[mine].sum()), float(earned[mine].sum())
-            reached = took[mine]
-            reached = reached[reached >= 0] / 10
-            if len(reached):
-                row.p50, row.p99 = (float(each) for each in np.percentile(reached, (50, 99)))
+            selected = order[edges[at] : edges[at + 1]]
+            row.texts, row.asked, row.earned = (
+                len(selected),
+                float(asked[selected].sum()),
+                float(earned[selected].sum()),
+            )
+            latencies = delivery_time[selected]
+            latencies = latencies[latencies >= 0] / 10
+            if len(latencies):
+                row.p50, row.p99 = (float(each) for each in np.percentile(latencies, (50, 99)))
             row.held = held = self.held_at.get(at, held)
             row.memory, row.descriptors = self.memory.get(at, 0), self.descriptors.get(at, 0)
             row.fates = dict(self.fates_at.get(at, {}))
@@ -390,35 +427,37 @@
 
 
 HANDLERS = {
-    rec.Submitted: Collector.handed,
+    rec.Submitted: Collector.submitted,
     rec.Answered: Collector.answered,
     rec.Called: Collector.called,
     rec.Responded: Collector.responded,
     rec.GaveUp: Collector.gave_up,
     rec.NoticeAnswered: Collector.noticed,
     rec.Host: Collector.host,
-    rec.ConditionChanged: Collector.state,
-    rec.BeliefChanged: Collector.believes,
+    rec.ConditionChanged: Collector.condition_changed,
+    rec.BeliefChanged: Collector.belief_changed,
     rec.Fault: Collector.fault,
     rec.Relay: Collector.relay,
-    rec.CallFailed: Collector.missed_,
-    rec.ResourceUsage: Collector.gauge,
-    rec.StageLate: Collector.was_late,
-    rec.RunEnded: Collector.over,
+    rec.CallFailed: Collector.call_failed,
+    rec.ResourceUsage: Collector.resource_usage,
+    rec.StageLate: Collector.stage_late,
+    rec.RunEnded: Collector.run_ended,
 }
 
 
 def parts(names: list[str], number: np.ndarray, asked: np.ndarray, earned: np.ndarray) -> list[Part]:
-    """Each product's or customer's share."""
+    """Returns the figures of each product or customer."""
     found = []
     for at, name in enumerate(names):
-        mine = number == at
-        found.append(Part(name, int(mine.sum()), float(asked[mine].sum()), float(earned[mine].sum())))
+        selected = number == at
+        found.append(
+            Part(name, int(selected.sum()), float(asked[selected].sum()), float(earned[selected].sum()))
+        )
     return found
 
 
 def judge(head: rec.Head, events: Iterable[rec.AnyEvent]) -> tuple[Figures, Checker]:
-    """Figures and breaches of a run, in one pass over its events."""
+    """Computes figures and breaches of a run, in one pass over its events."""
     collector, checker = Collector(head), Checker(head)
     for event in events:
         collector.take(event)
@@ -427,6 +466,6 @@
 
 
 def figures_of(source) -> Figures:
-    """The figures of a record in a file."""
+    """Computes the figures of a record in a file. Raises RecordError if it is no record."""
     reader = rec.Reader(source)
     return judge(reader.head, reader)[0]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,7 +20,7 @@
 from limelatch.interface import SECOND
 from limelatch.lab import record as rec
 from limelatch.lab.experiments import Plan, run_one, seeds_of, with_value
-from limelatch.lab.figures import figures_of, worth
+from limelatch.lab.figures import figures_of, revenue_share
 from limelatch.lab.record import Condition, Fate
 from limelatch.lab.report.compare import compare, paired, verdict
 from limelatch.lab.scenario import library, load, parse
@@ -377,8 +377,8 @@
 def test_what_a_late_text_is_worth():
     product = ProductKeys(name="x", sla_time=10, validity_period=30, late_share=0.4)
     took = np.array([-1, 0, 10, 20, 30, 31])
-    assert worth(product, RevenueDecay.LINE, took).tolist() == pytest.approx([0, 1, 1, 0.7, 0.4, 0])
-    assert worth(product, RevenueDecay.HALVES, took).tolist() == pytest.approx([0, 1, 1, 0.5, 0.4, 0])
+    assert revenue_share(product, RevenueDecay.LINE, took).tolist() == pytest.approx([0, 1, 1, 0.7, 0.4, 0])
+    assert revenue_share(product, RevenueDecay.HALVES, took).tolist() == pytest.approx([0, 1, 1, 0.5, 0.4, 0])
 
 
 def test_a_comparison_says_better_worse_or_nothing():
