--- a/limelatch/lab/stages/__init__.py
+++ b/limelatch/lab/stages/__init__.py
@@ -1,1 +1,1 @@
-"""Stages for a scenario: `fleet` (decision modules alone, virtual time), `sockets` (processes, real time)."""
+"""Stages that run a scenario: `fleet` (decision modules in virtual time), `sockets` (real processes)."""
--- a/limelatch/lab/stages/errors.py
+++ b/limelatch/lab/stages/errors.py
@@ -1,5 +1,5 @@
-"""What ends a stage before its time."""
+"""Errors that abort a stage."""
 
 
 class StageError(Exception):
-    """The stage can't go on; it says why."""
+    """The stage can't continue, for the reason in its message."""
--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -33,14 +33,14 @@
     Finish,
     Heartbeat,
     Nacked,
-    Order,
+    StageMessage,
     Progressed,
     Ready,
     TextMark,
     Wiped,
     body_of,
-    line_of,
-    read_order,
+    encode_line,
+    read_stage_message,
 )
 from limelatch.lab.world.random_streams import RandomStreams
 from limelatch.lab.world.clients import Arrival, Arrivals, ClientBehavior
@@ -247,7 +247,7 @@
             else:
                 del self.keys[coming.key]
 
-    def order(self, order: Order) -> bool:
+    def order(self, order: StageMessage) -> bool:
         """What the stage tells; False when it is over."""
         if isinstance(order, Nacked):
             coming = self.held.pop(order.text, None)
@@ -285,18 +285,18 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
     def say(message) -> None:
-        sys.stdout.buffer.write(line_of(message))
+        sys.stdout.buffer.write(encode_line(message))
         sys.stdout.buffer.flush()
 
-    load = Load(read_order(await reader.readline()), say)
+    load = Load(read_stage_message(await reader.readline()), say)
     say(Ready())
-    load.origin = read_order(await reader.readline()).origin
+    load.origin = read_stage_message(await reader.readline()).origin
     beat = Heartbeat(lambda by: load.writer.add(rec.StageLate(load.now(), "load's loop", by)))
     running = loop.create_task(load.run())
     news = loop.create_task(tell(load, say))
     try:
         while line := await reader.readline():
-            if not load.order(read_order(line)):
+            if not load.order(read_stage_message(line)):
                 break
     finally:
         beat.stop()
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -59,15 +59,15 @@
     Go,
     Heartbeat,
     Nacked,
-    NotOurs,
+    ForeignText,
     Progressed,
     RealClock,
     Wiped,
-    line_of,
+    encode_line,
     read_body,
-    read_news,
+    read_load_message,
 )
-from limelatch.lab.stages.terms import idle_time, terms_of
+from limelatch.lab.stages.terms import idle_time, policy_settings_of
 from limelatch.lab.world.endpoint import Endpoint, Reply, Route, WorldCall, WorldText
 from limelatch.lab.world.world import World
 from limelatch.standin.agent import AgentFace, Notice, Row
@@ -143,7 +143,7 @@
         for item in call.items:
             try:
                 mark = read_body(item.body, stage.address.host)
-            except NotOurs as error:
+            except ForeignText as error:
                 connection.answer(400)
                 stage.foreign_call(endpoint, str(error))
                 return
@@ -500,7 +500,7 @@
             limit=1 << 24,
         )
         self.load.stdin.write(
-            line_of(
+            encode_line(
                 Begin(
                     msgspec.to_builtins(self.scenario),
                     self.seed,
@@ -513,7 +513,7 @@
         async with asyncio.timeout(READY_WAIT):
             await self.load.stdout.readline()  # it is ready
         self.clock.origin = time.monotonic() + HEAD_START
-        self.load.stdin.write(line_of(Go(self.clock.origin)))
+        self.load.stdin.write(encode_line(Go(self.clock.origin)))
         for relay in range(len(self.relays)):
             self.writer.add(rec.Relay(0, relay, "ready"))
         self.begin()
@@ -536,7 +536,7 @@
             beat.stop()
             if self.load.returncode is None:
                 with contextlib.suppress(ConnectionError, TimeoutError):
-                    self.load.stdin.write(line_of(Finish()))
+                    self.load.stdin.write(encode_line(Finish()))
                     await asyncio.wait_for(self.load.wait(), 5)
 
     def owed(self) -> int:
@@ -551,7 +551,7 @@
 
     async def _hear_load(self) -> None:
         async for line in self.load.stdout:
-            news = read_news(line)
+            news = read_load_message(line)
             if isinstance(news, Progressed):
                 self.progress(news.part)
                 self.load_done = False
@@ -615,11 +615,11 @@
         nacked, wait = notice.result == "bounced", (notice.wait_ms or 0) * MS
         self.writer.add(rec.NoticeAnswered(self.clock.now(), relay, notice.text, nacked, wait))
         if nacked and self.load is not None and self.load.returncode is None:
-            self.load.stdin.write(line_of(Nacked(notice.text, wait)))
+            self.load.stdin.write(encode_line(Nacked(notice.text, wait)))
 
     def wiped(self, relay: int) -> None:
         if self.load is not None and self.load.returncode is None:
-            self.load.stdin.write(line_of(Wiped(relay, list(self.ran_at))))
+            self.load.stdin.write(encode_line(Wiped(relay, list(self.ran_at))))
 
     # What the world tells.
 
@@ -647,8 +647,8 @@
         if endpoint.number in self.doors:
             self.doors[endpoint.number].reachable()
 
-    def route_overloaded(self, route: Route, bore: float, load: dict[int, int]) -> None:
-        self.writer.add(rec.RouteOverloaded(self.clock.now(), route.number, bore, load))
+    def route_overloaded(self, route: Route, max_load: float, load: dict[int, int]) -> None:
+        self.writer.add(rec.RouteOverloaded(self.clock.now(), route.number, max_load, load))
 
     def listed(self, endpoint: Endpoint, listing: Listing) -> None:
         self.spawn(self._listed(endpoint, listing))
@@ -713,7 +713,7 @@
             state=state,
             name=f"relay-{relay}",
             relays=keys.count,
-            seed=f"{terms_of(scenario, seed, relay, 0).seed & (1 << 64) - 1:x}",
+            seed=f"{policy_settings_of(scenario, seed, relay, 0).seed & (1 << 64) - 1:x}",
         ),
         catalog=CatalogTable(address=agent, rates=scenario.catalog.rates),
         log=Log(form=LogForm.JSON),
--- a/limelatch/lab/stages/terms.py
+++ b/limelatch/lab/stages/terms.py
@@ -1,4 +1,4 @@
-"""What relays are told of a scenario: the module's terms, and a configuration for the program."""
+"""Derives the decision module's settings from a scenario."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def products_of(scenario: Scenario) -> list[li.Product]:
+    """Returns the scenario's products for the decision module."""
     return [
         li.Product(
             effect=row.effect,
@@ -27,13 +28,13 @@
 
 
 def idle_time(scenario: Scenario) -> int:
-    """After which hosts close an idle connection: the shortest among the partners."""
+    """Returns the shortest time, in ticks, after which any partner closes an idle connection."""
     groups: list[PartnerKeys] = scenario.partners
     return min(group.idle_time for group in groups)
 
 
-def terms_of(scenario: Scenario, seed: int, relay: int, start: int) -> li.PolicySettings:
-    """What the module of one relay is told at its start; `start` counts its starts."""
+def policy_settings_of(scenario: Scenario, seed: int, relay: int, start: int) -> li.PolicySettings:
+    """Returns the settings of one relay's decision module; `start` counts the relay's starts."""
     relays, rules = scenario.relays, scenario.rules
     return li.PolicySettings(
         seed=zlib.crc32(f"{seed} {relay} {start}".encode()) << 16 | 1,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -130,7 +130,7 @@
     def condition(self, endpoint, condition):
         self.conditions.append((endpoint.name, condition))
 
-    def route_overloaded(self, route, bore, load):
+    def route_overloaded(self, route, max_load, load):
         self.falls.append((route.number, load))
 
     def host(self, endpoint):
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -1,4 +1,4 @@
-"""Plays of the sockets stage beside each other: each has an address, ports and texts of its own."""
+"""Concurrent runs of the sockets stage: each has its own address, ports and texts."""
 
 import asyncio
 import os
@@ -12,20 +12,20 @@
 
 from limelatch.lab import record as rec
 from limelatch.lab.scenario import parse
-from limelatch.lab.stages.address import FIRST_PORT, LAST_PORT, PlayAddress, PortsUsedUp
-from limelatch.lab.stages.real import NotOurs, TextMark, body_of, read_body
+from limelatch.lab.stages.address import FIRST_PORT, LAST_PORT, PlayAddress, PortsExhausted
+from limelatch.lab.stages.real import ForeignText, TextMark, body_of, read_body
 from limelatch.lab.stages.sockets import Doors, Sockets
 from limelatch.standin.host import Call, Item
 
 MARK = TextMark(1, "t7", 2, "127.64.0.9")
 
 
-def test_no_two_processes_have_one_address_and_none_has_the_usual_one():
+def test_each_process_has_its_own_address_outside_the_usual_loopback_ones():
     found = {PlayAddress(process).host for process in (1, 2, 255, 256, 65_535, 65_536, 4_194_303)}
     assert len(found) == 7 and not any(host.startswith(("127.0.", "127.1.")) for host in found)
 
 
-def test_a_port_is_handed_out_once_and_none_that_somebody_listens_at():
+def test_a_port_is_assigned_only_once_and_only_if_nothing_listens_on_it():
     address = PlayAddress()
     with socket.socket() as busy:
         busy.bind((address.host, FIRST_PORT + 1))
@@ -33,12 +33,12 @@
         ports = [address.port() for _ in range(3)]
     assert ports == [FIRST_PORT, FIRST_PORT + 2, FIRST_PORT + 3]
     address._next_port = LAST_PORT
-    with pytest.raises(PortsUsedUp):
+    with pytest.raises(PortsExhausted):
         address.port()
 
 
-def test_an_outgoing_connection_takes_no_port_of_the_address():
-    """A port that a party has freed stays free for its return, however many connections go out meanwhile."""
+def test_an_outgoing_connection_takes_no_assignable_port():
+    """A port that a process has freed stays free for its restart, however many connections go out."""
     address = PlayAddress()
     with socket.socket() as server:
         server.bind((address.host, address.port()))
@@ -60,14 +60,14 @@
         b"\xff\xfe 2 3 4\n",
     ],
 )
-def test_a_body_of_another_play_or_of_none_is_not_ours(body):
+def test_the_body_of_another_run_or_of_none_is_rejected(body):
     assert read_body(body_of(MARK, 200), MARK.play) == MARK
-    with pytest.raises(NotOurs):
+    with pytest.raises(ForeignText):
         read_body(body, MARK.play)
 
 
-class Answered:
-    """A connection that keeps what it is answered."""
+class RecordingConnection:
+    """A connection that records the statuses of its answers."""
 
     def __init__(self):
         self.open, self.statuses = True, []
@@ -76,13 +76,13 @@
         self.statuses.append(status)
 
 
-def test_a_call_of_another_play_is_refused_counted_and_told_and_nothing_is_judged_by_it(tmp_path):
+def test_a_call_of_another_run_is_refused_counted_and_recorded_as_foreign_only(tmp_path):
     scenario, target = parse("short", SHORT), tmp_path / f"play{rec.SUFFIX}"
 
     async def play():
         writer = rec.Writer(target, rec.Head(rec.VERSION, "sockets", 1, {}, ""))
         stage = Sockets(scenario, 1, writer, tmp_path, tmp_path / "part", lambda part: None)
-        doors, connection = Doors(stage.world.endpoints[0], stage), Answered()
+        doors, connection = Doors(stage.world.endpoints[0], stage), RecordingConnection()
         for play in ("127.64.0.9", stage.address.host):
             mark = TextMark(0, "t1", 0, play)
             doors.called(0, Call([Item("t1", "", body_of(mark, 60))], False, 0.0, 0.0, connection))
@@ -93,11 +93,11 @@
     events = [event for event in rec.Reader(target) if isinstance(event, (rec.Called, rec.ForeignCall))]
     assert connection.statuses[0] == 400 and stage.foreign == 1 and stage.calls == 1
     assert [type(event) for event in events] == [rec.ForeignCall, rec.Called]
-    assert events[0].why == "a text of the play at 127.64.0.9"
+    assert events[0].why == "a text of the run at 127.64.0.9"
 
 
-def test_two_plays_at_once_keep_to_themselves(tmp_path):
-    """Both use the same names of texts; a relay of each is killed and comes back at its port."""
+def test_two_runs_at_once_do_not_interfere(tmp_path):
+    """Both use the same text ids; relays of each are killed and restart on their ports."""
     text = SHORT.replace('"8s"', '"3s"') + '[[faults]]\nwhat = "kill"\nat = "1s"\nrelays = [0, 1]\n'
     path = tmp_path / "kills.toml"
     path.write_text(text)
