--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -1,7 +1,7 @@
-"""The load of the sockets stage, in a process of its own: it hands in a scenario's texts by the clock.
+"""The load of the sockets stage: a process that submits a scenario's texts in real time.
 
-Started by the stage, which speaks to it over its standard streams, a line a message. It writes its own part
-of the record. Open loop: a text goes when it is due, however many wait for their answers.
+The stage starts it and exchanges messages with it over its standard streams, one per line. It writes its own
+part of the record. The loop is open: a text is sent when it is due, however many wait for their answers.
 """
 
 from __future__ import annotations
@@ -52,18 +52,18 @@
     Ending.SILENT: Answer.SILENT,
     Ending.LOST: Answer.LOST,
 }
-CONNECTIONS = 256  # to each relay, at most
-NOBODY = 100 * MS  # until a text that found no relay is handed in again
-NEWS_EACH = 0.2  # seconds
-YIELD_EACH = 4  # texts that are due already, before others have their turn
-LATE_EACH = 8  # one text in so many tells how late it was sent
-HANDED_ON = (500 * MS, 1800 * MS)
-REMEMBER = 60 * SECOND
+MAX_CONNECTIONS = 256  # to each relay
+NO_RELAY_DELAY = 100 * MS  # ticks until a text that found no relay is submitted again
+PROGRESS_INTERVAL = 0.2  # seconds between two reports to the stage
+YIELD_INTERVAL = 4  # texts that are due, between two yields to the event loop
+DELAY_SAMPLING = 8  # the delay of one text in so many is recorded
+RESUBMIT_DELAYS = (500 * MS, 1800 * MS)  # ticks until the texts of a lost relay are resubmitted
+RETENTION_TIME = 60 * SECOND  # ticks for which a text is kept after its validity period
 
 
 @dataclass(slots=True, eq=False)
-class Coming:
-    """One handing in of a text."""
+class Submission:
+    """One submission of a text."""
 
     id: str
     first: str
@@ -75,15 +75,15 @@
     tries: int
     relay: int
     due: int
-    lost: int = 0  # times that no relay was there
+    failed_attempts: int = 0  # times that no relay was there
 
 
 class Load:
-    """All clients of a run."""
+    """All clients of a run, and their part of the record."""
 
-    def __init__(self, begin: Begin, say) -> None:
+    def __init__(self, begin: Begin, send) -> None:
         self.scenario = msgspec.convert(begin.scenario, Scenario)
-        self.origin, self.say, self.play = math.inf, say, begin.play
+        self.origin, self.send, self.play = math.inf, send, begin.play
         self.loop = asyncio.get_running_loop()
         head = rec.Head(rec.VERSION, STAGE, begin.seed, begin.scenario, "", allowances=ALLOWANCES)
         self.writer = rec.Writer(begin.target, head)
@@ -91,36 +91,37 @@
         self.pools = []
         for address in begin.relays:
             host, _, port = address.partition(":")
-            self.pools.append(Pool(host, int(port), CONNECTIONS, wait))
-        self.texts = drawn(Arrivals(self.scenario, begin.seed))
+            self.pools.append(Pool(host, int(port), MAX_CONNECTIONS, wait))
+        self.texts = pregenerated(Arrivals(self.scenario, begin.seed))
         self.client_behavior = ClientBehavior(self.scenario, begin.seed)
         self.random_streams = RandomStreams(begin.seed)
-        self.count = self.open = self.taken = 0
-        self.all_came = False
+        self.count = self.pending_retries = self.accepted_count = 0
+        self.all_submitted = False
         self.tasks: set[asyncio.Task] = set()
-        self.keys: dict[int, deque[Coming]] = {}
-        self.held: dict[str, Coming] = {}  # taken on, by id, until nobody asks for it any more
-        self.over: list[tuple[int, str]] = []
+        self.keys: dict[int, deque[Submission]] = {}
+        self.accepted: dict[str, Submission] = {}  # by id, until the retention time is over
+        self.expiries: list[tuple[int, str]] = []
         self.names = [row.name for row in self.scenario.products]
         self.customers = [row.name for row in self.scenario.customers]
 
     def now(self) -> int:
+        """Returns the time in ticks since the origin."""
         return int(max(0.0, time.monotonic() - self.origin) * SECOND)
 
     async def run(self) -> None:
-        """Hand in every text when it is due."""
+        """Submits every text when it is due."""
         await asyncio.sleep(max(0.0, self.origin - time.monotonic()))
         for arrival in self.texts:
             ahead = arrival.at - self.now()
             if ahead > MS:
                 await asyncio.sleep(ahead / SECOND)
-            elif self.count % YIELD_EACH == 0:
+            elif self.count % YIELD_INTERVAL == 0:
                 await asyncio.sleep(0)
             self.count += 1
             first = f"t{self.count}"
             until = arrival.at + self.scenario.products[arrival.product].validity_period
-            self.hand_in(
-                Coming(
+            self.submit_text(
+                Submission(
                     first,
                     first,
                     arrival.product,
@@ -133,191 +134,206 @@
                     arrival.at,
                 )
             )
-        self.all_came = True
+        self.all_submitted = True
 
-    def hand_in(self, coming: Coming) -> None:
-        """Hand it in; those of one key in turn, each when the one before has its answer."""
-        if coming.key:
-            waiting = self.keys.setdefault(coming.key, deque())
-            waiting.append(coming)
+    def submit_text(self, submission: Submission) -> None:
+        """Submits a text; texts of one key wait until the one before has its answer."""
+        if submission.key:
+            waiting = self.keys.setdefault(submission.key, deque())
+            waiting.append(submission)
             if len(waiting) > 1:
                 return
-        self.start(coming)
+        self.start(submission)
 
-    def start(self, coming: Coming) -> None:
-        task = self.loop.create_task(self.one(coming))
+    def start(self, submission: Submission) -> None:
+        """Starts the task that submits a text."""
+        task = self.loop.create_task(self.submit_until_answered(submission))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def one(self, coming: Coming) -> None:
-        """One text, until it is taken on, nacked or given up; where a relay is not there, another."""
-        while (now := self.now()) < coming.until:
-            if coming.lost:  # a new handing in has a new id
+    async def submit_until_answered(self, submission: Submission) -> None:
+        """Submits a text until it has an answer or expires; tries the next relay after a failure."""
+        while (now := self.now()) < submission.until:
+            if submission.failed_attempts:  # each attempt has a new id
                 self.count += 1
-                coming.id = f"{coming.first}.{coming.tries}.{self.count}"
+                submission.id = f"{submission.first}.{submission.tries}.{self.count}"
             writer = self.writer
             writer.add(
                 rec.Submitted(
                     now,
-                    coming.relay,
-                    coming.id,
-                    coming.first,
-                    coming.product,
-                    coming.destination,
-                    coming.customer,
-                    str(coming.key),
-                    coming.until,
-                    coming.tries + coming.lost,
+                    submission.relay,
+                    submission.id,
+                    submission.first,
+                    submission.product,
+                    submission.destination,
+                    submission.customer,
+                    str(submission.key),
+                    submission.until,
+                    submission.tries + submission.failed_attempts,
                 )
             )
-            if self.count % LATE_EACH == 0 and not coming.lost:
-                writer.add(rec.StageLate(now, "load", max(0, now - coming.due)))
-            answer = await self.pools[coming.relay].submit(self.text_of(coming, now))
+            if self.count % DELAY_SAMPLING == 0 and not submission.failed_attempts:
+                writer.add(rec.StageLate(now, "load", max(0, now - submission.due)))
+            answer = await self.pools[submission.relay].submit(self.text_of(submission, now))
             now = self.now()
             kind = ANSWERS[answer.ending]
-            writer.add(rec.Answered(now, coming.id, kind, answer.wait_ms * MS))
+            writer.add(rec.Answered(now, submission.id, kind, answer.wait_ms * MS))
             if kind not in (Answer.LOST, Answer.SILENT):
-                self.answered(coming, kind, answer.wait_ms * MS, now)
+                self.answered(submission, kind, answer.wait_ms * MS, now)
                 break
-            coming.lost += 1
-            coming.relay = (coming.relay + 1) % len(self.pools)
-            if coming.lost % len(self.pools) == 0:
-                await asyncio.sleep(NOBODY / SECOND)
-        self.key_free(coming)
-
-    def text_of(self, coming: Coming, now: int) -> HandedText:
-        mark = TextMark(coming.product, coming.first, coming.relay, self.play)
+            submission.failed_attempts += 1
+            submission.relay = (submission.relay + 1) % len(self.pools)
+            if submission.failed_attempts % len(self.pools) == 0:
+                await asyncio.sleep(NO_RELAY_DELAY / SECOND)
+        self.release_key(submission)
+
+    def text_of(self, submission: Submission, now: int) -> HandedText:
+        """Returns the text for the client library."""
+        mark = TextMark(submission.product, submission.first, submission.relay, self.play)
         body = body_of(mark, self.scenario.clients.body)
-        customer = self.customers[coming.customer] if self.customers else ""
+        customer = self.customers[submission.customer] if self.customers else ""
         return HandedText(
-            self.names[coming.product],
-            coming.destination,
-            max(1, (coming.until - now) // MS),
+            self.names[submission.product],
+            submission.destination,
+            max(1, (submission.until - now) // MS),
             body,
             customer,
-            str(coming.key),
-            coming.first,
-            coming.id,
-            coming.tries > 0,
+            str(submission.key),
+            submission.first,
+            submission.id,
+            submission.tries > 0,
         )
 
-    def answered(self, coming: Coming, kind: Answer, wait: int, now: int) -> None:
+    def answered(self, submission: Submission, kind: Answer, wait: int, now: int) -> None:
+        """Handles a relay's answer."""
         if kind is Answer.TAKEN:
-            self.taken += 1
-            self.held[coming.id] = coming
-            heapq.heappush(self.over, (coming.until + REMEMBER, coming.id))
-            while self.over and self.over[0][0] < now:
-                self.held.pop(heapq.heappop(self.over)[1], None)
+            self.accepted_count += 1
+            self.accepted[submission.id] = submission
+            heapq.heappush(self.expiries, (submission.until + RETENTION_TIME, submission.id))
+            while self.expiries and self.expiries[0][0] < now:
+                self.accepted.pop(heapq.heappop(self.expiries)[1], None)
         elif kind is Answer.BUSY:
-            self.again(coming, wait, now)
+            self.resubmit(submission, wait, now)
 
-    def again(self, coming: Coming, told: int, now: int) -> None:
-        """A nacked text comes again after a while, if its client does so and its time lasts."""
-        wait = self.client_behavior.retry_delay(coming.tries, told)
-        if wait is not None and now + wait < coming.until:
-            self.later(coming, now + wait)
+    def resubmit(self, submission: Submission, retry_after: int, now: int) -> None:
+        """Schedules the resubmission of a nacked text, if its client retries and there is time."""
+        wait = self.client_behavior.retry_delay(submission.tries, retry_after)
+        if wait is not None and now + wait < submission.until:
+            self.schedule_resubmission(submission, now + wait)
 
-    def later(self, coming: Coming, at: int) -> None:
+    def schedule_resubmission(self, submission: Submission, at: int) -> None:
+        """Schedules a new submission of a text for time `at`."""
         self.count += 1
-        again = Coming(
-            f"{coming.first}.{coming.tries + 1}.{self.count}",
-            coming.first,
-            coming.product,
-            coming.destination,
-            coming.customer,
-            coming.key,
-            coming.until,
-            coming.tries + 1,
-            self.client_behavior.relay(coming.key),
+        resubmission = Submission(
+            f"{submission.first}.{submission.tries + 1}.{self.count}",
+            submission.first,
+            submission.product,
+            submission.destination,
+            submission.customer,
+            submission.key,
+            submission.until,
+            submission.tries + 1,
+            self.client_behavior.relay(submission.key),
             at,
         )
-        self.open += 1
-        self.loop.call_later(max(0.0, (at - self.now()) / SECOND), self._hand_in_again, again)
+        self.pending_retries += 1
+        self.loop.call_later(max(0.0, (at - self.now()) / SECOND), self._resubmit_now, resubmission)
 
-    def _hand_in_again(self, coming: Coming) -> None:
-        self.open -= 1
-        self.hand_in(coming)
+    def _resubmit_now(self, submission: Submission) -> None:
+        self.pending_retries -= 1
+        self.submit_text(submission)
 
-    def key_free(self, coming: Coming) -> None:
-        waiting = self.keys.get(coming.key)
-        if waiting and waiting[0] is coming:
+    def release_key(self, submission: Submission) -> None:
+        """Lets the next text of the key be submitted."""
+        waiting = self.keys.get(submission.key)
+        if waiting and waiting[0] is submission:
             waiting.popleft()
             if waiting:
                 self.start(waiting[0])
             else:
-                del self.keys[coming.key]
-
-    def order(self, order: StageMessage) -> bool:
-        """What the stage tells; False when it is over."""
-        if isinstance(order, Nacked):
-            coming = self.held.pop(order.text, None)
-            if coming is not None:
-                self.again(coming, order.wait, self.now())
-        elif isinstance(order, Wiped):
-            self.hand_on(order)
-        return not isinstance(order, Finish)
-
-    def hand_on(self, order: Wiped) -> None:
-        """What a lost machine held comes again to others, unless it may have run and may not be repeated."""
-        ran, now = set(order.ran), self.now()
-        low, high = HANDED_ON
-        for coming in [each for each in self.held.values() if each.relay == order.relay and each.until > now]:
-            del self.held[coming.id]
-            safe = self.scenario.products[coming.product].effect is Effect.RESENDABLE
-            if coming.id not in ran or safe:
-                self.later(coming, now + low + round((high - low) * self.random_streams.uniform("handed on")))
+                del self.keys[submission.key]
+
+    def handle_message(self, message: StageMessage) -> bool:
+        """Handles a message of the stage; returns False at the end of the run."""
+        if isinstance(message, Nacked):
+            submission = self.accepted.pop(message.text, None)
+            if submission is not None:
+                self.resubmit(submission, message.wait, self.now())
+        elif isinstance(message, Wiped):
+            self.resubmit_lost(message)
+        return not isinstance(message, Finish)
+
+    def resubmit_lost(self, message: Wiped) -> None:
+        """Resubmits the texts of a lost relay, except those that may have run and may not be repeated."""
+        ran, now = set(message.ran), self.now()
+        low, high = RESUBMIT_DELAYS
+        for submission in [
+            each for each in self.accepted.values() if each.relay == message.relay and each.until > now
+        ]:
+            del self.accepted[submission.id]
+            safe = self.scenario.products[submission.product].effect is Effect.RESENDABLE
+            if submission.id not in ran or safe:
+                self.schedule_resubmission(
+                    submission, now + low + round((high - low) * self.random_streams.uniform("handed on"))
+                )
 
     @property
-    def idle(self) -> bool:
-        return self.all_came and not self.tasks and not self.open
+    def is_idle(self) -> bool:
+        """Whether all texts have been submitted and none waits for an answer or a retry."""
+        return self.all_submitted and not self.tasks and not self.pending_retries
 
 
-def drawn(arrivals: Arrivals) -> Iterator[Arrival]:
-    """The texts, with all the drawing done by now."""
+def pregenerated(arrivals: Arrivals) -> Iterator[Arrival]:
+    """Returns the texts; reading the first one here generates them all before the run begins."""
     found = iter(arrivals)
     return itertools.chain(list(itertools.islice(found, 1)), found)
 
 
 async def serve() -> None:
-    """Run as the stage's standard streams say."""
+    """Runs the load as the messages on standard input say."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 28)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
-    def say(message) -> None:
+    def send(message) -> None:
         sys.stdout.buffer.write(encode_line(message))
         sys.stdout.buffer.flush()
 
-    load = Load(read_stage_message(await reader.readline()), say)
-    say(Ready())
+    load = Load(read_stage_message(await reader.readline()), send)
+    send(Ready())
     load.origin = read_stage_message(await reader.readline()).origin
-    beat = Heartbeat(lambda by: load.writer.add(rec.StageLate(load.now(), "load's loop", by)))
-    running = loop.create_task(load.run())
-    news = loop.create_task(tell(load, say))
+    heartbeat = Heartbeat(lambda by: load.writer.add(rec.StageLate(load.now(), "load's loop", by)))
+    load_task = loop.create_task(load.run())
+    progress = loop.create_task(report_progress(load, send))
     try:
         while line := await reader.readline():
-            if not load.order(read_stage_message(line)):
+            if not load.handle_message(read_stage_message(line)):
                 break
     finally:
-        beat.stop()
-        ending = [running, news, *load.tasks]
-        for task in ending:
+        heartbeat.stop()
+        tasks = [load_task, progress, *load.tasks]
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*ending, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
         load.writer.add(rec.RunEnded(load.now(), True))
         load.writer.close()
 
 
-async def tell(load: Load, say) -> None:
-    """How far it is, and when it is done."""
+async def report_progress(load: Load, send) -> None:
+    """Reports progress to the stage, and when all texts are done."""
     seconds = load.scenario.scenario.seconds
     while True:
-        await asyncio.sleep(NEWS_EACH)
+        await asyncio.sleep(PROGRESS_INTERVAL)
         load.writer.flush()
-        say(Done(load.count) if load.idle else Progressed(min(1.0, load.now() / seconds), load.taken))
+        send(
+            Done(load.count)
+            if load.is_idle
+            else Progressed(min(1.0, load.now() / seconds), load.accepted_count)
+        )
 
 
 def main() -> None:
+    """Runs the load process."""
     uvloop.run(serve())
 
 
