--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -1,9 +1,8 @@
-"""The stage "sockets": the world behind loopback sockets, relays as processes by the ordinary command, real
-time.
+"""The stage "sockets": relay processes in real time, with the simulated world behind loopback sockets.
 
-One process is the emulator (endpoints, catalogs, platform), another the load; relays are started, killed,
-restarted and told to reload as the time-line says. Each relay has an address of its own for each endpoint
-and for its catalog, so that whoever calls is known. It measures its own lateness: a run in which it was late
+One process is the emulator (endpoints, catalogs, platform), another one the load; relays are started, killed,
+restarted and reloaded as the scenario's faults require. Each relay has its own address for each endpoint and
+for its catalog, which identifies the caller. The stage measures its own delay: a run in which it was late
 can't be used.
 """
 
@@ -74,14 +73,17 @@
 from limelatch.standin.host import Call, HostFace, State
 from limelatch.standin.http import Connection, Face, Server
 
-READY_WAIT, STOP_WAIT, START_PAUSE = 15.0, 4.0, 0.6  # seconds
-GAUGE_EACH, SWEEP_EACH = 0.5, 0.5
-HEAD_START = 0.1  # for the load to hear of it
-OLD_ADDRESS = 1.5  # seconds for which a catalog that moved keeps its old connections
-LISTENERS_MOST = 6000
+READY_TIMEOUT = 15.0  # seconds for a process to start
+STOP_TIMEOUT = 4.0  # seconds for a process to end, then SIGKILL
+RESTART_DELAY = 0.6  # seconds from the end of a process to the next start
+MEASURE_INTERVAL = 0.5  # seconds between two measurements of memory, descriptors and CPU time
+SWEEP_INTERVAL = 0.5  # seconds between two searches for idle connections
+START_LEAD_TIME = 0.1  # seconds before the run begins, so that the load receives the time
+OLD_ADDRESS_TIME = 1.5  # seconds for which a catalog with a new address keeps its old connections
+MAX_LISTENERS = 6000  # addresses of endpoints
 STATUS = {Listing.READY: "active", Listing.DRAINING: "leaving", Listing.GONE: "left"}
-LISTED = {Listing.READY: 0, Listing.DRAINING: 1, Listing.GONE: 2}
-STATE_OF = {
+LISTING_CODES = {Listing.READY: 0, Listing.DRAINING: 1, Listing.GONE: 2}
+STATE_BY_FATE = {
     Fate.DELIVERED: State.DELIVERED,
     Fate.FAILED: State.FAILED,
     Fate.REFUSED: State.REFUSED,
@@ -89,52 +91,59 @@
     Fate.SPENT: State.SPENT,
 }
 GARBAGE = b"\x00\xff garbage \r\n\r\n"
-NAMELESS = "any"  # a scenario without kinds or floors has one of each
-REMEMBER = 60 * SECOND
-SPOILT_SHARE = 0.1  # of the relays' datagrams, for each kind of fault
+DEFAULT_NAME = "any"  # a scenario without kinds or floors has one of each
+RETENTION_TIME = 60 * SECOND  # ticks for which a call of a text is remembered
+DATAGRAM_FAULT_SHARE = 0.1  # of the relays' datagrams, for each kind of fault
 
 
-class Doors:
-    """One endpoint's addresses, one a relay, and the calls that are out at each connection."""
+class EndpointServers:
+    """The servers of one endpoint, one per relay, and the call in progress on each connection."""
 
     def __init__(self, endpoint: Endpoint, stage: Sockets) -> None:
         self.endpoint, self.stage = endpoint, stage
         self.servers: list[Server] = []
         self.out: dict[Connection, WorldCall] = {}
-        self.rested: dict[Connection, int] = {}
-        self.caught: set[Connection] = set()  # that spoke to a silent endpoint
+        self.idle_since: dict[Connection, int] = {}
+        self.unanswered_connections: set[Connection] = set()  # that sent a call to a silent endpoint
         self.count = 0
 
     async def open(self) -> None:
+        """Starts a server for each relay."""
         for relay in range(self.stage.scenario.relays.count):
             face = HostFace(
-                lambda call, relay=relay: self.called(relay, call), self.closed, self.came, self.bad
+                lambda call, relay=relay: self.called(relay, call),
+                self.closed,
+                self.opened,
+                self.unreadable_input,
             )
             server = self.stage.server(face)
             self.servers.append(server)
             await server.start()
 
-    def came(self, connection: Connection) -> None:
+    def opened(self, connection: Connection) -> None:
+        """A connection was opened."""
         self.count += 1
-        self.rested[connection] = self.stage.clock.now()
+        self.idle_since[connection] = self.stage.clock.now()
 
-    def bad(self, why: str) -> None:
+    def unreadable_input(self, why: str) -> None:
+        """Counts input that is not HTTP."""
         self.stage.oddities += 1
 
     def closed(self, connection: Connection) -> None:
+        """A connection was closed; its call may still run."""
         self.count -= 1
-        self.rested.pop(connection, None)
-        self.caught.discard(connection)
+        self.idle_since.pop(connection, None)
+        self.unanswered_connections.discard(connection)
         if (call := self.out.pop(connection, None)) is not None:
             call.gone = True
             self.stage.writer.add(rec.GaveUp(self.stage.clock.now(), call.number))
 
     def called(self, relay: int, call: Call) -> None:
-        """A whole call has come over this relay's address."""
+        """A complete call arrived at a relay's address."""
         stage, endpoint, connection = self.stage, self.endpoint, call.connection
-        self.rested.pop(connection, None)
+        self.idle_since.pop(connection, None)
         if endpoint.silent or endpoint.number in stage.cut[relay]:
-            self.caught.add(connection)
+            self.unanswered_connections.add(connection)
             return
         if call.probe:
             connection.answer(503 if endpoint.out else 200)
@@ -155,7 +164,7 @@
         )
         world = WorldCall(relay, texts, lambda reply: self.respond(call, world, reply), stage.calls)
         self.out[connection] = world
-        for each in texts if stage.remembers else ():
+        for each in texts if stage.tracks_runs else ():
             stage.ran_at[each.id] = now
         if self.count > endpoint.destination.group.connections:
             world.reply(Reply([Fate.REFUSED] * len(texts), by_status=True))
@@ -163,7 +172,7 @@
             endpoint.arrive(world)
 
     def respond(self, call: Call, world: WorldCall, reply: Reply) -> None:
-        """The endpoint's answer, as bytes on the connection, if it still stands."""
+        """Writes the endpoint's answer, if the connection is still open."""
         connection, stage = call.connection, self.stage
         if not connection.open or self.out.get(connection) is not world:
             return
@@ -171,7 +180,7 @@
         first = reply.fates[0]
         stage.writer.add(rec.Responded(now, now, world.number, fates, reply.wait))
         del self.out[connection]
-        if stage.remembers and all(each in NEVER_RAN for each in fates):
+        if stage.tracks_runs and all(each in NEVER_RAN for each in fates):
             for each in world.texts:
                 stage.ran_at.pop(each.id, None)
         if first != Fate.DELIVERED:
@@ -181,16 +190,16 @@
         elif first == Fate.GARBLED:
             connection.write(GARBAGE)
         else:
-            states = [STATE_OF[Fate(each)] for each in reply.fates]
+            states = [STATE_BY_FATE[Fate(each)] for each in reply.fates]
             status = None
             if reply.by_status:
                 status = 500 if first == Fate.FAILED else 429 if reply.wait else 503
             report = {"x0": reply.left, "x1": reply.rate} if reply.rate else None
             call.answer(states, reply.wait / SECOND if reply.wait else None, report, status)
-            self.rested[connection] = now
+            self.idle_since[connection] = now
 
     def reachable(self) -> None:
-        """Whether connections come up follows the endpoint's state."""
+        """Accepts or refuses connections as the endpoint's state requires."""
         endpoint = self.endpoint
         if endpoint.down or endpoint.leaving:
             for server in self.servers:
@@ -199,27 +208,27 @@
             for server in self.servers:
                 server.silence()
         else:
-            for connection in list(self.caught):
+            for connection in list(self.unanswered_connections):
                 connection.reset()
             for server in self.servers:
                 self.stage.spawn(server.start())
 
-    def uncut(self, relay: int) -> None:
-        """A relay reaches it again: what it had said meanwhile is reset."""
-        for connection in list(self.caught):
+    def reset_unanswered(self, relay: int) -> None:
+        """Resets the unanswered connections of a relay that reaches the endpoint again."""
+        for connection in list(self.unanswered_connections):
             if connection in self.servers[relay].connections:
                 connection.reset()
 
     def sweep(self, now: int) -> None:
-        """Close connections that have stood idle for the endpoint's time."""
-        least = now - self.endpoint.destination.group.idle_time
-        for connection, since in list(self.rested.items()):
-            if since < least:
+        """Closes connections that have been idle for the endpoint's idle time."""
+        earliest = now - self.endpoint.destination.group.idle_time
+        for connection, since in list(self.idle_since.items()):
+            if since < earliest:
                 connection.close()
 
 
 class RelayProcess:
-    """One relay: its configuration, its folder, its catalog, its process."""
+    """One relay: its configuration, state directory, catalog and process."""
 
     def __init__(self, number: int, stage: Sockets, folder: Path, listen: str) -> None:
         self.number, self.stage, self.folder, self.listen = number, stage, folder, listen
@@ -230,21 +239,21 @@
         self.server = stage.server(self.agent)
         self.process: asyncio.subprocess.Process | None = None
         self.watch: psutil.Process | None = None
-        self.busy = False  # being stopped or started again
+        self.busy = False  # being stopped or restarted
         self.cpu_before = self.cpu = 0
-        self.lag, self.last_news, self.factor = 0, 0, 1.0
-        self.untold: list[tuple[int, Listing]] = []  # news that its silent catalog keeps
+        self.lag, self.last_list_update, self.factor = 0, 0, 1.0
+        self.withheld_updates: list[tuple[int, Listing]] = []  # updates withheld while its catalog is silent
         self.reader: asyncio.Task | None = None
-        self.environment: dict[str, str] = {}  # beside the stage's own
+        self.environment: dict[str, str] = {}  # in addition to the stage's own
 
     def write(self) -> None:
-        """Write its configuration, for the next process or SIGHUP."""
+        """Writes its configuration, for the next process or SIGHUP."""
         temporary = self.path.with_suffix(".new")
         temporary.write_text(json.dumps(write_platform(self.installation())))
         os.replace(temporary, self.path)
 
     def installation(self) -> Installation:
-        """Its configuration by the scenario."""
+        """Returns its configuration, derived from the scenario."""
         installation = installation_of(
             self.stage.scenario,
             self.stage.seed,
@@ -256,13 +265,13 @@
         return msgspec.structs.replace(installation, membership=self.stage.membership_of(self.number))
 
     async def start(self) -> None:
-        """Start the process, and wait until it serves."""
+        """Starts the process and waits until it serves."""
         await self.launch()
         await self.serves()
         self.stage.writer.add(rec.Relay(self.stage.clock.now(), self.number, "ready"))
 
     async def launch(self) -> None:
-        """Start a process, which is the relay's newest one."""
+        """Starts a process, which becomes the relay's newest one."""
         self.write()
         limit = self.stage.scenario.relays.sockets
         self.process = await asyncio.create_subprocess_exec(
@@ -283,9 +292,9 @@
         self.reader = self.stage.spawn(self.read_log(self.process))
 
     async def serves(self) -> None:
-        """Wait until the newest process answers PING. Raises StageError where it ends, or takes too long."""
+        """Waits until the newest process answers PING. Raises StageError if it ends or takes too long."""
         host, _, port = self.listen.partition(":")
-        until = time.monotonic() + READY_WAIT
+        until = time.monotonic() + READY_TIMEOUT
         async with Pool(host, int(port), 1) as pool:
             while (await pool.ping()).ending is not Ending.TAKEN:
                 if self.process.returncode is not None or time.monotonic() > until:
@@ -293,6 +302,7 @@
                 await asyncio.sleep(0.02)
 
     async def read_log(self, process: asyncio.subprocess.Process) -> None:
+        """Copies the log of a process to a file, and reads changes of its view of hosts from it."""
         with open(self.folder / f"{self.name}.log", "ab") as file:
             async for raw in process.stderr:
                 file.write(raw)
@@ -302,7 +312,7 @@
                         self.stage.believes(self.number, line["host"], line["change"])
 
     def gauge(self) -> None:
-        """Memory, descriptors and CPU time of the process."""
+        """Records memory, descriptors and CPU time of the process."""
         if self.process is None or self.process.returncode is not None:
             return
         with contextlib.suppress(psutil.Error):
@@ -317,7 +327,7 @@
             )
 
     async def end(self, sent: int, what: str) -> None:
-        """Kill it, or stop it in order."""
+        """Kills the process, or stops it by SIGTERM."""
         note = self.stage.writer.add
         self.gauge()
         if sent == signal.SIGTERM:
@@ -327,7 +337,7 @@
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(sent)
         try:
-            await asyncio.wait_for(self.process.wait(), STOP_WAIT)
+            await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT)
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
@@ -337,7 +347,7 @@
         self.cpu = 0
 
     async def again(self, fault: FaultKeys) -> None:
-        """Down and up again, as a fault of the time-line says."""
+        """Stops and restarts the relay as a fault requires."""
         if self.busy:
             return
         self.busy = True
@@ -351,13 +361,13 @@
                 shutil.rmtree(self.state)
                 self.state.mkdir()
                 self.stage.wiped(self.number)
-            await asyncio.sleep(START_PAUSE)
+            await asyncio.sleep(RESTART_DELAY)
             await self.start()
         finally:
             self.busy = False
 
     async def reload(self) -> None:
-        """Its catalog moves to another address; SIGHUP."""
+        """Moves its catalog to another address and sends SIGHUP."""
         if self.busy or self.process.returncode is not None:
             return
         old, self.server = self.server, self.stage.server(self.agent)
@@ -365,10 +375,11 @@
         self.write()
         self.stage.writer.add(rec.Relay(self.stage.clock.now(), self.number, "reloads"))
         self.process.send_signal(signal.SIGHUP)
-        await asyncio.sleep(OLD_ADDRESS)
+        await asyncio.sleep(OLD_ADDRESS_TIME)
         old.down()
 
     async def close(self) -> None:
+        """Kills the process and stops the catalog."""
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
@@ -380,7 +391,7 @@
 
 
 class Sockets:
-    """All of a run on sockets."""
+    """A run on sockets: the emulator, the load process and the relay processes."""
 
     def __init__(
         self,
@@ -395,16 +406,16 @@
         self.scenario, self.seed, self.writer, self.folder, self.part = scenario, seed, writer, folder, part
         self.progress = progress
         self.command = command or [sys.executable, "-m", "limelatch"]
-        self.clock = RealClock(math.inf)  # it begins with the first text
-        self.doors: dict[int, Doors] = {}
+        self.clock = RealClock(math.inf)  # set when the run begins
+        self.servers_by_endpoint: dict[int, EndpointServers] = {}
         self.relays: list[RelayProcess] = []
         self.numbers: dict[str, int] = {}
         self.cut: list[set[int]] = [set() for _ in range(scenario.relays.count)]
         self.calls = self.oddities = self.foreign = 0
         self.address = PlayAddress()
         self.datagrams = self._datagrams() if scenario.relays.membership else None
-        self.remembers = any(fault.what is What.WIPE for fault in scenario.faults)
-        self.ran_at: dict[str, int] = {}  # texts that may have run, and when they were called
+        self.tracks_runs = any(fault.what is What.WIPE for fault in scenario.faults)
+        self.ran_at: dict[str, int] = {}  # time of the call, by text that may have run
         self.tasks: set[asyncio.Task] = set()
         self.load: asyncio.subprocess.Process | None = None
         self.load_done = False
@@ -412,15 +423,15 @@
         self.world = World(scenario, seed, self.clock, self)
 
     def _datagrams(self) -> DatagramNetwork:
-        """Between the relays: each has an address there and one at which it listens."""
+        """Creates the faulty network between relays; each has a public and a listening address."""
         host, count = self.address.host, self.scenario.relays.count
         fronts, listens = ([(host, self.address.port()) for _ in range(count)] for _ in range(2))
         made = DatagramNetwork(fronts, listens, self.seed)
-        made.conditions(lost=SPOILT_SHARE, doubled=SPOILT_SHARE, late=SPOILT_SHARE)
+        made.conditions(lost=DATAGRAM_FAULT_SHARE, doubled=DATAGRAM_FAULT_SHARE, late=DATAGRAM_FAULT_SHARE)
         return made
 
     def membership_of(self, relay: int) -> Membership:
-        """A relay's part among the others; off where the scenario does not have it."""
+        """Returns a relay's membership configuration; off unless the scenario enables it."""
         if self.datagrams is None:
             return Membership()
         peers, listens = (
@@ -430,15 +441,16 @@
         return Membership(on=True, listen=listens[relay], peers=peers, address=peers[relay])
 
     def server(self, face: Face) -> Server:
-        """A server for a party of this play, at a port of its own that stays its own."""
+        """Creates a server on a port that is never assigned to another one in this run."""
         return Server(face, self.address.host, self.address.port())
 
     def foreign_call(self, endpoint: Endpoint, why: str) -> None:
-        """A call that is none of this play's: it is counted and told, and no rule is judged by it."""
+        """Counts and records a call that does not belong to this run; the checker ignores it."""
         self.foreign += 1
         self.writer.add(rec.ForeignCall(self.clock.now(), endpoint.number, why))
 
     def spawn(self, work) -> asyncio.Task:
+        """Starts a task; its failure ends the run."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._ended)
@@ -450,11 +462,11 @@
             self.failed = task.exception()
 
     async def run(self) -> None:
-        """Everything up, the time-line, everything down."""
+        """Starts everything, plays the scenario and stops everything."""
         count = len(self.world.endpoints) * self.scenario.relays.count
-        if count > LISTENERS_MOST:
+        if count > MAX_LISTENERS:
             raise StageError(
-                f"{count} addresses of endpoints would be needed, {LISTENERS_MOST} at most; "
+                f"{count} addresses of endpoints would be needed, {MAX_LISTENERS} at most; "
                 f"the fleet stage plays this size"
             )
         most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
@@ -463,8 +475,8 @@
             self.datagrams.start()
         try:
             for endpoint in self.world.endpoints:
-                self.doors[endpoint.number] = Doors(endpoint, self)
-                await self.doors[endpoint.number].open()
+                self.servers_by_endpoint[endpoint.number] = EndpointServers(endpoint, self)
+                await self.servers_by_endpoint[endpoint.number].open()
             await self._start_relays()
             await self._play()
         finally:
@@ -481,15 +493,15 @@
         await asyncio.gather(*[relay.start() for relay in self.relays])
 
     def make_relay(self, number: int) -> RelayProcess:
-        """One relay of the play, not started yet."""
+        """Creates a relay without starting it."""
         return RelayProcess(number, self, self.folder, f"{self.address.host}:{self.address.port()}")
 
     def begin(self) -> None:
-        """Put all that is to happen on the clock."""
+        """Schedules the faults of the scenario."""
         self.world.begin()
 
     async def _play(self) -> None:
-        """The clock of the scenario begins here."""
+        """Starts the load and the clock, and runs until the scenario ends."""
         self.load = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -510,16 +522,16 @@
                 )
             )
         )
-        async with asyncio.timeout(READY_WAIT):
-            await self.load.stdout.readline()  # it is ready
-        self.clock.origin = time.monotonic() + HEAD_START
+        async with asyncio.timeout(READY_TIMEOUT):
+            await self.load.stdout.readline()  # Ready
+        self.clock.origin = time.monotonic() + START_LEAD_TIME
         self.load.stdin.write(encode_line(Go(self.clock.origin)))
         for relay in range(len(self.relays)):
             self.writer.add(rec.Relay(0, relay, "ready"))
         self.begin()
-        beat = Heartbeat(lambda by: self.writer.add(rec.StageLate(self.clock.now(), "emulator", by)))
-        news = self.spawn(self._hear_load())
-        gauges, sweeps = self.spawn(self._gauge()), self.spawn(self._sweep())
+        heartbeat = Heartbeat(lambda by: self.writer.add(rec.StageLate(self.clock.now(), "emulator", by)))
+        progress_task = self.spawn(self._read_load_messages())
+        gauges, sweeps = self.spawn(self._measure_usage()), self.spawn(self._sweep())
         end = self.scenario.scenario.seconds + self.scenario.scenario.settle
         try:
             while self.clock.now() < end:
@@ -531,16 +543,16 @@
                 if self.load_done and self.clock.now() >= self.scenario.scenario.seconds and not self.owed():
                     break
         finally:
-            for task in (gauges, sweeps, news):
+            for task in (gauges, sweeps, progress_task):
                 task.cancel()
-            beat.stop()
+            heartbeat.stop()
             if self.load.returncode is None:
                 with contextlib.suppress(ConnectionError, TimeoutError):
                     self.load.stdin.write(encode_line(Finish()))
                     await asyncio.wait_for(self.load.wait(), 5)
 
     def owed(self) -> int:
-        """Texts that the relays' ledgers still hold, as far as they can be read beside them."""
+        """Returns the number of unfinished texts in the ledgers, as far as they can be read meanwhile."""
         from limelatch.relay.inspection import NoLedger, inspect_ledger
 
         found = 0
@@ -549,29 +561,29 @@
                 found += len(inspect_ledger(str(relay.state)).entries)
         return found
 
-    async def _hear_load(self) -> None:
+    async def _read_load_messages(self) -> None:
         async for line in self.load.stdout:
-            news = read_load_message(line)
-            if isinstance(news, Progressed):
-                self.progress(news.part)
+            message = read_load_message(line)
+            if isinstance(message, Progressed):
+                self.progress(message.part)
                 self.load_done = False
-            elif isinstance(news, Done):
+            elif isinstance(message, Done):
                 self.load_done = True
 
-    async def _gauge(self) -> None:
+    async def _measure_usage(self) -> None:
         while True:
             for relay in self.relays:
                 relay.gauge()
             self.writer.flush()
-            await asyncio.sleep(GAUGE_EACH)
+            await asyncio.sleep(MEASURE_INTERVAL)
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_EACH)
+            await asyncio.sleep(SWEEP_INTERVAL)
             now = self.clock.now()
-            for doors in list(self.doors.values()):
-                doors.sweep(now)
-            for text in [each for each, at in self.ran_at.items() if at < now - REMEMBER]:
+            for endpoint_servers in list(self.servers_by_endpoint.values()):
+                endpoint_servers.sweep(now)
+            for text in [each for each, at in self.ran_at.items() if at < now - RETENTION_TIME]:
                 del self.ran_at[text]
 
     async def _close(self) -> None:
@@ -583,20 +595,20 @@
             await relay.close()
         for task in list(self.tasks):
             task.cancel()
-        for doors in self.doors.values():
-            for server in doors.servers:
+        for endpoint_servers in self.servers_by_endpoint.values():
+            for server in endpoint_servers.servers:
                 server.down()
         if self.datagrams is not None:
             self.datagrams.stop()
 
     def row(self, endpoint: Endpoint, relay: int, listing: Listing) -> Row:
-        """An endpoint as this relay's catalog tells it."""
-        doors, destination = self.doors[endpoint.number], endpoint.destination
-        floors = [each.name for each in self.scenario.floors] or [NAMELESS]
-        kind = self.world.kinds[destination.kind] if self.world.kinds else NAMELESS
+        """Returns an endpoint's row in a relay's catalog."""
+        endpoint_servers, destination = self.servers_by_endpoint[endpoint.number], endpoint.destination
+        floors = [each.name for each in self.scenario.floors] or [DEFAULT_NAME]
+        kind = self.world.kinds[destination.kind] if self.world.kinds else DEFAULT_NAME
         return Row(
             endpoint.name,
-            doors.servers[relay].address,
+            endpoint_servers.servers[relay].address,
             floors[endpoint.floor],
             kind,
             destination.number,
@@ -604,29 +616,34 @@
             round(self.world.weight(endpoint), 3),
         )
 
-    # What relays and the platform tell.
+    # Events of relays and the platform.
 
-    def believes(self, relay: int, name: str, words: str) -> None:
-        self.writer.add(rec.BeliefChanged(self.clock.now(), relay, self.numbers.get(name, -1), words))
-        if words.startswith("sick") and name in self.numbers:  # it may have been refused a connection there
+    def believes(self, relay: int, name: str, message: str) -> None:
+        """A relay changed its view of a host."""
+        self.writer.add(rec.BeliefChanged(self.clock.now(), relay, self.numbers.get(name, -1), message))
+        if message.startswith("sick") and name in self.numbers:  # perhaps a refused connection
             self.writer.add(rec.CallFailed(self.clock.now(), relay, self.numbers[name]))
 
     def noticed(self, relay: int, notice: Notice) -> None:
+        """A relay sent a notice to the platform."""
         nacked, wait = notice.result == "bounced", (notice.wait_ms or 0) * MS
         self.writer.add(rec.NoticeAnswered(self.clock.now(), relay, notice.text, nacked, wait))
         if nacked and self.load is not None and self.load.returncode is None:
             self.load.stdin.write(encode_line(Nacked(notice.text, wait)))
 
     def wiped(self, relay: int) -> None:
+        """A relay lost its state directory."""
         if self.load is not None and self.load.returncode is None:
             self.load.stdin.write(encode_line(Wiped(relay, list(self.ran_at))))
 
-    # What the world tells.
+    # Events of the world, see WorldListener.
 
     def ran(self, endpoint: Endpoint, text: WorldText, known: bool) -> None:
+        """A text was processed at a host."""
         self.writer.add(rec.EffectTaken(self.clock.now(), endpoint.number, text.id, text.first, known))
 
     def host(self, endpoint: Endpoint) -> None:
+        """A host was added."""
         self.numbers[endpoint.name] = endpoint.number
         self.writer.add(
             rec.Host(
@@ -641,71 +658,81 @@
         )
 
     def condition(self, endpoint: Endpoint, condition: Condition) -> None:
+        """A host's condition has changed."""
         self.writer.add(rec.ConditionChanged(self.clock.now(), endpoint.number, int(condition)))
 
     def reachable(self, endpoint: Endpoint) -> None:
-        if endpoint.number in self.doors:
-            self.doors[endpoint.number].reachable()
+        """Whether a host accepts connections has changed."""
+        if endpoint.number in self.servers_by_endpoint:
+            self.servers_by_endpoint[endpoint.number].reachable()
 
     def route_overloaded(self, route: Route, max_load: float, load: dict[int, int]) -> None:
+        """A cold route went down by overload."""
         self.writer.add(rec.RouteOverloaded(self.clock.now(), route.number, max_load, load))
 
     def listed(self, endpoint: Endpoint, listing: Listing) -> None:
+        """Passes a change of the list on to all catalogs."""
         self.spawn(self._listed(endpoint, listing))
 
     async def _listed(self, endpoint: Endpoint, listing: Listing) -> None:
-        if endpoint.number not in self.doors:
-            doors = Doors(endpoint, self)
-            await doors.open()
-            self.doors[endpoint.number] = doors
+        if endpoint.number not in self.servers_by_endpoint:
+            endpoint_servers = EndpointServers(endpoint, self)
+            await endpoint_servers.open()
+            self.servers_by_endpoint[endpoint.number] = endpoint_servers
         for relay in self.relays:
             lag = round(relay.lag * relay.factor)
-            relay.last_news = max(relay.last_news, self.clock.now() + lag)  # news never overtake each other
-            self.clock.at(relay.last_news, self._tell, relay, endpoint, listing)
+            relay.last_list_update = max(
+                relay.last_list_update, self.clock.now() + lag
+            )  # updates never overtake each other
+            self.clock.at(relay.last_list_update, self._update_list, relay, endpoint, listing)
 
-    def _tell(self, relay: RelayProcess, endpoint: Endpoint, listing: Listing) -> None:
+    def _update_list(self, relay: RelayProcess, endpoint: Endpoint, listing: Listing) -> None:
         relay.agent.put(self.row(endpoint, relay.number, listing))
         if relay.agent.silent:
-            relay.untold.append((endpoint.number, listing))
+            relay.withheld_updates.append((endpoint.number, listing))
         else:
             self.writer.add(
-                rec.ListingReceived(self.clock.now(), relay.number, endpoint.number, LISTED[listing])
+                rec.ListingReceived(self.clock.now(), relay.number, endpoint.number, LISTING_CODES[listing])
             )
 
     def fault(self, number: int, on: bool, endpoints: list[Endpoint]) -> None:
+        """A fault began or ended."""
         self.writer.add(rec.Fault(self.clock.now(), number, on, [each.number for each in endpoints]))
 
     def relay_fault(self, fault: FaultKeys, number: int) -> None:
+        """Kills, restarts, wipes or reloads a relay."""
         relay = self.relays[number]
         self.spawn(relay.reload() if fault.what is What.RELOAD else relay.again(fault))
 
     def cut_off(self, relays: list[int], endpoints: list[Endpoint], on: bool) -> None:
+        """Cuts or restores the connection of relays to endpoints."""
         for relay in relays:
             for endpoint in endpoints:
                 if on:
                     self.cut[relay].add(endpoint.number)
                 else:
                     self.cut[relay].discard(endpoint.number)
-                    self.doors[endpoint.number].uncut(relay)
+                    self.servers_by_endpoint[endpoint.number].reset_unanswered(relay)
 
     def list_lag(self, fault: FaultKeys, relays: list[int], on: bool) -> None:
+        """Delays or stops the catalogs of relays, or ends that."""
         for number in relays:
             relay = self.relays[number]
             if fault.what is What.LIST_LATE:
                 relay.factor = fault.times if on else 1.0
             else:
                 relay.agent.hush(on)
-                untold, relay.untold = relay.untold, []
-                for host, listing in untold:
+                withheld_updates, relay.withheld_updates = relay.withheld_updates, []
+                for host, listing in withheld_updates:
                     self.writer.add(
-                        rec.ListingReceived(self.clock.now(), relay.number, host, LISTED[listing])
+                        rec.ListingReceived(self.clock.now(), relay.number, host, LISTING_CODES[listing])
                     )
 
 
 def installation_of(
     scenario: Scenario, seed: int, relay: int, listen: str, agent: str, state: str
 ) -> Installation:
-    """A relay's configuration for a scenario."""
+    """Returns a relay's configuration for a scenario."""
     keys, rules = scenario.relays, scenario.rules
     return Installation(
         relay=Identity(
@@ -760,6 +787,6 @@
             Kind(name=row.name, texts_per_call=row.texts_per_call, routes_apart=row.routes_apart)
             for row in scenario.kinds
         ]
-        or [Kind(name=NAMELESS)],
-        floors=[Floor(name=row.name) for row in scenario.floors] or [Floor(name=NAMELESS)],
+        or [Kind(name=DEFAULT_NAME)],
+        floors=[Floor(name=row.name) for row in scenario.floors] or [Floor(name=DEFAULT_NAME)],
     )
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -14,7 +14,7 @@
 from limelatch.lab.scenario import parse
 from limelatch.lab.stages.address import FIRST_PORT, LAST_PORT, PlayAddress, PortsExhausted
 from limelatch.lab.stages.real import ForeignText, TextMark, body_of, read_body
-from limelatch.lab.stages.sockets import Doors, Sockets
+from limelatch.lab.stages.sockets import EndpointServers, Sockets
 from limelatch.standin.host import Call, Item
 
 MARK = TextMark(1, "t7", 2, "127.64.0.9")
@@ -82,10 +82,10 @@
     async def play():
         writer = rec.Writer(target, rec.Head(rec.VERSION, "sockets", 1, {}, ""))
         stage = Sockets(scenario, 1, writer, tmp_path, tmp_path / "part", lambda part: None)
-        doors, connection = Doors(stage.world.endpoints[0], stage), RecordingConnection()
+        endpoint_servers, connection = EndpointServers(stage.world.endpoints[0], stage), RecordingConnection()
         for play in ("127.64.0.9", stage.address.host):
             mark = TextMark(0, "t1", 0, play)
-            doors.called(0, Call([Item("t1", "", body_of(mark, 60))], False, 0.0, 0.0, connection))
+            endpoint_servers.called(0, Call([Item("t1", "", body_of(mark, 60))], False, 0.0, 0.0, connection))
         writer.close()
         return stage, connection
 
