--- a/limelatch/configuration/checks.py
+++ b/limelatch/configuration/checks.py
@@ -12,8 +12,8 @@
 from limelatch.configuration.units import write_span
 from limelatch.events import PARTS
 from limelatch.interface import SECOND, Effect
-from limelatch.membership.timing import PAUSE_LEAST, PAUSE_MOST, PERIOD_LEAST, PERIOD_MOST
-from limelatch.membership.view import MEMBERS_MOST
+from limelatch.membership.timing import MIN_PAUSE, MAX_PAUSE, MIN_PROBE_PERIOD, MAX_PROBE_PERIOD
+from limelatch.membership.view import MAX_MEMBERS
 
 PROTOCOL_NAME = re.compile(r"[^\s,=]{1,64}")  # a name that a client can write in a SUBMIT command
 MIN_ASK_WITHIN = SECOND
@@ -40,14 +40,14 @@
     own_address, bounded_spans = (
         membership.address or membership.listen,
         (
-            ("probe_period", membership.probe_period, PERIOD_LEAST, PERIOD_MOST),
-            ("pause", membership.pause, PAUSE_LEAST, PAUSE_MOST),
+            ("probe_period", membership.probe_period, MIN_PROBE_PERIOD, MAX_PROBE_PERIOD),
+            ("pause", membership.pause, MIN_PAUSE, MAX_PAUSE),
         ),
     )
     if not membership.listen:
         errors.append(ConfigError("membership.listen", "an address is required where `on` is true"))
-    if not 2 <= len(peers) <= MEMBERS_MOST:
-        message = f"expected 2 to {MEMBERS_MOST} addresses, {len(peers)} given"
+    if not 2 <= len(peers) <= MAX_MEMBERS:
+        message = f"expected 2 to {MAX_MEMBERS} addresses, {len(peers)} given"
         errors.append(ConfigError("membership.peers", message))
     errors += [
         ConfigError("membership.peers", f"{peer!r} is not an address such as 10.0.0.1:7946")
--- a/limelatch/membership/codec.py
+++ b/limelatch/membership/codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from limelatch.membership.messages import (
-    INCARNATION_MOST,
+    MAX_INCARNATION,
     Ack,
     Drop,
     Fact,
@@ -21,15 +21,15 @@
     Ping,
     State,
 )
-from limelatch.membership.view import MEMBERS_MOST
+from limelatch.membership.view import MAX_MEMBERS
 
-VERSION, DATAGRAM_MOST = 1, 256
+VERSION, MAX_DATAGRAM_BYTES = 1, 256
 HEADER, CHECKSUM = struct.Struct(">BBHIIIII"), struct.Struct(">I")
 CHECKSUM_AT = 4
 TARGET, TARGET_INCARNATION, RANGE, DIGEST = (struct.Struct(form) for form in (">H", ">HI", ">HH", ">I"))
 FACTS_MOST = 255
 STATE_BITS = 2
-WIDE_DISTANCES = MEMBERS_MOST // 128
+WIDE_DISTANCES = MAX_MEMBERS // 128
 AGE_MOST, WITNESS = 127, 128  # tenths of a second, and the bit beside them
 PING, ACK, GOSSIP, INDIRECT_PING, INDIRECT_ACK, PAGE_DIGESTS, PAGE = range(1, 8)
 KINDS = {
@@ -134,7 +134,7 @@
         }
 
     def write(self, message: Message) -> bytes:
-        """The datagram; ValueError where it would be over DATAGRAM_MOST, a fault of the caller."""
+        """The datagram; ValueError where it would be over MAX_DATAGRAM_BYTES, a fault of the caller."""
         header = message.header
         head = HEADER.pack(
             VERSION,
@@ -147,7 +147,7 @@
             header.held,
         )
         data = head + self._tail(message)
-        if len(data) > DATAGRAM_MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"a datagram of {len(data)} bytes")
         return data[:CHECKSUM_AT] + CHECKSUM.pack(self._checksum(data)) + data[CHECKSUM_AT + CHECKSUM.size :]
 
@@ -169,7 +169,7 @@
 
     def read(self, data: bytes) -> Message:
         """The message. Raises BadDatagram with the reason; nothing of a bad one is used."""
-        if not HEADER.size <= len(data) <= DATAGRAM_MOST:
+        if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
             raise BadDatagram(Drop.LENGTH)
         version, kind, sender, checksum, incarnation, sequence, digest, held = HEADER.unpack_from(data)
         if version != VERSION:
@@ -178,7 +178,7 @@
             raise BadDatagram(Drop.CHECKSUM)
         if sender >= self.members or sender == self.me:
             raise BadDatagram(Drop.SENDER)
-        if incarnation > INCARNATION_MOST or held > INCARNATION_MOST:
+        if incarnation > MAX_INCARNATION or held > MAX_INCARNATION:
             raise BadDatagram(Drop.VALUE)
         header, cursor = Header(sender, incarnation, sequence, digest, held), _Cursor(data, HEADER.size)
         if kind in PLAIN:
@@ -196,7 +196,7 @@
         return number
 
     def _incarnation(self, value: int) -> int:
-        if not 1 <= value <= INCARNATION_MOST:
+        if not 1 <= value <= MAX_INCARNATION:
             raise BadDatagram(Drop.VALUE)
         return value
 
--- a/limelatch/membership/exchange.py
+++ b/limelatch/membership/exchange.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from limelatch.interface import SECOND
-from limelatch.membership.codec import DATAGRAM_MOST, HEADER, WIDE_DISTANCES, fact_bytes
+from limelatch.membership.codec import MAX_DATAGRAM_BYTES, HEADER, WIDE_DISTANCES, fact_bytes
 from limelatch.membership.messages import Fact, Header, Page, PageDigests, State
 from limelatch.membership.outbox import Outbox
 from limelatch.membership.registry import Registry
@@ -13,7 +13,7 @@
 
 PAGES_AT_ONCE = 3  # sent for one PageDigests
 PAGE_TAIL = 5  # first, end and the count of facts
-FACTS_ROOM = DATAGRAM_MOST - HEADER.size - PAGE_TAIL - WIDE_DISTANCES
+FACTS_ROOM = MAX_DATAGRAM_BYTES - HEADER.size - PAGE_TAIL - WIDE_DISTANCES
 LEARNS_FOR = 3 * SECOND  # after a page that told of unknown members
 AMONG_NEWS = 10 * SECOND  # between two questions while facts are queued
 
@@ -77,7 +77,7 @@
         self._put(to, first, last, facts)
 
     def _put(self, to: int, first: int, end: int, facts: list[Fact]) -> None:
-        if self.outbox.affords(DATAGRAM_MOST):
+        if self.outbox.affords(MAX_DATAGRAM_BYTES):
             self.outbox.send_whole(to, Page(self.header(to), first, end, tuple(facts)))
 
     def arrived(self, now: int, page: Page) -> None:
--- a/limelatch/membership/member.py
+++ b/limelatch/membership/member.py
@@ -14,7 +14,7 @@
 from limelatch.membership.dissemination import FactQueue
 from limelatch.membership.exchange import Exchange
 from limelatch.membership.messages import (
-    INCARNATION_MOST,
+    MAX_INCARNATION,
     Ack,
     Datagram,
     Drop,
@@ -148,7 +148,7 @@
         """Guards against passing for an earlier process: others say what they hold of it."""
         half = self._asking_until - self.timing.asking
         if self.now >= self._asking_until or self.now >= half and self._answers_while_asking:
-            self._join(min(self.registry.held_of_self + 1, INCARNATION_MOST))
+            self._join(min(self.registry.held_of_self + 1, MAX_INCARNATION))
 
     def _hold_self(self, state: State) -> None:
         self.view.put(self.me, self.incarnation, state)
@@ -158,7 +158,7 @@
         """Somebody holds this of the member itself: refute it, up to the bound of what others read."""
         self.registry.held_of_self = max(self.registry.held_of_self, incarnation)
         if self.incarnation and not self.has_left:
-            self.incarnation = min(incarnation + 1, INCARNATION_MOST)
+            self.incarnation = min(incarnation + 1, MAX_INCARNATION)
             self._hold_self(State.ALIVE)
             self._tell_at_once()
 
--- a/limelatch/membership/messages.py
+++ b/limelatch/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-INCARNATION_MOST = 1 << 30
+MAX_INCARNATION = 1 << 30
 
 
 class State(IntEnum):
--- a/limelatch/membership/outbox.py
+++ b/limelatch/membership/outbox.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from limelatch.interface import SECOND
-from limelatch.membership.codec import DATAGRAM_MOST, HEADER, Codec
+from limelatch.membership.codec import MAX_DATAGRAM_BYTES, HEADER, Codec
 from limelatch.membership.dissemination import FactQueue
 from limelatch.membership.messages import Datagram, Fact, Header, Message
 
@@ -68,7 +68,7 @@
         size = HEADER.size + tail
         if self.allowance + BYTES_SAVED < size + PACKET_HEADERS:
             return
-        room = min(DATAGRAM_MOST - size, max(0, self.allowance - FACTS_RESERVE - size - PACKET_HEADERS))
+        room = min(MAX_DATAGRAM_BYTES - size, max(0, self.allowance - FACTS_RESERVE - size - PACKET_HEADERS))
         if alone:
             facts = () if first is None else (first,)
         else:
--- a/limelatch/membership/timing.py
+++ b/limelatch/membership/timing.py
@@ -7,8 +7,8 @@
 
 from limelatch.interface import MS, SECOND
 
-PAUSE_LEAST, PAUSE_MOST = SECOND, 60 * SECOND
-PERIOD_LEAST, PERIOD_MOST = 100 * MS, 10 * SECOND
+MIN_PAUSE, MAX_PAUSE = SECOND, 60 * SECOND
+MIN_PROBE_PERIOD, MAX_PROBE_PERIOD = 100 * MS, 10 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/limelatch/membership/view.py
+++ b/limelatch/membership/view.py
@@ -5,7 +5,7 @@
 from limelatch.membership.messages import Fact, State
 
 PAGE_MEMBERS = 32
-MEMBERS_MOST = PAGE_MEMBERS * 58  # whose page digests fit in a datagram of 256 bytes
+MAX_MEMBERS = PAGE_MEMBERS * 58  # whose page digests fit in a datagram of 256 bytes
 DIGEST_BITS = (1 << 32) - 1
 UNKNOWN = 0  # the incarnation of a member that nothing is known of
 GONE = (State.DEAD, State.LEFT)
--- a/limelatch/relay/incarnation.py
+++ b/limelatch/relay/incarnation.py
@@ -6,7 +6,7 @@
 import zlib
 
 from limelatch.logs import logger, log_event
-from limelatch.membership.messages import INCARNATION_MOST
+from limelatch.membership.messages import MAX_INCARNATION
 from limelatch.relay.atomic_file import replace_file
 
 log = logger("membership")
@@ -24,7 +24,7 @@
         try:
             with open(self.path, encoding="ascii") as file:
                 number, checksum = file.read(64).split()
-            if int(checksum) == zlib.crc32(number.encode()) and 1 <= int(number) < INCARNATION_MOST:
+            if int(checksum) == zlib.crc32(number.encode()) and 1 <= int(number) < MAX_INCARNATION:
                 return int(number)
             log_event(log, "incarnation-not-read", why="the checksum or the value is wrong")
         except FileNotFoundError:
--- a/limelatch/relay/peers.py
+++ b/limelatch/relay/peers.py
@@ -14,7 +14,7 @@
 from limelatch.configuration.plan import MembershipPlan
 from limelatch.interface import MS, SECOND
 from limelatch.logs import LimitedLog, logger, log_event
-from limelatch.membership.codec import DATAGRAM_MOST
+from limelatch.membership.codec import MAX_DATAGRAM_BYTES
 from limelatch.membership.member import Member
 from limelatch.membership.messages import (
     Drop,
@@ -31,7 +31,7 @@
 
 log = logger("membership")
 
-MAX_READ_BYTES = DATAGRAM_MOST + 1  # one more than is valid, so that a longer datagram is recognized
+MAX_READ_BYTES = MAX_DATAGRAM_BYTES + 1  # one more than is valid, so that a longer datagram is recognized
 READ_INTERVAL = 100 * MS
 MAX_READS = 200  # datagrams in a READ_INTERVAL; the others are dropped unread
 NOT_LISTENING = "not-listening"  # reported as the isolation; one word, as all values of the line
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 
 from limelatch.interface import MS, SECOND
 from limelatch.membership.codec import (
-    DATAGRAM_MOST,
+    MAX_DATAGRAM_BYTES,
     WIDE_DISTANCES,
     BadDatagram,
     Codec,
@@ -21,7 +21,7 @@
 from limelatch.membership.dissemination import FactQueue
 from limelatch.membership.member import Member
 from limelatch.membership.messages import (
-    INCARNATION_MOST,
+    MAX_INCARNATION,
     Ack,
     Drop,
     Fact,
@@ -54,7 +54,7 @@
     return Codec(key, count, me, pages_of(count))
 
 
-WORDS, INCARNATIONS = st.integers(0, 2**32 - 1), st.integers(0, INCARNATION_MOST)
+WORDS, INCARNATIONS = st.integers(0, 2**32 - 1), st.integers(0, MAX_INCARNATION)
 HEADERS = st.builds(Header, st.integers(1, COUNT - 1), INCARNATIONS, WORDS, WORDS, INCARNATIONS)
 
 
@@ -65,7 +65,7 @@
 FACT = st.builds(
     told,
     st.integers(0, COUNT - 1),
-    st.integers(1, INCARNATION_MOST),
+    st.integers(1, MAX_INCARNATION),
     st.sampled_from(State),
     st.integers(0, 127),
     st.booleans(),
@@ -77,7 +77,7 @@
 MESSAGES = st.one_of(
     *[st.builds(form, HEADERS, FACTS) for form in (Ping, Ack, Gossip)],
     st.builds(IndirectPing, HEADERS, MEMBERS, FACTS),
-    st.builds(IndirectAck, HEADERS, MEMBERS, st.integers(1, INCARNATION_MOST), FACTS),
+    st.builds(IndirectAck, HEADERS, MEMBERS, st.integers(1, MAX_INCARNATION), FACTS),
     st.builds(PageDigests, HEADERS, st.tuples(*[st.integers(0, 2**32 - 1)] * PAGES)),
     st.builds(lambda header, facts: Page(header, 0, COUNT, facts), HEADERS, FACTS),
 )
@@ -86,7 +86,7 @@
 @given(MESSAGES)
 def test_what_is_written_reads_the_same(message):
     data = codec().write(message)
-    assert len(data) <= DATAGRAM_MOST and codec().read(data) == message
+    assert len(data) <= MAX_DATAGRAM_BYTES and codec().read(data) == message
 
 
 @given(MESSAGES, st.data())
@@ -123,7 +123,7 @@
         (sealed(HEAD + b"\0", key=1), Drop.CHECKSUM),
         (sealed(HEAD[:2] + struct.pack(">H", COUNT) + HEAD[4:] + b"\0"), Drop.SENDER),
         (sealed(HEAD[:2] + struct.pack(">H", 0) + HEAD[4:] + b"\0"), Drop.SENDER),
-        (sealed(HEAD[:8] + struct.pack(">I", INCARNATION_MOST + 1) + HEAD[12:] + b"\0"), Drop.VALUE),
+        (sealed(HEAD[:8] + struct.pack(">I", MAX_INCARNATION + 1) + HEAD[12:] + b"\0"), Drop.VALUE),
         (sealed(HEAD + b"\x01\x28\x04"), Drop.VALUE),
         (sealed(HEAD + b"\x01\x01\x00"), Drop.VALUE),
         (sealed(HEAD + b"\x02\x01\x04\x00\x04"), Drop.VALUE),
@@ -347,14 +347,14 @@
 def test_an_incarnation_at_its_bound_stays_one_that_others_read():
     """Else one member that tells nonsense would have this one sending what everybody drops."""
     hand = Hand().know()
-    hand.tell(3, Gossip, held=INCARNATION_MOST)
-    hand.tell(3, Gossip, (Fact(0, INCARNATION_MOST, State.DEAD),))
-    assert hand.member.incarnation == INCARNATION_MOST
+    hand.tell(3, Gossip, held=MAX_INCARNATION)
+    hand.tell(3, Gossip, (Fact(0, MAX_INCARNATION, State.DEAD),))
+    assert hand.member.incarnation == MAX_INCARNATION
     hand.run(2 * SECOND, others(hand))  # each datagram of it is read by its receiver's codec
     assert any(isinstance(message, Ping) for _, message in hand.sent)
 
 
-@pytest.mark.parametrize("held, taken", [(0, 1), (6, 7), (INCARNATION_MOST, INCARNATION_MOST)])
+@pytest.mark.parametrize("held, taken", [(0, 1), (6, 7), (MAX_INCARNATION, MAX_INCARNATION)])
 def test_without_a_folder_the_others_are_asked_for_the_incarnation(held, taken):
     hand = Hand(incarnation=0)
     for _ in range(40):
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -13,7 +13,7 @@
 from limelatch.configuration.plan import plan_of
 from limelatch.interface import MS, SECOND
 from limelatch.membership.messages import Drop, Fact, State
-from limelatch.membership.view import MEMBERS_MOST
+from limelatch.membership.view import MAX_MEMBERS
 from limelatch.relay.closed_ports import MAX_CHECKS, REFUSAL_TIMEOUT, ClosedPorts
 from limelatch.relay.deadlines import Deadline
 from limelatch.relay.incarnation import IncarnationFile
@@ -93,7 +93,7 @@
 
 
 def test_the_maximum_count_of_members_is_accepted(tmp_path):
-    peers = [f"10.0.{number >> 8}.{number & 255}:7946" for number in range(MEMBERS_MOST)]
+    peers = [f"10.0.{number >> 8}.{number & 255}:7946" for number in range(MAX_MEMBERS)]
     assert plan_of(load_configuration(tmp_path, peers)).membership.number == 4
 
 
