--- a/limelatch/command/membership.py
+++ b/limelatch/command/membership.py
@@ -40,7 +40,7 @@
     """
     from limelatch.command.scale import counts, save_points, seeds_in
     from limelatch.lab.membership.cells import CELLS, WAYS, Outcome
-    from limelatch.lab.membership.measure import Plan, joined, memory, outcomes, points
+    from limelatch.lab.membership.measure import Plan, memory_points, merge_results, play_plans, points
     from limelatch.lab.scale.results import load, save
 
     played, found, sizes = names(cells, list(CELLS), "cell"), names(ways, list(WAYS), "way"), counts(members)
@@ -59,12 +59,12 @@
             f"wrong {outcome.wrong:>4}  {outcome.bytes_most:>6.0f} B/s at most"
         )
 
-    made = points(outcomes(plans, processes, told)) + memory(found, sizes)
+    made = points(play_plans(plans, processes, told)) + memory_points(found, sizes)
     words = f"--cells {cells} --ways {ways} --members {members} --seeds {seeds}"
     before = load(out) if keep else None
     save_points(out, f"lab membership {words}", made)
     if before is not None:
         try:
-            save(out, joined(before, load(out)))
+            save(out, merge_results(before, load(out)))
         except ValueError as error:
             raise Wrong(f"{out} holds the new points alone: {error}") from None
--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -204,7 +204,7 @@
         peers=[address_of(peer) for peer in membership.peers],
         number=membership.peers.index(membership.address or membership.listen),
         zones=[zone_names.index(zone) for zone in membership.zones],
-        timing=Timing(period=membership.probe_period, pause=membership.pause),
+        timing=Timing(probe_period=membership.probe_period, pause=membership.pause),
     )
 
 
--- a/limelatch/lab/membership/baselines.py
+++ b/limelatch/lab/membership/baselines.py
@@ -10,7 +10,7 @@
 
 from limelatch.interface import SECOND
 from limelatch.membership.member import Member
-from limelatch.membership.messages import Datagram, Drop, Event, Fact, MemberChanged, State
+from limelatch.membership.messages import Datagram, DropReason, Event, Fact, MemberChanged, State
 from limelatch.membership.registry import Registry
 from limelatch.membership.view import View
 
@@ -53,7 +53,7 @@
         self.view.put(member, incarnation, state)
         self._events.append(MemberChanged(member, state, incarnation, "missed"))
 
-    def received(self, now: int, data: bytes, sender: int | None) -> Drop | None:
+    def received(self, now: int, data: bytes, sender: int | None) -> DropReason | None:
         """A heartbeat."""
         _, incarnation = data.split()
         self.heard_at[sender] = now
@@ -80,7 +80,7 @@
     def judge(self, now: int) -> None:
         """Every suspicion ends after the confirmed one's time."""
         for member, suspicion in list(self.suspicions.items()):
-            if suspicion.since + self.timing.suspicion <= now:
+            if suspicion.since + self.timing.confirmed_suspicion <= now:
                 self._change(now, Fact(member, self.view.incarnations[member], State.DEAD), "unanswered")
 
 
@@ -93,7 +93,7 @@
     def _did_not_run(self, late: int) -> None:
         pass
 
-    def _judge_hearing(self) -> None:
+    def _update_isolation(self) -> None:
         pass
 
     def refused(self, now: int, member: int) -> None:
--- a/limelatch/lab/membership/cells.py
+++ b/limelatch/lab/membership/cells.py
@@ -65,7 +65,7 @@
 
 def fleet_knows_itself(member: Simulated, members: int) -> None:
     for other in range(members):
-        if not member.view.known(other):
+        if not member.view.is_known(other):
             member.view.put(other, 1, State.ALIVE)
 
 
--- a/limelatch/lab/membership/fleet.py
+++ b/limelatch/lab/membership/fleet.py
@@ -16,7 +16,7 @@
 from limelatch.lab.membership.network import Network
 from limelatch.membership.messages import (
     Datagram,
-    Drop,
+    DropReason,
     Event,
     IsolationChanged,
     MemberChanged,
@@ -37,7 +37,7 @@
     incarnation: int
 
     def tick(self, now: int) -> None: ...
-    def received(self, now: int, data: bytes, sender: int | None) -> Drop | None: ...
+    def received(self, now: int, data: bytes, sender: int | None) -> DropReason | None: ...
     def refused(self, now: int, member: int) -> None: ...
     def leave(self, now: int) -> None: ...
     def take(self) -> tuple[list[Datagram], list[Event]]: ...
@@ -257,7 +257,7 @@
 
     def holds(self, number: int, subject: int) -> State | None:
         view = self.processes[number].member.view
-        return view.states[subject] if view.known(subject) else None
+        return view.states[subject] if view.is_known(subject) else None
 
     def agree(self, subjects: list[int], state: State, by: list[int] | None = None) -> bool:
         """Whether all live members (or those of `by`) hold this state of all subjects."""
--- a/limelatch/lab/membership/forwarder.py
+++ b/limelatch/lab/membership/forwarder.py
@@ -29,9 +29,12 @@
 
     def __init__(self, fronts: list[Address], listens: list[Address], seed: int = 1) -> None:
         self.network = Network(Random(seed))
-        self.listens, self.numbers = listens, {address: number for number, address in enumerate(listens)}
+        self.listen_addresses, self.numbers = (
+            listens,
+            {address: number for number, address in enumerate(listens)},
+        )
         self.sockets = [self._bound(front) for front in fronts]
-        self.fronts = [each.getsockname() for each in self.sockets]
+        self.front_addresses = [each.getsockname() for each in self.sockets]
         self.passed: Counter[tuple[int, int]] = Counter()  # datagrams by sender and receiver
         self.strangers = 0
         self._waiting: list[tuple[int, int, int, int, bytes]] = []
@@ -66,7 +69,7 @@
 
     # Faults; each takes effect with the next datagram.
 
-    def conditions(self, **shares: float) -> None:
+    def set_conditions(self, **shares: float) -> None:
         """Shares of all datagrams: `lost`, `doubled`, `late`."""
         self.network.conditions = Conditions(**shares)
 
@@ -74,7 +77,7 @@
         """Nothing comes from any of these to any of those from now on, beside earlier cuts."""
         self.network.cuts.append(lambda sender, receiver: sender in senders and receiver in receivers)
 
-    def part(self, one_side: set[int]) -> None:
+    def partition(self, one_side: set[int]) -> None:
         """These and all others hear nothing of each other."""
         self.network.cuts.append(lambda sender, receiver: (sender in one_side) != (receiver in one_side))
 
@@ -122,6 +125,6 @@
             _, _, sender, receiver, data = heapq.heappop(self._waiting)
             self.passed[sender, receiver] += 1
             try:
-                self.sockets[sender].sendto(data, self.listens[receiver])
+                self.sockets[sender].sendto(data, self.listen_addresses[receiver])
             except OSError:  # nobody listens there now
                 pass
--- a/limelatch/lab/membership/measure.py
+++ b/limelatch/lab/membership/measure.py
@@ -37,7 +37,7 @@
     return play(plan.cell, plan.way, plan.members, plan.seed)
 
 
-def outcomes(plans: list[Plan], processes: int, told: Callable[[Outcome], None]) -> list[Outcome]:
+def play_plans(plans: list[Plan], processes: int, told: Callable[[Outcome], None]) -> list[Outcome]:
     """All of them, in the order given; raises Broken for a run in which an invariant did not hold."""
     found = []
     with ProcessPoolExecutor(processes) as pool:
@@ -67,7 +67,7 @@
     return made
 
 
-def joined(old: Results, new: Results) -> Results:
+def merge_results(old: Results, new: Results) -> Results:
     """The points of both, the new ones in place of old ones of the same series and size.
 
     Raises ValueError where they are of different commits."""
@@ -78,7 +78,7 @@
     return msgspec.structs.replace(new, command=f"{old.command}; {new.command}", points=kept + new.points)
 
 
-def memory(ways: Iterable[str], sizes: Iterable[int]) -> list[Point]:
+def memory_points(ways: Iterable[str], sizes: Iterable[int]) -> list[Point]:
     """What one member holds that knows all others."""
     sizes = list(sizes)
     return [
--- a/limelatch/lab/membership/network.py
+++ b/limelatch/lab/membership/network.py
@@ -19,8 +19,8 @@
     """Shares of all datagrams that are lost, doubled, or late by up to LATE_MOST (and so out of order)."""
 
     lost: float = 0.0
-    doubled: float = 0.0
-    late: float = 0.0
+    duplicated: float = 0.0
+    delayed: float = 0.0
 
 
 class Network:
@@ -38,13 +38,13 @@
         if self.cuts and self.is_cut(sender, receiver):
             return []
         random, conditions = self.random, self.conditions
-        copies = 2 if conditions.doubled and random.random() < conditions.doubled else 1
+        copies = 2 if conditions.duplicated and random.random() < conditions.duplicated else 1
         found = []
         for _ in range(copies):
             if conditions.lost and random.random() < conditions.lost:
                 continue
             wait = random.randint(*LATENCY)
-            if conditions.late and random.random() < conditions.late:
+            if conditions.delayed and random.random() < conditions.delayed:
                 wait += random.randrange(LATE_MOST)
             found.append(now + wait)
         return found
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -416,7 +416,7 @@
         host, count = self.address.host, self.scenario.relays.count
         fronts, listens = ([(host, self.address.port()) for _ in range(count)] for _ in range(2))
         made = DatagramNetwork(fronts, listens, self.seed)
-        made.conditions(lost=SPOILT_SHARE, doubled=SPOILT_SHARE, late=SPOILT_SHARE)
+        made.set_conditions(lost=SPOILT_SHARE, duplicated=SPOILT_SHARE, delayed=SPOILT_SHARE)
         return made
 
     def membership_of(self, relay: int) -> Membership:
@@ -425,7 +425,7 @@
             return Membership()
         peers, listens = (
             [f"{host}:{port}" for host, port in addresses]
-            for addresses in (self.datagrams.fronts, self.datagrams.listens)
+            for addresses in (self.datagrams.front_addresses, self.datagrams.listen_addresses)
         )
         return Membership(on=True, listen=listens[relay], peers=peers, address=peers[relay])
 
--- a/limelatch/membership/codec.py
+++ b/limelatch/membership/codec.py
@@ -9,7 +9,7 @@
 from limelatch.membership.messages import (
     MAX_INCARNATION,
     Ack,
-    Drop,
+    DropReason,
     Fact,
     Gossip,
     Header,
@@ -47,7 +47,7 @@
 class BadDatagram(Exception):
     """A datagram that is dropped whole."""
 
-    def __init__(self, drop: Drop) -> None:
+    def __init__(self, drop: DropReason) -> None:
         super().__init__(drop.value)
         self.drop = drop
 
@@ -96,14 +96,14 @@
 
     def take(self, form: struct.Struct) -> tuple[int, ...]:
         if self.at + form.size > len(self.data):
-            raise BadDatagram(Drop.LENGTH)
+            raise BadDatagram(DropReason.LENGTH)
         found = form.unpack_from(self.data, self.at)
         self.at += form.size
         return found
 
     def byte(self) -> int:
         if self.at >= len(self.data):
-            raise BadDatagram(Drop.LENGTH)
+            raise BadDatagram(DropReason.LENGTH)
         self.at += 1
         return self.data[self.at - 1]
 
@@ -113,12 +113,12 @@
             value |= (byte & 127) << shift
             shift += 7
             if shift > 28:
-                raise BadDatagram(Drop.VALUE)
+                raise BadDatagram(DropReason.VALUE)
         return value | byte << shift
 
     def end(self) -> None:
         if self.at != len(self.data):
-            raise BadDatagram(Drop.LENGTH)
+            raise BadDatagram(DropReason.LENGTH)
 
 
 class Codec:
@@ -170,34 +170,34 @@
     def read(self, data: bytes) -> Message:
         """The message. Raises BadDatagram with the reason; nothing of a bad one is used."""
         if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
-            raise BadDatagram(Drop.LENGTH)
+            raise BadDatagram(DropReason.LENGTH)
         version, kind, sender, checksum, incarnation, sequence, digest, held = HEADER.unpack_from(data)
         if version != VERSION:
-            raise BadDatagram(Drop.VERSION)
+            raise BadDatagram(DropReason.VERSION)
         if checksum != self._checksum(data):
-            raise BadDatagram(Drop.CHECKSUM)
+            raise BadDatagram(DropReason.CHECKSUM)
         if sender >= self.members or sender == self.me:
-            raise BadDatagram(Drop.SENDER)
+            raise BadDatagram(DropReason.SENDER)
         if incarnation > MAX_INCARNATION or held > MAX_INCARNATION:
-            raise BadDatagram(Drop.VALUE)
+            raise BadDatagram(DropReason.VALUE)
         header, cursor = Header(sender, incarnation, sequence, digest, held), _Cursor(data, HEADER.size)
         if kind in PLAIN:
             message = PLAIN[kind](header, self._facts(cursor))
         elif kind in self._readers:
             message = self._readers[kind](header, cursor)
         else:
-            raise BadDatagram(Drop.KIND)
+            raise BadDatagram(DropReason.KIND)
         cursor.end()
         return message
 
     def _member(self, number: int) -> int:
         if number >= self.members:
-            raise BadDatagram(Drop.VALUE)
+            raise BadDatagram(DropReason.VALUE)
         return number
 
     def _incarnation(self, value: int) -> int:
         if not 1 <= value <= MAX_INCARNATION:
-            raise BadDatagram(Drop.VALUE)
+            raise BadDatagram(DropReason.VALUE)
         return value
 
     def _facts(self, cursor: _Cursor) -> tuple[Fact, ...]:
@@ -205,7 +205,7 @@
         for number in range(cursor.byte()):
             distance = cursor.varint()
             if number and not distance:  # the same member twice
-                raise BadDatagram(Drop.VALUE)
+                raise BadDatagram(DropReason.VALUE)
             member = self._member(member + distance)
             value = cursor.varint()
             state = State(value & (1 << STATE_BITS) - 1)
@@ -228,8 +228,8 @@
     def _page(self, header: Header, cursor: _Cursor) -> Page:
         first, end = cursor.take(RANGE)
         if not first < end <= self.members:
-            raise BadDatagram(Drop.VALUE)
+            raise BadDatagram(DropReason.VALUE)
         facts = self._facts(cursor)
         if any(not first <= fact.member < end for fact in facts):
-            raise BadDatagram(Drop.VALUE)
+            raise BadDatagram(DropReason.VALUE)
         return Page(header, first, end, facts)
--- a/limelatch/membership/detector.py
+++ b/limelatch/membership/detector.py
@@ -110,7 +110,7 @@
 
     def take_expired(self, now: int, timing: Timing) -> list[Probe]:
         """Those without an answer in their time; they are outstanding no longer."""
-        sent_by = now - timing.probe_wait
+        sent_by = now - timing.probe_timeout
         expired = [number for number, probe in self.outstanding.items() if probe.sent <= sent_by]
         found = [self.outstanding.pop(number) for number in expired]
         self.failed.extend(True for probe in found if probe.counts)
@@ -126,7 +126,7 @@
         return sum(self.failed) > HURRY_SHARE * HISTORY
 
 
-class Hearing:
+class Reachability:
     """Whether this member is answered, and whether it hears anything."""
 
     def __init__(self, now: int) -> None:
@@ -136,10 +136,10 @@
     def answered(self, now: int) -> None:
         self.answered_at, self.unanswered = now, 0
 
-    def judge(self, now: int, known: int, timing: Timing) -> Isolation | None:
+    def find_isolation(self, now: int, known: int, timing: Timing) -> Isolation | None:
         """Why it is isolated, None if it is not."""
         if self.unanswered < ISOLATED_PROBES or known < ISOLATED_KNOWN:
             return None
-        if now - self.answered_at < timing.isolated:
+        if now - self.answered_at < timing.isolation_timeout:
             return None
-        return Isolation.DEAF if now - self.heard_at >= timing.isolated else Isolation.UNANSWERED
+        return Isolation.DEAF if now - self.heard_at >= timing.isolation_timeout else Isolation.UNANSWERED
--- a/limelatch/membership/exchange.py
+++ b/limelatch/membership/exchange.py
@@ -66,7 +66,7 @@
         last = min(first + PAGE_MEMBERS, len(self.view.words))
         facts, room = [], FACTS_ROOM
         for member in range(first, last):
-            if not self.view.known(member):
+            if not self.view.is_known(member):
                 continue
             fact = self.registry.fact(now, member)
             if fact_bytes(fact) > room:
@@ -84,7 +84,7 @@
         """A page has come, and is not learned yet: while pages tell of unknown members the next is asked for.
 
         Guards against a member just started that knows half of the others and asks once in ten seconds."""
-        if any(not self.view.known(fact.member) for fact in page.facts):
+        if any(not self.view.is_known(fact.member) for fact in page.facts):
             self._learns_until = now + LEARNS_FOR
 
     def compare(self, now: int, page: Page) -> None:
@@ -93,7 +93,7 @@
         newer = []
         for member in range(page.first, page.end):
             fact = told.get(member)
-            if self.view.known(member) and (fact is None or self._newer_here(fact)):
+            if self.view.is_known(member) and (fact is None or self._newer_here(fact)):
                 newer.append(member)
         for member in newer:
             self.outbox.queue.add(member)
--- a/limelatch/membership/member.py
+++ b/limelatch/membership/member.py
@@ -17,7 +17,7 @@
     MAX_INCARNATION,
     Ack,
     Datagram,
-    Drop,
+    DropReason,
     Event,
     Fact,
     Gossip,
@@ -66,14 +66,18 @@
         self.queue = FactQueue(transmissions(count))
         self.outbox = Outbox(now, self.codec, self.queue, lambda member: self.registry.fact(self.now, member))
         self.exchange = Exchange(self.registry, self.outbox, self._header)
-        self.drops = dict.fromkeys(Drop, 0)
+        self.drops = dict.fromkeys(DropReason, 0)
         self._events: list[Event] = []
-        self._asking_until = now + 2 * self.timing.asking
+        self._asking_until = now + 2 * self.timing.incarnation_query_time
         self._answers_while_asking = 0
         self.incarnation, self.has_left = 0, False
-        start = now + random.randrange(self.timing.period)
+        start = now + random.randrange(self.timing.probe_period)
         self.prober = Prober(me, start, random, self.timing, self.registry, self.outbox, self._header, zones)
-        self.rounds, self.probes, self.hearing = self.prober.rounds, self.prober.probes, self.prober.hearing
+        self.rounds, self.probes, self.reachability = (
+            self.prober.rounds,
+            self.prober.probes,
+            self.prober.reachability,
+        )
         self.due = self._push_at = self._page_at = start
         if incarnation:
             self._join(incarnation)
@@ -94,13 +98,13 @@
         if self.has_left:
             return
         self.outbox.refill(now)
-        if late > self.timing.late:
+        if late > self.timing.late_tick:
             self._did_not_run(late)
         if not self.incarnation:
             self._ask()
         unanswered = self.prober.expire(now)
-        self._judge_hearing()
-        if self.hearing.isolation is None:
+        self._update_isolation()
+        if self.reachability.isolation is None:
             for probe in unanswered:
                 self.registry.suspect(now, probe.target, probe.sent)
             self.registry.judge(now)
@@ -108,7 +112,7 @@
         self._push()
         self.due = self._next_due()
 
-    def received(self, now: int, data: bytes, sender: int | None) -> Drop | None:
+    def received(self, now: int, data: bytes, sender: int | None) -> DropReason | None:
         """A datagram from a member's address; None: from another one. Returns why it was dropped, if so."""
         self.now = max(now, self.now)
         drop = self._read(data, sender)
@@ -119,11 +123,11 @@
     def refused(self, now: int, member: int) -> None:
         """A datagram to this member came to a closed port: its process is gone."""
         self.now = max(now, self.now)
-        usable = not self.has_left and self.hearing.isolation is None
+        usable = not self.has_left and self.reachability.isolation is None
         if usable and member != self.me and self.view.is_present(member):
             self.registry.refused(self.now, member)
 
-    def doubtful(self) -> list[int]:
+    def unresponsive_members(self) -> list[int]:
         """Members that have not answered: worth a look whether their processes are gone."""
         late = self.prober.late_targets()
         own = [member for member, each in self.registry.suspicions.items() if each.own]
@@ -146,7 +150,7 @@
 
     def _ask(self) -> None:
         """Guards against passing for an earlier process: others say what they hold of it."""
-        half = self._asking_until - self.timing.asking
+        half = self._asking_until - self.timing.incarnation_query_time
         if self.now >= self._asking_until or self.now >= half and self._answers_while_asking:
             self._join(min(self.registry.held_of_self + 1, MAX_INCARNATION))
 
@@ -172,18 +176,20 @@
     def _did_not_run(self, late: int) -> None:
         """The process did not run for so long: answers may have been missed, so nobody is judged by them."""
         self.prober.void()
-        self.registry.postpone(self.now, late + self.timing.grace)
-        self.hearing.answered_at += late
-        self.hearing.heard_at += late
+        self.registry.postpone(self.now, late + self.timing.late_tick_grace)
+        self.reachability.answered_at += late
+        self.reachability.heard_at += late
 
-    def _judge_hearing(self) -> None:
+    def _update_isolation(self) -> None:
         """Whether this member is isolated; what it suspected is begun anew once it is no longer."""
         known = self.view.present - 1 if self.incarnation else self.view.present
-        before = self.hearing.isolation
-        isolation = self.hearing.judge(self.now, known + self.view.counts[State.DEAD], self.timing)
+        before = self.reachability.isolation
+        isolation = self.reachability.find_isolation(
+            self.now, known + self.view.counts[State.DEAD], self.timing
+        )
         if isolation != before:
-            self.hearing.isolation = isolation
-            self._events.append(IsolationChanged(isolation, self.now - self.hearing.answered_at))
+            self.reachability.isolation = isolation
+            self._events.append(IsolationChanged(isolation, self.now - self.reachability.answered_at))
         if isolation is None and before is not None:
             self.registry.start_anew(self.now)
 
@@ -194,7 +200,9 @@
             self.queue.add(member)
         if self.now < self._push_at:
             return
-        self._push_at = self.now + (self.timing.period // 2 if self.probes.hurried else self.timing.period)
+        self._push_at = self.now + (
+            self.timing.probe_period // 2 if self.probes.hurried else self.timing.probe_period
+        )
         if len(self.queue):
             hurried = self.probes.hurried
             some = self.rounds.some_heard(PUSHES) if hurried else self.rounds.some_alive(PUSHES, self.me)
@@ -202,7 +210,7 @@
                 if self.outbox.affords_facts(PUSH_BYTES):
                     self.outbox.send(member, Gossip, self._header(member))
         if self.now >= self._page_at and self.exchange.ask(self.now, len(self.queue)):
-            self._page_at = self.now + self.timing.page_wait
+            self._page_at = self.now + self.timing.page_interval
 
     def _next_due(self) -> int:
         waits = self.registry.suspicions or self.registry.refusals
@@ -216,27 +224,27 @@
 
     # Datagrams.
 
-    def _read(self, data: bytes, sender: int | None) -> Drop | None:
+    def _read(self, data: bytes, sender: int | None) -> DropReason | None:
         if sender is None:
-            return Drop.SENDER
+            return DropReason.SENDER
         try:
             message = self.codec.read(data)
         except BadDatagram as error:
             return error.drop
         header = message.header
         if header.sender != sender:
-            return Drop.SENDER
+            return DropReason.SENDER
         self.outbox.received(len(data))
         self.rounds.heard(sender)
         if self.has_left:
             return None
-        self.hearing.heard_at = self.now
+        self.reachability.heard_at = self.now
         if header.held > self.incarnation:
             self._go_over(header.held)
         if header.incarnation < self.view.incarnations[sender]:
             if isinstance(message, Ping):  # an earlier process, or one that asks what is held of it
                 self.outbox.send(sender, Ack, self._header(sender, header.sequence))
-            return Drop.STALE if header.incarnation else None
+            return DropReason.STALE if header.incarnation else None
         if header.incarnation:
             self.registry.learn(self.now, Fact(sender, header.incarnation, State.ALIVE), sender)
         self._take(message)
--- a/limelatch/membership/messages.py
+++ b/limelatch/membership/messages.py
@@ -99,7 +99,7 @@
 Message = Ping | Ack | Gossip | IndirectPing | IndirectAck | PageDigests | Page
 
 
-class Drop(Enum):
+class DropReason(Enum):
     """Why a datagram was dropped whole."""
 
     LENGTH = "length"
--- a/limelatch/membership/prober.py
+++ b/limelatch/membership/prober.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from limelatch.interface import SECOND
-from limelatch.membership.detector import Hearing, Probe, Probes, Rounds
+from limelatch.membership.detector import Reachability, Probe, Probes, Rounds
 from limelatch.membership.messages import Header, IndirectAck, IndirectPing, Ping
 from limelatch.membership.outbox import DATAGRAM_LEAST, Outbox
 from limelatch.membership.registry import Registry
@@ -35,20 +35,20 @@
         self.me, self.random, self.timing, self.zones = me, random, timing, zones
         self.registry, self.view, self.outbox, self.header = registry, registry.view, outbox, header
         self.rounds, self.probes = Rounds(me, self.view, random), Probes(random)
-        self.hearing = Hearing(start)
+        self.reachability = Reachability(start)
         self.probe_at = self.absent_at = self._own_at = start
         self._relayed: dict[int, tuple[int, int, int]] = {}  # own sequence -> asker, its sequence, until
 
     def expire(self, now: int) -> list[Probe]:
         """Ask others where the direct answer is late; return the probes of the round that had none at all."""
         for probe in list(self.probes.outstanding.values()):
-            if not probe.asked_others and probe.counts and now - probe.sent >= self.timing.direct_wait:
+            if not probe.asked_others and probe.counts and now - probe.sent >= self.timing.direct_ack_timeout:
                 probe.asked_others = True
                 self._ask_others(now, probe)
         for sequence in [each for each, (_, _, until) in self._relayed.items() if until <= now]:
             del self._relayed[sequence]
         unanswered = [each for each in self.probes.take_expired(now, self.timing) if each.counts]
-        self.hearing.unanswered += len(unanswered)
+        self.reachability.unanswered += len(unanswered)
         return unanswered
 
     def _ask_others(self, now: int, probe: Probe) -> None:
@@ -78,8 +78,8 @@
     def _probe_round(self, now: int) -> None:
         if now < self.probe_at:
             return
-        hurried = self.probes.hurried and self.hearing.isolation is None
-        period = self.timing.hurried_period if hurried else self.timing.period
+        hurried = self.probes.hurried and self.reachability.isolation is None
+        period = self.timing.fast_probe_period if hurried else self.timing.probe_period
         self.probe_at = max(self.probe_at + period, now + period // 2)
         target, counts = self.rounds.next_present(unsuspected=hurried), True
         if target is None and hurried:  # all are suspect: their silence tells that this member is isolated
@@ -92,7 +92,7 @@
     def _probe_absent(self, now: int) -> None:
         if now < self.absent_at:
             return
-        self.absent_at = now + self.timing.absent_probe
+        self.absent_at = now + self.timing.absent_probe_interval
         target = self.rounds.next_absent() if self._tries_absent() else None
         if target is not None:
             self._ping(now, target, self.probes.begin(now, target, counts=False))
@@ -102,7 +102,7 @@
             return
         suspect = self.registry.next_own_probe(now)
         if suspect is not None:
-            self._own_at = now + self.timing.own_probes_apart
+            self._own_at = now + self.timing.suspect_probe_gap
             self._ping(now, suspect, self.probes.begin(now, suspect, counts=False))
 
     def _tries_absent(self) -> bool:
@@ -134,7 +134,7 @@
             return False
         if self.probes.answered(sequence, target) is None:
             return False
-        self.hearing.answered(now)
+        self.reachability.answered(now)
         return True
 
     def void(self) -> None:
@@ -153,7 +153,7 @@
     def _pass_on(self, now: int, sequence: int, target: int, incarnation: int) -> None:
         if self.probes.answered(sequence, target) is not None and incarnation:
             asker, asked, _ = self._relayed.pop(sequence)
-            self.hearing.answered(now)
+            self.reachability.answered(now)
             self.outbox.send(
                 asker, IndirectAck, self.header(asker, asked), target, incarnation, tail=TARGET_ACK_BYTES
             )
--- a/limelatch/membership/registry.py
+++ b/limelatch/membership/registry.py
@@ -44,7 +44,7 @@
 
     def bad_news(self, now: int, member: int) -> Fact | None:
         """What a member should hear of itself at once."""
-        bad = self.view.known(member) and self.view.states[member] is not State.ALIVE
+        bad = self.view.is_known(member) and self.view.states[member] is not State.ALIVE
         return self.fact(now, member) if bad else None
 
     def learn(self, now: int, fact: Fact, teller: int, of_page: bool = False) -> None:
@@ -53,7 +53,7 @@
         Who is alive, and comes in a page to a member that did not know it, is no news to the others."""
         member = fact.member
         if self.view.newer(fact):
-            known = self.view.known(member) or fact.state is not State.ALIVE
+            known = self.view.is_known(member) or fact.state is not State.ALIVE
             self._change(now, fact, f"told by member {teller}", news=known or not of_page)
         same = fact.incarnation == self.view.incarnations[member] and fact.state is State.SUSPECT
         if same and fact.witness and (suspicion := self.suspicions.get(member)) is not None:
@@ -61,7 +61,7 @@
 
     def _change(self, now: int, fact: Fact, why: str, news: bool = True) -> None:
         member, view = fact.member, self.view
-        known, before = view.known(member), view.states[member]
+        known, before = view.is_known(member), view.states[member]
         after, suspicion = 0, self.suspicions.pop(member, None)
         if fact.state is not State.SUSPECT:
             self.refusals.pop(member, None)
@@ -71,7 +71,7 @@
         if news:
             self._news.append(member)
         if fact.state is State.SUSPECT:
-            most = self.timing.hearsay - FORETOLD_LEAST
+            most = self.timing.reported_suspicion - FORETOLD_LEAST
             since = now - min(fact.age * AGE_UNIT, most)
             self.suspicions[member] = Suspicion(since, own=False, next_probe=now)
         if not known or before is not fact.state:
@@ -98,7 +98,9 @@
         One refusal is no suspicion: the member may just have left, or be starting again."""
         if not self.view.is_present(member):
             return
-        refusals = self.refusals.setdefault(member, Refusals(now, next_probe=now + self.timing.refused_apart))
+        refusals = self.refusals.setdefault(
+            member, Refusals(now, next_probe=now + self.timing.refusal_interval)
+        )
         if refusals.add(now, self.timing):
             self.suspect(now, member, refusals.first_at)
             self.suspicions[member].refused = True
@@ -127,7 +129,7 @@
         _, member = min(due)
         for waits in (self.suspicions.get(member), self.refusals.get(member)):
             if waits is not None:
-                waits.next_probe = now + self.timing.own_probe
+                waits.next_probe = now + self.timing.suspect_probe_interval
         return member
 
     def judge(self, now: int) -> None:
--- a/limelatch/membership/suspicion.py
+++ b/limelatch/membership/suspicion.py
@@ -21,7 +21,7 @@
 
     def add(self, now: int, timing: Timing) -> bool:
         """One more, a burst counts once; whether they are enough."""
-        if not self.count or now - self.counted_at >= timing.refused_apart:
+        if not self.count or now - self.counted_at >= timing.refusal_interval:
             self.count, self.counted_at = self.count + 1, now
         return self.count >= REFUSALS
 
@@ -43,10 +43,14 @@
     def ends_at(self, timing: Timing) -> int:
         """When it becomes a verdict."""
         if self.refused:
-            return self.since + timing.refused
+            return self.since + timing.refused_suspicion
         if not self.own:
-            return self.since + timing.hearsay
-        return self.since + (timing.suspicion if len(self.witnesses) >= CONFIRMATIONS else timing.unconfirmed)
+            return self.since + timing.reported_suspicion
+        return self.since + (
+            timing.confirmed_suspicion
+            if len(self.witnesses) >= CONFIRMATIONS
+            else timing.unconfirmed_suspicion
+        )
 
     def why(self) -> str:
         if self.refused:
--- a/limelatch/membership/timing.py
+++ b/limelatch/membership/timing.py
@@ -15,35 +15,37 @@
 class Timing:
     """All spans follow from the probe period and the pause that is to be borne without a verdict."""
 
-    period: int = 500 * MS
+    probe_period: int = 500 * MS
     pause: int = 5 * SECOND
     tick: int = 100 * MS
-    late: int = 250 * MS  # of a tick: the process did not run
-    grace: int = 1500 * MS  # after a late tick, before anybody is judged
-    hurried_period: int = 125 * MS  # while many probes fail
-    direct_wait: int = 500 * MS  # for a direct answer, then others are asked
-    probe_wait: int = 1500 * MS  # for any answer, then the member is suspect
-    own_probe: int = SECOND  # between own probes of one suspect
-    own_probes_apart: int = 350 * MS  # between own probes of any two
-    refused: int = 1500 * MS  # suspicion of a member whose port is closed
-    refused_apart: int = SECOND  # between two refusals that count
-    absent_probe: int = SECOND  # between probes of dead and unknown members
-    page_wait: int = SECOND  # between page digests
-    isolated: int = 3 * SECOND  # without any answer
-    asking: int = SECOND  # for answers that tell an earlier process's incarnation; twice that without one
+    late_tick: int = 250 * MS  # of a tick: the process did not run
+    late_tick_grace: int = 1500 * MS  # after a late tick, before anybody is judged
+    fast_probe_period: int = 125 * MS  # while many probes fail
+    direct_ack_timeout: int = 500 * MS  # for a direct answer, then others are asked
+    probe_timeout: int = 1500 * MS  # for any answer, then the member is suspect
+    suspect_probe_interval: int = SECOND  # between own probes of one suspect
+    suspect_probe_gap: int = 350 * MS  # between own probes of any two
+    refused_suspicion: int = 1500 * MS  # suspicion of a member whose port is closed
+    refusal_interval: int = SECOND  # between two refusals that count
+    absent_probe_interval: int = SECOND  # between probes of dead and unknown members
+    page_interval: int = SECOND  # between page digests
+    isolation_timeout: int = 3 * SECOND  # without any answer
+    incarnation_query_time: int = (
+        SECOND  # for answers that tell an earlier process's incarnation; twice that without one
+    )
 
     @property
-    def suspicion(self) -> int:
+    def confirmed_suspicion(self) -> int:
         """From the unanswered probe to the verdict, where others confirm it."""
         return self.pause + 1250 * MS
 
     @property
-    def unconfirmed(self) -> int:
+    def unconfirmed_suspicion(self) -> int:
         """The same where nobody does."""
         return self.pause + 4500 * MS
 
     @property
-    def hearsay(self) -> int:
+    def reported_suspicion(self) -> int:
         """From the unanswered probe of another member, where no verdict comes."""
         return self.pause + 5 * SECOND
 
--- a/limelatch/membership/view.py
+++ b/limelatch/membership/view.py
@@ -34,19 +34,19 @@
         self.digest = 0
         self.counts = dict.fromkeys(State, 0)
 
-    def known(self, member: int) -> bool:
+    def is_known(self, member: int) -> bool:
         return self.incarnations[member] != UNKNOWN
 
     def is_present(self, member: int) -> bool:
         """Alive or suspect."""
-        return self.known(member) and self.states[member] not in GONE
+        return self.is_known(member) and self.states[member] not in GONE
 
     def is_alive(self, member: int) -> bool:
         """Alive, and not suspect."""
-        return self.known(member) and self.states[member] is State.ALIVE
+        return self.is_known(member) and self.states[member] is State.ALIVE
 
     def has_left(self, member: int) -> bool:
-        return self.known(member) and self.states[member] is State.LEFT
+        return self.is_known(member) and self.states[member] is State.LEFT
 
     def newer(self, fact: Fact) -> bool:
         """Whether the fact goes before what is held."""
@@ -57,7 +57,7 @@
 
     def put(self, member: int, incarnation: int, state: State) -> None:
         """Hold this of a member, whatever was held before."""
-        if self.known(member):
+        if self.is_known(member):
             self.counts[self.states[member]] -= 1
         self.counts[state] += 1
         word = digest_word(member, incarnation, state)
--- a/limelatch/relay/peers.py
+++ b/limelatch/relay/peers.py
@@ -17,7 +17,7 @@
 from limelatch.membership.codec import MAX_DATAGRAM_BYTES
 from limelatch.membership.member import Member
 from limelatch.membership.messages import (
-    Drop,
+    DropReason,
     Event,
     IsolationChanged,
     Joined,
@@ -113,7 +113,7 @@
         view = self.member.view
         counts = {state.name.lower(): view.counts[state] for state in State}
         counts["unknown"] = len(self.addresses) - sum(counts.values())
-        isolation = self.member.hearing.isolation
+        isolation = self.member.reachability.isolation
         first = next((number for number in range(len(self.addresses)) if not view.is_alive(number)), None)
         first_name = "" if first is None else f"{self.plan.peers[first]}:{self._state(first)}"
         return MembershipSummary(
@@ -122,7 +122,7 @@
 
     def _state(self, number: int) -> str:
         view = self.member.view
-        return view.states[number].name.lower() if view.known(number) else "unknown"
+        return view.states[number].name.lower() if view.is_known(number) else "unknown"
 
     # Datagrams and the timer.
 
@@ -135,7 +135,7 @@
             self._read_count, self._read_until = 0, now + READ_INTERVAL
         self._read_count += 1
         if self._read_count > MAX_READS:
-            self.member.drops[Drop.FLOOD] += 1
+            self.member.drops[DropReason.FLOOD] += 1
             self.port.stopReading()
             self.deadlines.at(self._read_until, self._resume_reading)
             return
@@ -156,7 +156,7 @@
             for number in self.closed_ports.refused(now):
                 self.member.refused(now, number)
             self.member.tick(now)
-            for number in self.member.doubtful():
+            for number in self.member.unresponsive_members():
                 self.closed_ports.check(now, number, self.addresses[number])
         finally:
             self._timer = None
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -23,7 +23,7 @@
 from limelatch.membership.messages import (
     MAX_INCARNATION,
     Ack,
-    Drop,
+    DropReason,
     Fact,
     Gossip,
     Header,
@@ -117,23 +117,23 @@
 @pytest.mark.parametrize(
     "data, drop",
     [
-        (sealed(b"\x02" + HEAD[1:] + b"\0"), Drop.VERSION),
-        (sealed(b"\x01\x09" + HEAD[2:] + b"\0"), Drop.KIND),
-        (HEAD + b"\0", Drop.CHECKSUM),
-        (sealed(HEAD + b"\0", key=1), Drop.CHECKSUM),
-        (sealed(HEAD[:2] + struct.pack(">H", COUNT) + HEAD[4:] + b"\0"), Drop.SENDER),
-        (sealed(HEAD[:2] + struct.pack(">H", 0) + HEAD[4:] + b"\0"), Drop.SENDER),
-        (sealed(HEAD[:8] + struct.pack(">I", MAX_INCARNATION + 1) + HEAD[12:] + b"\0"), Drop.VALUE),
-        (sealed(HEAD + b"\x01\x28\x04"), Drop.VALUE),
-        (sealed(HEAD + b"\x01\x01\x00"), Drop.VALUE),
-        (sealed(HEAD + b"\x02\x01\x04\x00\x04"), Drop.VALUE),
-        (sealed(HEAD + b"\x01\x01\xff\xff\xff\xff\x7f"), Drop.VALUE),
-        (sealed(HEAD + b"\x02\x01\x04"), Drop.LENGTH),
-        (sealed(HEAD + b"\0\0"), Drop.LENGTH),
-        (HEAD, Drop.CHECKSUM),
-        (sealed(HEAD), Drop.LENGTH),
-        (b"", Drop.LENGTH),
-        (bytes(257), Drop.LENGTH),
+        (sealed(b"\x02" + HEAD[1:] + b"\0"), DropReason.VERSION),
+        (sealed(b"\x01\x09" + HEAD[2:] + b"\0"), DropReason.KIND),
+        (HEAD + b"\0", DropReason.CHECKSUM),
+        (sealed(HEAD + b"\0", key=1), DropReason.CHECKSUM),
+        (sealed(HEAD[:2] + struct.pack(">H", COUNT) + HEAD[4:] + b"\0"), DropReason.SENDER),
+        (sealed(HEAD[:2] + struct.pack(">H", 0) + HEAD[4:] + b"\0"), DropReason.SENDER),
+        (sealed(HEAD[:8] + struct.pack(">I", MAX_INCARNATION + 1) + HEAD[12:] + b"\0"), DropReason.VALUE),
+        (sealed(HEAD + b"\x01\x28\x04"), DropReason.VALUE),
+        (sealed(HEAD + b"\x01\x01\x00"), DropReason.VALUE),
+        (sealed(HEAD + b"\x02\x01\x04\x00\x04"), DropReason.VALUE),
+        (sealed(HEAD + b"\x01\x01\xff\xff\xff\xff\x7f"), DropReason.VALUE),
+        (sealed(HEAD + b"\x02\x01\x04"), DropReason.LENGTH),
+        (sealed(HEAD + b"\0\0"), DropReason.LENGTH),
+        (HEAD, DropReason.CHECKSUM),
+        (sealed(HEAD), DropReason.LENGTH),
+        (b"", DropReason.LENGTH),
+        (bytes(257), DropReason.LENGTH),
     ],
 )
 def test_each_bad_datagram_has_its_reason(data, drop):
@@ -204,7 +204,7 @@
     suspicion.confirm(4)
     confirmed = suspicion.ends_at(TIMING)
     refusals = Refusals(NOW, next_probe=NOW)
-    waits = (0, TIMING.refused_apart - 1, TIMING.refused_apart)
+    waits = (0, TIMING.refusal_interval - 1, TIMING.refusal_interval)
     enough = [refusals.add(NOW + wait, TIMING) for wait in waits]
     assert enough == [False, False, True]  # a burst counts once
     suspicion.refused = True
@@ -220,7 +220,7 @@
     assert not probes.hurried
     for _ in range(HISTORY // 2):
         probes.begin(NOW, 5, counts=True)
-    assert len(probes.take_expired(NOW + TIMING.probe_wait, TIMING)) == HISTORY // 2 and probes.hurried
+    assert len(probes.take_expired(NOW + TIMING.probe_timeout, TIMING)) == HISTORY // 2 and probes.hurried
 
 
 # One member by hand: the others are this test.
@@ -272,7 +272,7 @@
         return self
 
     def state(self, member):
-        return self.member.view.states[member] if self.member.view.known(member) else None
+        return self.member.view.states[member] if self.member.view.is_known(member) else None
 
     def changes(self, member):
         return [
@@ -372,18 +372,18 @@
     hand.tell(3, Gossip, incarnation=5)
     before = list(hand.member.view.incarnations), hand.member.view.digest
     hand.sent.clear()
-    assert hand.tell(3, Gossip, (Fact(4, 9, State.DEAD),), incarnation=4) is Drop.STALE
-    assert hand.tell(3, Ping, (Fact(4, 9, State.DEAD),), incarnation=4) is Drop.STALE
+    assert hand.tell(3, Gossip, (Fact(4, 9, State.DEAD),), incarnation=4) is DropReason.STALE
+    assert hand.tell(3, Ping, (Fact(4, 9, State.DEAD),), incarnation=4) is DropReason.STALE
     assert (list(hand.member.view.incarnations), hand.member.view.digest) == before
     assert [message.header.held for to, message in hand.sent if to == 3 and isinstance(message, Ack)] == [5]
 
 
 def test_a_datagram_from_another_address_than_its_senders_is_dropped():
     hand = Hand().know()
-    assert hand.tell(3, Gossip, (Fact(4, 9, State.DEAD),), address=5) is Drop.SENDER
+    assert hand.tell(3, Gossip, (Fact(4, 9, State.DEAD),), address=5) is DropReason.SENDER
     data = codec(me=3).write(Gossip(Header(3, 1, 0, 0, 0), ()))
-    assert hand.member.received(hand.now, data, None) is Drop.SENDER
-    assert hand.state(4) is State.ALIVE and hand.member.drops[Drop.SENDER] == 2
+    assert hand.member.received(hand.now, data, None) is DropReason.SENDER
+    assert hand.state(4) is State.ALIVE and hand.member.drops[DropReason.SENDER] == 2
 
 
 def test_one_that_left_is_neither_suspect_nor_dead_and_comes_back_with_a_higher_incarnation():
@@ -413,7 +413,7 @@
     hand.member.tick(hand.now)
     hand._took()
     assert hand.state(4) is State.SUSPECT
-    hand.run(TIMING.grace, others(hand))
+    hand.run(TIMING.late_tick_grace, others(hand))
     assert all(hand.state(member) is State.ALIVE for member in others(hand))
 
 
@@ -444,7 +444,7 @@
         hand = Hand(count=10).know()
         for _ in range(times):
             hand.member.refused(hand.now, 4)
-            hand.run(TIMING.refused_apart, others(hand, 4))
+            hand.run(TIMING.refusal_interval, others(hand, 4))
         hand.run(SECOND, others(hand, 4))
         verdicts.append(hand.state(4))
     assert verdicts == [State.ALIVE, State.DEAD]
--- a/tests/test_membership_fleets.py
+++ b/tests/test_membership_fleets.py
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("share", [0.05, 0.1])
 def test_lost_doubled_and_late_datagrams_are_no_verdict(count, seed, share):
     one = fleet(count, seed)
-    one.network.conditions = Conditions(lost=share, doubled=share, late=share)
+    one.network.conditions = Conditions(lost=share, duplicated=share, delayed=share)
     one.run(one.now + 120 * SECOND)
     assert one.verdicts == []
     one.network.conditions = Conditions()
@@ -193,7 +193,7 @@
     runs = []
     for _ in range(2):
         one = fleet(10, 5)
-        one.network.conditions = Conditions(lost=0.3, doubled=0.1, late=0.2)
+        one.network.conditions = Conditions(lost=0.3, duplicated=0.1, delayed=0.2)
         one.kill(3)
         one.run(one.now + 30 * SECOND)
         runs.append((list(one.trace), one.verdicts, [each.bytes_windows for each in one.processes]))
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -60,7 +60,7 @@
         host = "127.{}.{}.{}".format(*(1 + number % 254 for number in os.urandom(3)))
         listens = [address_of(host, socket.SOCK_DGRAM) for _ in range(COUNT)]
         self.network = DatagramNetwork([(host, 0)] * COUNT, listens)
-        peers = ["{}:{}".format(*front) for front in self.network.fronts]
+        peers = ["{}:{}".format(*front) for front in self.network.front_addresses]
         self.relays, self.count = [], 0
         for number in range(COUNT):
             place = folder / f"relay-{number}"
@@ -273,7 +273,7 @@
 
 
 def test_both_sides_of_a_cut_agree_and_all_agree_after_it(fleet):
-    fleet.network.part({0, 1})
+    fleet.network.partition({0, 1})
     fleet.until(lambda: [view["dead"] for view in fleet.views()] == [3, 3, 2, 2, 2])
     for number in range(COUNT):
         fleet.submit(number)
@@ -283,7 +283,7 @@
 
 
 def test_lost_doubled_and_late_datagrams_are_no_verdict(fleet):
-    fleet.network.conditions(lost=0.1, doubled=0.1, late=0.1)
+    fleet.network.set_conditions(lost=0.1, duplicated=0.1, delayed=0.1)
     passed = fleet.network.passed.total()
     for number in range(10):
         fleet.submit(number % COUNT)
@@ -294,7 +294,7 @@
 
 def test_a_flood_and_nonsense_are_dropped_and_hurt_no_text(fleet):
     stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    listen = fleet.network.listens[0]
+    listen = fleet.network.listen_addresses[0]
     for number in range(5000):
         stranger.sendto(bytes([number % 256]) * (number % 300), listen)
     fleet.network.sockets[1].sendto(b"\x01" * 40, listen)  # nonsense from a member's address
--- a/tests/test_membership_relay.py
+++ b/tests/test_membership_relay.py
@@ -12,7 +12,7 @@
 from limelatch.configuration.files import load
 from limelatch.configuration.plan import plan_of
 from limelatch.interface import MS, SECOND
-from limelatch.membership.messages import Drop, Fact, State
+from limelatch.membership.messages import DropReason, Fact, State
 from limelatch.membership.view import MAX_MEMBERS
 from limelatch.relay.closed_ports import MAX_CHECKS, REFUSAL_TIMEOUT, ClosedPorts
 from limelatch.relay.deadlines import Deadline
@@ -53,7 +53,7 @@
     more = 'zones = ["west", "east", "west"]\npause = "2s"\nprobe_period = "250ms"\n'
     plan = plan_of(load_configuration(tmp_path, more=more)).membership
     assert (plan.number, plan.zones) == (1, [1, 0, 1])
-    assert (plan.timing.pause, plan.timing.period) == (2 * SECOND, 250 * MS)
+    assert (plan.timing.pause, plan.timing.probe_period) == (2 * SECOND, 250 * MS)
     moved = plan_of(load_configuration(tmp_path, more='address = "10.0.0.5:7946"\n')).membership
     assert moved.number == 2 and str(moved.listen) == "10.0.0.4:7946"
 
@@ -194,7 +194,7 @@
     for number in range(10_000):
         peers.datagramReceived(b"x" * 40, ("10.0.0.3", 7946) if number % 2 else ("10.9.9.9", 1))
     assert len(received) == MAX_READS and set(received) == {None, 0} and not environment.reading
-    assert peers.member.drops[Drop.FLOOD] == 10_000 - MAX_READS
+    assert peers.member.drops[DropReason.FLOOD] == 10_000 - MAX_READS
     environment.time += READ_INTERVAL
     [call for when, call in environment.due if when <= environment.time][-1]()
     peers.datagramReceived(b"x" * 40, ("10.0.0.3", 7946))
