--- a/limelatch/lab/membership/baselines.py
+++ b/limelatch/lab/membership/baselines.py
@@ -14,7 +14,7 @@
 from limelatch.membership.registry import Registry
 from limelatch.membership.view import View
 
-HEARTBEAT_EACH, HEARTBEATS_MISSED = SECOND, 3
+HEARTBEAT_INTERVAL, MAX_MISSED_HEARTBEATS = SECOND, 3
 NEVER = 1 << 62
 
 
@@ -23,9 +23,9 @@
 
     def __init__(self, peers: Sequence[str], me: int, incarnation: int, random: Random, now: int) -> None:
         self.me, self.now, self.incarnation = me, now, max(1, incarnation)
-        self.view, self.heard_at = View(len(peers)), [now] * len(peers)
-        self.view.put(me, self.incarnation, State.ALIVE)
-        self.due = now + random.randrange(HEARTBEAT_EACH)
+        self.view, self.received_at = View(len(peers)), [now] * len(peers)
+        self.view.set_state(me, self.incarnation, State.ALIVE)
+        self.due = now + random.randrange(HEARTBEAT_INTERVAL)
         self._datagrams: list[Datagram] = []
         self._events: list[Event] = []
 
@@ -37,28 +37,28 @@
 
     def tick(self, now: int) -> None:
         """Send a heartbeat to all, and judge those that were not heard."""
-        self.now, self.due = now, now + HEARTBEAT_EACH
+        self.now, self.due = now, now + HEARTBEAT_INTERVAL
         data = b"%d %d" % (self.me, self.incarnation)
-        for member in range(len(self.heard_at)):
+        for member in range(len(self.received_at)):
             if member == self.me:
                 continue
             self._datagrams.append(Datagram(member, data))
-            silent = now - self.heard_at[member] > HEARTBEATS_MISSED * HEARTBEAT_EACH
+            silent = now - self.received_at[member] > MAX_MISSED_HEARTBEATS * HEARTBEAT_INTERVAL
             if silent and self.view.is_present(member):
                 self._change(member, State.SUSPECT)
                 self._change(member, State.DEAD)
 
     def _change(self, member: int, state: State) -> None:
         incarnation = self.view.incarnations[member]
-        self.view.put(member, incarnation, state)
+        self.view.set_state(member, incarnation, state)
         self._events.append(MemberChanged(member, state, incarnation, "missed"))
 
     def received(self, now: int, data: bytes, sender: int | None) -> DropReason | None:
         """A heartbeat."""
         _, incarnation = data.split()
-        self.heard_at[sender] = now
+        self.received_at[sender] = now
         if not self.view.is_alive(sender):
-            self.view.put(sender, int(incarnation), State.ALIVE)
+            self.view.set_state(sender, int(incarnation), State.ALIVE)
             self._events.append(MemberChanged(sender, State.ALIVE, int(incarnation), "heard"))
         return None
 
@@ -73,11 +73,11 @@
 class PlainRegistry(Registry):
     """Suspicions by hearsay and by own probes last alike, and nobody probes a suspect beside the round."""
 
-    def next_own_probe(self, now: int) -> int | None:
+    def next_suspect_to_probe(self, now: int) -> int | None:
         """Never."""
         return None
 
-    def judge(self, now: int) -> None:
+    def expire_suspicions(self, now: int) -> None:
         """Every suspicion ends after the confirmed one's time."""
         for member, suspicion in list(self.suspicions.items()):
             if suspicion.since + self.timing.confirmed_suspicion <= now:
@@ -88,9 +88,9 @@
     """SWIM as first published: one suspicion time, no own probes of a suspect, and no notice of refusals, of
     isolation or of a process that did not run."""
 
-    registry_of = PlainRegistry
+    registry_class = PlainRegistry
 
-    def _did_not_run(self, late: int) -> None:
+    def _handle_late_tick(self, late: int) -> None:
         pass
 
     def _update_isolation(self) -> None:
--- a/limelatch/lab/membership/cells.py
+++ b/limelatch/lab/membership/cells.py
@@ -11,18 +11,18 @@
 
 from limelatch.interface import MS, SECOND
 from limelatch.lab.membership.baselines import Heartbeats, PlainSwim
-from limelatch.lab.membership.fleet import WINDOW, Fleet, Simulated
+from limelatch.lab.membership.fleet import WINDOW, Fleet, SimulatedMember
 from limelatch.lab.membership.network import Conditions
 from limelatch.membership.member import Member
 from limelatch.membership.messages import State
 
-WAYS: dict[str, Callable[..., Simulated]] = {
+WAYS: dict[str, Callable[..., SimulatedMember]] = {
     "member": Member,
     "plain-swim": PlainSwim,
     "heartbeats": Heartbeats,
 }
-SETTLED = 3 * WINDOW  # after the start, all members known to all
-MOST = 40 * SECOND  # that is waited for an agreement
+SETTLE_TIME = 3 * WINDOW  # after the start, all members known to all
+AGREEMENT_TIMEOUT = 40 * SECOND  # that is waited for an agreement
 PAUSES = (500 * MS, SECOND, 2 * SECOND, 5 * SECOND)
 
 
@@ -47,26 +47,26 @@
     return [f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:7946" for number in range(members)]
 
 
-def settled(way: str, members: int, seed: int) -> Fleet:
+def settled_fleet(way: str, members: int, seed: int) -> Fleet:
     """A fleet whose members all know each other, as after hours."""
     peers, form = addresses(members), WAYS[way]
 
-    def make(number: int, incarnation: int, random: Random, now: int) -> Simulated:
+    def make(number: int, incarnation: int, random: Random, now: int) -> SimulatedMember:
         return form(peers, number, incarnation, random, now)
 
     fleet = Fleet(members, seed, make)
     fleet.start_all(SECOND).run(SECOND)
     for process in fleet.processes:
-        fleet_knows_itself(process.member, members)
-    fleet.run(SETTLED)
+        mark_all_known(process.member, members)
+    fleet.run(SETTLE_TIME)
     fleet.verdicts.clear()
     return fleet
 
 
-def fleet_knows_itself(member: Simulated, members: int) -> None:
+def mark_all_known(member: SimulatedMember, members: int) -> None:
     for other in range(members):
         if not member.view.is_known(other):
-            member.view.put(other, 1, State.ALIVE)
+            member.view.set_state(other, 1, State.ALIVE)
 
 
 def seconds(span: int | None) -> float:
@@ -76,7 +76,7 @@
 def kill(fleet: Fleet, machine: bool) -> tuple[int | None, int | None]:
     """One process, or one machine, gone."""
     fleet.kill(3, machine)
-    return fleet.until_agreed([3], State.DEAD, MOST), None
+    return fleet.run_until_agreed([3], State.DEAD, AGREEMENT_TIMEOUT), None
 
 
 def pauses(fleet: Fleet) -> tuple[int | None, int | None]:
@@ -92,9 +92,9 @@
     others = [number for number in range(fleet.count) if number != 3]
     fleet.pause(3, span)
     began = fleet.now
-    agreed = fleet.until_agreed([3], State.DEAD, span - SECOND, by=others)
+    agreed = fleet.run_until_agreed([3], State.DEAD, span - SECOND, by=others)
     fleet.run(began + span)
-    return agreed, fleet.until_agreed(list(range(fleet.count)), State.ALIVE, MOST)
+    return agreed, fleet.run_until_agreed(list(range(fleet.count)), State.ALIVE, AGREEMENT_TIMEOUT)
 
 
 def loss(fleet: Fleet, share: float, span: int) -> tuple[int | None, int | None]:
@@ -112,23 +112,25 @@
     while fleet.now < began + span:
         fleet.run(fleet.now + SECOND // 2)
         if agreed is None and all(
-            fleet.agree([n for n in range(fleet.count) if part_of[n] != part], State.DEAD, by=members)
+            fleet.all_hold([n for n in range(fleet.count) if part_of[n] != part], State.DEAD, by=members)
             for part, members in enumerate(parts)
         ):
             agreed = fleet.now - began
     fleet.network.cuts.clear()
-    return agreed, fleet.until_agreed(list(range(fleet.count)), State.ALIVE, MOST)
+    return agreed, fleet.run_until_agreed(list(range(fleet.count)), State.ALIVE, AGREEMENT_TIMEOUT)
 
 
-def gone(fleet: Fleet, share: float) -> tuple[int | None, int | None]:
+def kill_share(fleet: Fleet, share: float) -> tuple[int | None, int | None]:
     """A part of the fleet's machines gone at once, and back at once."""
     lost = list(range(int(fleet.count * share)))
     for number in lost:
         fleet.kill(number, machine=True)
-    agreed = fleet.until_agreed(lost, State.DEAD, MOST, step=SECOND // 2)
+    agreed = fleet.run_until_agreed(lost, State.DEAD, AGREEMENT_TIMEOUT, step=SECOND // 2)
     for number in lost:
         fleet.start(number)
-    return agreed, fleet.until_agreed(list(range(fleet.count)), State.ALIVE, MOST, step=SECOND // 2)
+    return agreed, fleet.run_until_agreed(
+        list(range(fleet.count)), State.ALIVE, AGREEMENT_TIMEOUT, step=SECOND // 2
+    )
 
 
 def halves(fleet: Fleet) -> list[list[int]]:
@@ -136,7 +138,7 @@
     return [list(range(middle)), list(range(middle, fleet.count))]
 
 
-def zone(fleet: Fleet) -> list[list[int]]:
+def zone_and_others(fleet: Fleet) -> list[list[int]]:
     """A seventh of the fleet and the others."""
     size = max(2, fleet.count // 7)
     return [list(range(size)), list(range(size, fleet.count))]
@@ -151,20 +153,20 @@
     "loss-20": lambda fleet: loss(fleet, 0.2, 60 * SECOND),
     "loss-30": lambda fleet: loss(fleet, 0.3, 60 * SECOND),
     "halves": lambda fleet: cut(fleet, halves(fleet), 30 * SECOND),
-    "zone-off": lambda fleet: cut(fleet, zone(fleet), 30 * SECOND),
-    "third-gone": lambda fleet: gone(fleet, 1 / 3),
+    "zone-off": lambda fleet: cut(fleet, zone_and_others(fleet), 30 * SECOND),
+    "third-gone": lambda fleet: kill_share(fleet, 1 / 3),
     "rest": lambda fleet: (None, fleet.run(fleet.now + 20 * SECOND) and None),
 }
 
 
 def play(cell: str, way: str, members: int, seed: int) -> Outcome:
     """One cell; raises Broken where an invariant did not hold."""
-    fleet = settled(way, members, seed)
+    fleet = settled_fleet(way, members, seed)
     began, processor = fleet.now, time.process_time()
     agreed, healed = CELLS[cell](fleet)
     spent = (time.process_time() - processor) / members / ((fleet.now - began) / SECOND)
     fleet.run((fleet.now // WINDOW + 1) * WINDOW)
-    loads = fleet.bytes_a_second(began, fleet.now)
+    loads = fleet.bytes_per_second(began, fleet.now)
     wrong = sum(verdict.wrong for verdict in fleet.verdicts)
     return Outcome(
         cell,
@@ -181,13 +183,13 @@
     )
 
 
-def held(way: str, members: int) -> int:
+def memory_per_member(way: str, members: int) -> int:
     """Memory of one member that knows all others, in bytes."""
     peers = addresses(members)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     member = WAYS[way](peers, 0, 1, Random(1), 0)
-    fleet_knows_itself(member, members)
+    mark_all_known(member, members)
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return size
--- a/limelatch/lab/membership/fleet.py
+++ b/limelatch/lab/membership/fleet.py
@@ -22,15 +22,15 @@
     MemberChanged,
     State,
 )
-from limelatch.membership.outbox import PACKET_HEADERS
+from limelatch.membership.outbox import PACKET_HEADER_BYTES
 
-SOCKET_ROOM = 256  # datagrams that wait for a paused process
+SOCKET_QUEUE_LENGTH = 256  # datagrams that wait for a paused process
 WINDOW = 10 * SECOND
-FAIR_PAUSE = 5 * SECOND  # a verdict on a member paused for at most so long is wrong
-TRACE_LAST = 60  # events that a failing run prints
+TOLERATED_PAUSE = 5 * SECOND  # a verdict on a member paused for at most so long is wrong
+TRACE_LENGTH = 60  # events that a failing run prints
 
 
-class Simulated(Protocol):
+class SimulatedMember(Protocol):
     """What a fleet needs of its members."""
 
     due: int
@@ -43,7 +43,7 @@
     def take(self) -> tuple[list[Datagram], list[Event]]: ...
 
 
-class Broken(AssertionError):
+class InvariantError(AssertionError):
     """An invariant does not hold; the message has the run's last events."""
 
 
@@ -51,15 +51,15 @@
 class Process:
     """One member's process, and what the simulation knows of it."""
 
-    member: Simulated | None = None
+    member: SimulatedMember | None = None
     paused: bool = False
     paused_at: int = 0
     machine_up: bool = True
-    waiting: deque = field(default_factory=lambda: deque(maxlen=SOCKET_ROOM))
+    waiting: deque = field(default_factory=lambda: deque(maxlen=SOCKET_QUEUE_LENGTH))
     starts: int = 0
     stored: int = 0  # the incarnation in its folder
     isolated: bool = False
-    bytes_windows: dict[int, int] = field(default_factory=dict)
+    bytes_by_window: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,13 +73,13 @@
     wrong: bool  # its own judgement on one that ran, or whose pause is to be borne, and no cut between
 
 
-Make = Callable[[int, int, Random, int], Simulated]  # number, incarnation, random source, now
+MemberFactory = Callable[[int, int, Random, int], SimulatedMember]  # number, incarnation, random source, now
 
 
 class Fleet:
     """`count` members that `make` makes; everything by `seed`."""
 
-    def __init__(self, count: int, seed: int, make: Make, stored: bool = True) -> None:
+    def __init__(self, count: int, seed: int, make: MemberFactory, stored: bool = True) -> None:
         self.count, self.make, self.stored = count, make, stored
         self.random = Random(seed)
         self.network = Network(Random(self.random.random()))
@@ -87,7 +87,7 @@
         self._queue: list[tuple[int, int, Callable[..., None], tuple]] = []
         self.processes = [Process() for _ in range(count)]
         self.verdicts: list[Verdict] = []
-        self.trace: deque[str] = deque(maxlen=TRACE_LAST)
+        self.trace: deque[str] = deque(maxlen=TRACE_LENGTH)
         self.suspected: set[tuple[int, int]] = set()  # member and incarnation
         self.changed_at = 0
 
@@ -117,7 +117,7 @@
         process.paused = process.isolated = False
         process.machine_up = True
         process.waiting.clear()
-        self._acted(number)
+        self._after_step(number)
 
     def start_all(self, within: int = 2 * SECOND) -> Fleet:
         for number in range(self.count):
@@ -128,7 +128,7 @@
         """SIGKILL, or the end of the whole machine, whose kernel then refuses nothing."""
         process = self.processes[number]
         process.member, process.machine_up = None, not machine
-        self.note(f"member {number} is killed")
+        self.record(f"member {number} is killed")
 
     def end(self, number: int) -> None:
         process = self.processes[number]
@@ -160,9 +160,9 @@
             return
         if process.member.due == due:
             process.member.tick(self.now)
-            self._acted(number)
+            self._after_step(number)
 
-    def _acted(self, number: int) -> None:
+    def _after_step(self, number: int) -> None:
         process = self.processes[number]
         self._send(number)
         self.at(max(self.now + 1, process.member.due), self._tick, number, process.starts, process.member.due)
@@ -176,8 +176,8 @@
         if not datagrams:
             return
         window = self.now // WINDOW
-        total = sum(len(each.data) + PACKET_HEADERS for each in datagrams)
-        process.bytes_windows[window] = process.bytes_windows.get(window, 0) + total
+        total = sum(len(each.data) + PACKET_HEADER_BYTES for each in datagrams)
+        process.bytes_by_window[window] = process.bytes_by_window.get(window, 0) + total
         for each in datagrams:
             for when in self.network.arrivals(self.now, number, each.to):
                 self.at(when, self._arrive, each.to, each.data, number)
@@ -185,8 +185,8 @@
     def _arrive(self, number: int, data: bytes, sender: int) -> None:
         process = self.processes[number]
         window = self.now // WINDOW
-        size = len(data) + PACKET_HEADERS
-        process.bytes_windows[window] = process.bytes_windows.get(window, 0) + size
+        size = len(data) + PACKET_HEADER_BYTES
+        process.bytes_by_window[window] = process.bytes_by_window.get(window, 0) + size
         if process.member is None:
             if process.machine_up and not self.network.is_cut(number, sender):
                 self._refuse(sender, number)
@@ -201,7 +201,7 @@
         member.received(self.now, data, sender)
         self._send(number)
         if member.due != due:
-            self._acted(number)
+            self._after_step(number)
 
     def _refuse(self, sender: int, number: int) -> None:
         process = self.processes[sender]
@@ -211,36 +211,36 @@
 
     # What is checked at every step.
 
-    def note(self, words: str) -> None:
-        self.trace.append(f"{self.now / SECOND:.3f} {words}")
+    def record(self, message: str) -> None:
+        self.trace.append(f"{self.now / SECOND:.3f} {message}")
 
-    def broken(self, words: str) -> Broken:
-        return Broken("\n".join([f"{self.now / SECOND:.3f} {words}", *self.trace]))
+    def invariant_error(self, message: str) -> InvariantError:
+        return InvariantError("\n".join([f"{self.now / SECOND:.3f} {message}", *self.trace]))
 
     def _check(self, number: int, event: Event) -> None:
         self.changed_at = self.now
-        self.note(f"member {number}: {event}")
+        self.record(f"member {number}: {event}")
         if isinstance(event, IsolationChanged):
             self.processes[number].isolated = event.why is not None
         elif isinstance(event, MemberChanged):
             self._check_change(number, event)
 
     def _check_change(self, number: int, event: MemberChanged) -> None:
-        told = event.why.startswith("told")
+        reported = event.why.startswith("told")
         subject = event.member, event.incarnation
         if event.state is State.SUSPECT:
             self.suspected.add(subject)
-            if not told and self.processes[number].isolated:
-                raise self.broken(f"member {number} suspects while it is isolated")
+            if not reported and self.processes[number].isolated:
+                raise self.invariant_error(f"member {number} suspects while it is isolated")
         if event.state is not State.DEAD:
             return
         if subject not in self.suspected:
-            raise self.broken(f"member {event.member} is dead to {number} and was suspect to nobody")
-        if not told and self.processes[number].isolated:
-            raise self.broken(f"member {number} gives a verdict while it is isolated")
+            raise self.invariant_error(f"member {event.member} is dead to {number} and was suspect to nobody")
+        if not reported and self.processes[number].isolated:
+            raise self.invariant_error(f"member {number} gives a verdict while it is isolated")
         process = self.processes[event.member]
-        gone = process.member is None or process.paused and self.now - process.paused_at > FAIR_PAUSE
-        wrong = not told and not gone and not self._is_apart(event.member, number)
+        gone = process.member is None or process.paused and self.now - process.paused_at > TOLERATED_PAUSE
+        wrong = not reported and not gone and not self._is_apart(event.member, number)
         self.verdicts.append(Verdict(self.now, number, event.member, event.why, wrong))
 
     def _is_apart(self, one: int, other: int) -> bool:
@@ -248,48 +248,48 @@
 
     # Figures.
 
-    def live(self) -> list[int]:
+    def live_members(self) -> list[int]:
         return [number for number, each in enumerate(self.processes) if each.member is not None]
 
-    def views_of(self, subject: int) -> dict[int, State | None]:
+    def states_of(self, subject: int) -> dict[int, State | None]:
         """What each live member holds of one; None: unknown."""
-        return {number: self.holds(number, subject) for number in self.live() if number != subject}
+        return {number: self.state_at(number, subject) for number in self.live_members() if number != subject}
 
-    def holds(self, number: int, subject: int) -> State | None:
+    def state_at(self, number: int, subject: int) -> State | None:
         view = self.processes[number].member.view
         return view.states[subject] if view.is_known(subject) else None
 
-    def agree(self, subjects: list[int], state: State, by: list[int] | None = None) -> bool:
+    def all_hold(self, subjects: list[int], state: State, by: list[int] | None = None) -> bool:
         """Whether all live members (or those of `by`) hold this state of all subjects."""
-        judges = self.live() if by is None else by
+        observers = self.live_members() if by is None else by
         return all(
-            self.holds(number, subject) is state
-            for number in judges
+            self.state_at(number, subject) is state
+            for number in observers
             for subject in subjects
             if subject != number
         )
 
-    def until_agreed(
+    def run_until_agreed(
         self,
         subjects: list[int],
         state: State,
-        most: int,
+        timeout: int,
         by: list[int] | None = None,
         step: int = SECOND // 10,
     ) -> int | None:
         """Time until they agree; None if not within `most`."""
         began = self.now
-        while self.now < began + most:
+        while self.now < began + timeout:
             self.run(self.now + step)
-            if self.agree(subjects, state, by):
+            if self.all_hold(subjects, state, by):
                 return self.now - began
         return None
 
-    def bytes_a_second(self, first: int, last: int) -> list[float]:
+    def bytes_per_second(self, first: int, last: int) -> list[float]:
         """Sent and received by each member in each whole window of ten seconds between the two times."""
         windows = range(first // WINDOW, last // WINDOW)
         return [
-            process.bytes_windows.get(window, 0) * SECOND / WINDOW
+            process.bytes_by_window.get(window, 0) * SECOND / WINDOW
             for process in self.processes
             for window in windows
         ]
--- a/limelatch/lab/membership/forwarder.py
+++ b/limelatch/lab/membership/forwarder.py
@@ -17,8 +17,8 @@
 from limelatch.interface import SECOND
 from limelatch.lab.membership.network import Conditions, Network
 
-PACKET_MOST = 2048
-LOOK_EACH = 0.05  # seconds, at the most, between two looks whether it is to end
+MAX_PACKET_BYTES = 2048
+STOP_CHECK_INTERVAL = 0.05  # seconds, at the most, between two looks whether it is to end
 BUFFER_BYTES = 1 << 20
 
 Address = tuple[str, int]
@@ -36,7 +36,7 @@
         self.sockets = [self._bound(front) for front in fronts]
         self.front_addresses = [each.getsockname() for each in self.sockets]
         self.passed: Counter[tuple[int, int]] = Counter()  # datagrams by sender and receiver
-        self.strangers = 0
+        self.unknown_senders = 0
         self._waiting: list[tuple[int, int, int, int, bytes]] = []
         self._count, self._ended = 0, False
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -94,33 +94,33 @@
             while not self._ended:
                 for key, _ in selector.select(self._wait()):
                     self._read(key.data)
-                self._pass_on()
+                self._forward_due()
 
     def _now(self) -> int:
         return int(time.monotonic() * SECOND)
 
     def _wait(self) -> float:
         if not self._waiting:
-            return LOOK_EACH
-        return min(LOOK_EACH, max(0.0, (self._waiting[0][0] - self._now()) / SECOND))
+            return STOP_CHECK_INTERVAL
+        return min(STOP_CHECK_INTERVAL, max(0.0, (self._waiting[0][0] - self._now()) / SECOND))
 
     def _read(self, receiver: int) -> None:
         while True:
             try:
-                data, address = self.sockets[receiver].recvfrom(PACKET_MOST)
+                data, address = self.sockets[receiver].recvfrom(MAX_PACKET_BYTES)
             except BlockingIOError:
                 return
             except OSError:  # the port of a member that has ended refused an earlier one
                 continue
             sender = self.numbers.get(address)
             if sender is None:
-                self.strangers += 1
+                self.unknown_senders += 1
                 continue
             for when in self.network.arrivals(self._now(), sender, receiver):
                 self._count += 1
                 heapq.heappush(self._waiting, (when, self._count, sender, receiver, data))
 
-    def _pass_on(self) -> None:
+    def _forward_due(self) -> None:
         while self._waiting and self._waiting[0][0] <= self._now():
             _, _, sender, receiver, data = heapq.heappop(self._waiting)
             self.passed[sender, receiver] += 1
--- a/limelatch/lab/membership/measure.py
+++ b/limelatch/lab/membership/measure.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from limelatch.lab.membership.cells import Outcome, held, play
+from limelatch.lab.membership.cells import Outcome, memory_per_member, play
 from limelatch.lab.scale.results import Point, Results
 
 AXIS = "members"
@@ -33,16 +33,16 @@
     seed: int
 
 
-def one(plan: Plan) -> Outcome:
+def play_plan(plan: Plan) -> Outcome:
     return play(plan.cell, plan.way, plan.members, plan.seed)
 
 
-def play_plans(plans: list[Plan], processes: int, told: Callable[[Outcome], None]) -> list[Outcome]:
+def play_plans(plans: list[Plan], processes: int, on_outcome: Callable[[Outcome], None]) -> list[Outcome]:
     """All of them, in the order given; raises Broken for a run in which an invariant did not hold."""
     found = []
     with ProcessPoolExecutor(processes) as pool:
-        for outcome in pool.map(one, plans):
-            told(outcome)
+        for outcome in pool.map(play_plan, plans):
+            on_outcome(outcome)
             found.append(outcome)
     return found
 
@@ -73,8 +73,8 @@
     Raises ValueError where they are of different commits."""
     if old.commit != new.commit:
         raise ValueError(f"{old.commit} is not {new.commit}")
-    anew = {(each.scenario, each.measure, each.x) for each in new.points}
-    kept = [each for each in old.points if (each.scenario, each.measure, each.x) not in anew]
+    replaced = {(each.scenario, each.measure, each.x) for each in new.points}
+    kept = [each for each in old.points if (each.scenario, each.measure, each.x) not in replaced]
     return msgspec.structs.replace(new, command=f"{old.command}; {new.command}", points=kept + new.points)
 
 
@@ -82,5 +82,7 @@
     """What one member holds that knows all others."""
     sizes = list(sizes)
     return [
-        Point(f"{way}: rest", "memory", "B", AXIS, size, [held(way, size)]) for way in ways for size in sizes
+        Point(f"{way}: rest", "memory", "B", AXIS, size, [memory_per_member(way, size)])
+        for way in ways
+        for size in sizes
     ]
--- a/limelatch/lab/membership/network.py
+++ b/limelatch/lab/membership/network.py
@@ -8,15 +8,15 @@
 
 from limelatch.interface import MS, SECOND
 
-LATENCY = (1 * MS, 5 * MS)
-LATE_MOST = SECOND
+LATENCY_RANGE = (1 * MS, 5 * MS)
+MAX_DELAY = SECOND
 
 Cut = Callable[[int, int], bool]  # from, to: whether nothing comes through
 
 
 @dataclass(slots=True)
 class Conditions:
-    """Shares of all datagrams that are lost, doubled, or late by up to LATE_MOST (and so out of order)."""
+    """Shares of all datagrams that are lost, doubled, or late by up to MAX_DELAY (and so out of order)."""
 
     lost: float = 0.0
     duplicated: float = 0.0
@@ -43,8 +43,8 @@
         for _ in range(copies):
             if conditions.lost and random.random() < conditions.lost:
                 continue
-            wait = random.randint(*LATENCY)
+            wait = random.randint(*LATENCY_RANGE)
             if conditions.delayed and random.random() < conditions.delayed:
-                wait += random.randrange(LATE_MOST)
+                wait += random.randrange(MAX_DELAY)
             found.append(now + wait)
         return found
--- a/limelatch/membership/detector.py
+++ b/limelatch/membership/detector.py
@@ -10,10 +10,13 @@
 from limelatch.membership.timing import Timing
 from limelatch.membership.view import View
 
-SEQUENCE_MOST = (1 << 32) - 1
-HEARD_MOST = 32  # senders that are remembered
-HISTORY, HURRY_SHARE = 8, 0.25  # last probes, and the share of failed ones above which more are sent
-ISOLATED_PROBES, ISOLATED_KNOWN = 12, 2  # without an answer; others known
+MAX_SEQUENCE = (1 << 32) - 1
+MAX_RECENT_SENDERS = 32  # senders that are remembered
+PROBE_HISTORY, FAST_PROBE_RATIO = (
+    8,
+    0.25,
+)  # last probes, and the share of failed ones above which more are sent
+MIN_ISOLATED_PROBES, MIN_ISOLATED_MEMBERS = 12, 2  # without an answer; others known
 
 
 @dataclass(slots=True)
@@ -21,9 +24,9 @@
     """A ping that waits for its answer."""
 
     target: int
-    sent: int
-    counts: bool  # of the round: without an answer the target is suspect
-    asked_others: bool = False
+    sent_at: int
+    in_round: bool  # of the round: without an answer the target is suspect
+    indirect_requested: bool = False
 
 
 class Rounds:
@@ -31,55 +34,55 @@
 
     def __init__(self, me: int, view: View, random: Random) -> None:
         self.view, self.random = view, random
-        self._order = [member for member in range(len(view.words)) if member != me]
-        self._at = len(self._order)
-        self._absent_at = random.randrange(max(1, len(self._order)))
-        self._heard: OrderedDict[int, None] = OrderedDict()  # the last senders, the latest last
+        self._order = [member for member in range(len(view.digest_words)) if member != me]
+        self._position = len(self._order)
+        self._absent_position = random.randrange(max(1, len(self._order)))
+        self._recent_senders: OrderedDict[int, None] = OrderedDict()  # the last senders, the latest last
 
-    def next_present(self, unsuspected: bool = False) -> int | None:
+    def next_present(self, alive_only: bool = False) -> int | None:
         """The next one that is alive or suspect, or that nobody suspects; None where there is none."""
-        wanted = self.view.is_alive if unsuspected else self.view.is_present
+        wanted = self.view.is_alive if alive_only else self.view.is_present
         for _ in range(2 * len(self._order)):
-            if self._at >= len(self._order):
+            if self._position >= len(self._order):
                 self.random.shuffle(self._order)
-                self._at = 0
-            member = self._order[self._at]
-            self._at += 1
+                self._position = 0
+            member = self._order[self._position]
+            self._position += 1
             if wanted(member):
                 return member
         return None
 
     def next_absent(self) -> int | None:
         """The next one that is dead or unknown."""
-        if not self.view.absent:
+        if not self.view.absent_count:
             return None
         for _ in range(len(self._order)):
-            self._absent_at = (self._absent_at + 1) % len(self._order)
-            member = self._order[self._absent_at]
+            self._absent_position = (self._absent_position + 1) % len(self._order)
+            member = self._order[self._absent_position]
             if not self.view.is_present(member) and not self.view.has_left(member):
                 return member
         return None
 
-    def heard(self, member: int) -> None:
+    def record_sender(self, member: int) -> None:
         """A datagram has come from it."""
-        self._heard[member] = None
-        self._heard.move_to_end(member)
-        if len(self._heard) > HEARD_MOST:
-            self._heard.popitem(last=False)
+        self._recent_senders[member] = None
+        self._recent_senders.move_to_end(member)
+        if len(self._recent_senders) > MAX_RECENT_SENDERS:
+            self._recent_senders.popitem(last=False)
 
-    def some_heard(self, count: int) -> list[int]:
+    def sample_recent_senders(self, count: int) -> list[int]:
         """Up to so many of the last senders, at random: they can be reached, whatever cut there is."""
-        members = [member for member in self._heard if self.view.is_alive(member)]
+        members = [member for member in self._recent_senders if self.view.is_alive(member)]
         return self.random.sample(members, min(count, len(members)))
 
-    def some_alive(self, count: int, *without: int) -> list[int]:
+    def sample_alive(self, count: int, *excluded: int) -> list[int]:
         """Up to so many different members that nobody suspects, at random."""
         found: list[int] = []
         for _ in range(4 * count):
             if len(found) == count or not self._order:
                 break
             member = self._order[self.random.randrange(len(self._order))]
-            if member not in without and member not in found and self.view.is_alive(member):
+            if member not in excluded and member not in found and self.view.is_alive(member):
                 found.append(member)
         return found
 
@@ -89,13 +92,13 @@
 
     def __init__(self, random: Random) -> None:
         self.outstanding: dict[int, Probe] = {}
-        self.failed: deque[bool] = deque(maxlen=HISTORY)
-        self._sequence = random.randrange(SEQUENCE_MOST)
+        self.recent_failures: deque[bool] = deque(maxlen=PROBE_HISTORY)
+        self._sequence = random.randrange(MAX_SEQUENCE)
 
-    def begin(self, now: int, target: int, counts: bool) -> int:
+    def begin(self, now: int, target: int, in_round: bool) -> int:
         """A new probe's sequence number."""
-        self._sequence = (self._sequence + 1) & SEQUENCE_MOST
-        self.outstanding[self._sequence] = Probe(target, now, counts)
+        self._sequence = (self._sequence + 1) & MAX_SEQUENCE
+        self.outstanding[self._sequence] = Probe(target, now, in_round)
         return self._sequence
 
     def answered(self, sequence: int, target: int) -> Probe | None:
@@ -104,42 +107,42 @@
         if probe is None or probe.target != target:
             return None
         del self.outstanding[sequence]
-        if probe.counts:
-            self.failed.append(False)
+        if probe.in_round:
+            self.recent_failures.append(False)
         return probe
 
     def take_expired(self, now: int, timing: Timing) -> list[Probe]:
         """Those without an answer in their time; they are outstanding no longer."""
         sent_by = now - timing.probe_timeout
-        expired = [number for number, probe in self.outstanding.items() if probe.sent <= sent_by]
+        expired = [number for number, probe in self.outstanding.items() if probe.sent_at <= sent_by]
         found = [self.outstanding.pop(number) for number in expired]
-        self.failed.extend(True for probe in found if probe.counts)
+        self.recent_failures.extend(True for probe in found if probe.in_round)
         return found
 
-    def void(self) -> None:
+    def discard_outstanding(self) -> None:
         """Answers may have been missed by this process: nobody is judged by them."""
         self.outstanding.clear()
 
     @property
-    def hurried(self) -> bool:
+    def many_failed(self) -> bool:
         """Many probes fail: whoever else is gone is to be found soon."""
-        return sum(self.failed) > HURRY_SHARE * HISTORY
+        return sum(self.recent_failures) > FAST_PROBE_RATIO * PROBE_HISTORY
 
 
 class Reachability:
     """Whether this member is answered, and whether it hears anything."""
 
     def __init__(self, now: int) -> None:
-        self.answered_at, self.heard_at, self.unanswered = now, now, 0
+        self.answered_at, self.received_at, self.unanswered_probes = now, now, 0
         self.isolation: Isolation | None = None
 
-    def answered(self, now: int) -> None:
-        self.answered_at, self.unanswered = now, 0
+    def record_answer(self, now: int) -> None:
+        self.answered_at, self.unanswered_probes = now, 0
 
     def find_isolation(self, now: int, known: int, timing: Timing) -> Isolation | None:
         """Why it is isolated, None if it is not."""
-        if self.unanswered < ISOLATED_PROBES or known < ISOLATED_KNOWN:
+        if self.unanswered_probes < MIN_ISOLATED_PROBES or known < MIN_ISOLATED_MEMBERS:
             return None
         if now - self.answered_at < timing.isolation_timeout:
             return None
-        return Isolation.DEAF if now - self.heard_at >= timing.isolation_timeout else Isolation.UNANSWERED
+        return Isolation.DEAF if now - self.received_at >= timing.isolation_timeout else Isolation.UNANSWERED
--- a/limelatch/membership/dissemination.py
+++ b/limelatch/membership/dissemination.py
@@ -5,46 +5,48 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from limelatch.membership.codec import FACTS_MOST, WIDE_DISTANCES, fact_bytes
+from limelatch.membership.codec import MAX_FACTS, MAX_TWO_BYTE_DISTANCES, fact_bytes
 from limelatch.membership.messages import Fact
 
 
 class FactQueue:
     """Members with news and how often each is still to be told; the news itself is read as it is sent."""
 
-    def __init__(self, limit: int) -> None:
-        self.limit = limit
-        self._left: OrderedDict[int, int] = OrderedDict()
+    def __init__(self, max_transmissions: int) -> None:
+        self.max_transmissions = max_transmissions
+        self._transmissions_left: OrderedDict[int, int] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._transmissions_left)
 
     def add(self, member: int) -> None:
         """There is news of the member: it goes before all else, a refutation before older suspicions too."""
-        self._left[member] = self.limit
-        self._left.move_to_end(member, last=False)
+        self._transmissions_left[member] = self.max_transmissions
+        self._transmissions_left.move_to_end(member, last=False)
 
-    def take(self, room: int, fact_of: Callable[[int], Fact], first: Fact | None = None) -> tuple[Fact, ...]:
+    def take(
+        self, free_bytes: int, fact_of: Callable[[int], Fact], first: Fact | None = None
+    ) -> tuple[Fact, ...]:
         """Facts of `room` bytes at most, `first` before the queue's; each counts as sent once."""
-        taken, room = [], room - WIDE_DISTANCES
-        if first is not None and fact_bytes(first) <= room:
-            room -= fact_bytes(first)
+        taken, free_bytes = [], free_bytes - MAX_TWO_BYTE_DISTANCES
+        if first is not None and fact_bytes(first) <= free_bytes:
+            free_bytes -= fact_bytes(first)
             taken.append(first)
-        for _ in range(min(len(self._left), FACTS_MOST - len(taken))):
-            member = next(iter(self._left))
+        for _ in range(min(len(self._transmissions_left), MAX_FACTS - len(taken))):
+            member = next(iter(self._transmissions_left))
             fact = fact_of(member)
-            if fact_bytes(fact) > room:
+            if fact_bytes(fact) > free_bytes:
                 break
-            self._count(member)
+            self._count_transmission(member)
             if first is None or member != first.member:
-                room -= fact_bytes(fact)
+                free_bytes -= fact_bytes(fact)
                 taken.append(fact)
         return tuple(taken)
 
-    def _count(self, member: int) -> None:
+    def _count_transmission(self, member: int) -> None:
         """It has been sent once more: behind the others, or out."""
-        self._left[member] -= 1
-        if self._left[member]:
-            self._left.move_to_end(member)
+        self._transmissions_left[member] -= 1
+        if self._transmissions_left[member]:
+            self._transmissions_left.move_to_end(member)
         else:
-            del self._left[member]
+            del self._transmissions_left[member]
--- a/limelatch/membership/member.py
+++ b/limelatch/membership/member.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from limelatch.interface import MS
-from limelatch.membership.codec import BadDatagram, Codec, cluster_key
+from limelatch.membership.codec import InvalidDatagram, Codec, cluster_key
 from limelatch.membership.dissemination import FactQueue
 from limelatch.membership.exchange import Exchange
 from limelatch.membership.messages import (
@@ -36,17 +36,19 @@
 from limelatch.membership.prober import Prober
 from limelatch.membership.registry import Registry
 from limelatch.membership.timing import Timing, transmissions
-from limelatch.membership.view import pages_of
+from limelatch.membership.view import page_count
 
-PUSHES = 2  # gossip datagrams a period
-PUSH_BYTES = 200  # that have to be affordable: few full datagrams of facts cost less than many small ones
-TOLD_AT_ONCE = 32  # members that hear directly that this one is alive, or leaves
+GOSSIP_TARGETS = 2  # gossip datagrams a period
+MIN_GOSSIP_BYTES = (
+    200  # that have to be affordable: few full datagrams of facts cost less than many small ones
+)
+MAX_DIRECT_NOTIFICATIONS = 32  # members that hear directly that this one is alive, or leaves
 
 
 class Member:
     """The member at `me` of `peers`. `incarnation`: 0 where no earlier one is known, which is asked for."""
 
-    registry_of = Registry
+    registry_class = Registry
 
     def __init__(
         self,
@@ -60,16 +62,16 @@
     ) -> None:
         count, self.me, self.now = len(peers), me, now
         self.timing = timing or Timing()
-        self.registry = self.registry_of(count, me, self.timing)
+        self.registry = self.registry_class(count, me, self.timing)
         self.view = self.registry.view
-        self.codec = Codec(cluster_key(peers), count, me, pages_of(count))
+        self.codec = Codec(cluster_key(peers), count, me, page_count(count))
         self.queue = FactQueue(transmissions(count))
         self.outbox = Outbox(now, self.codec, self.queue, lambda member: self.registry.fact(self.now, member))
         self.exchange = Exchange(self.registry, self.outbox, self._header)
         self.drops = dict.fromkeys(DropReason, 0)
         self._events: list[Event] = []
-        self._asking_until = now + 2 * self.timing.incarnation_query_time
-        self._answers_while_asking = 0
+        self._query_until = now + 2 * self.timing.incarnation_query_time
+        self._query_answers = 0
         self.incarnation, self.has_left = 0, False
         start = now + random.randrange(self.timing.probe_period)
         self.prober = Prober(me, start, random, self.timing, self.registry, self.outbox, self._header, zones)
@@ -78,7 +80,7 @@
             self.prober.probes,
             self.prober.reachability,
         )
-        self.due = self._push_at = self._page_at = start
+        self.due = self._gossip_at = self._page_request_at = start
         if incarnation:
             self._join(incarnation)
 
@@ -88,7 +90,7 @@
         """What is to be sent, and what has changed, since the last call."""
         datagrams, self.outbox.datagrams = self.outbox.datagrams, []
         events, self._events = self._events + self.registry.take_events(), []
-        for member in self.registry.take_news():
+        for member in self.registry.take_changed_members():
             self.queue.add(member)
         return datagrams, events
 
@@ -99,23 +101,23 @@
             return
         self.outbox.refill(now)
         if late > self.timing.late_tick:
-            self._did_not_run(late)
+            self._handle_late_tick(late)
         if not self.incarnation:
-            self._ask()
+            self._query_incarnation()
         unanswered = self.prober.expire(now)
         self._update_isolation()
         if self.reachability.isolation is None:
             for probe in unanswered:
-                self.registry.suspect(now, probe.target, probe.sent)
-            self.registry.judge(now)
-        self.prober.begin(now)
-        self._push()
+                self.registry.suspect(now, probe.target, probe.sent_at)
+            self.registry.expire_suspicions(now)
+        self.prober.send_due_probes(now)
+        self._send_gossip()
         self.due = self._next_due()
 
     def received(self, now: int, data: bytes, sender: int | None) -> DropReason | None:
         """A datagram from a member's address; None: from another one. Returns why it was dropped, if so."""
         self.now = max(now, self.now)
-        drop = self._read(data, sender)
+        drop = self._receive(data, sender)
         if drop is not None:
             self.drops[drop] += 1
         return drop
@@ -137,52 +139,52 @@
         """A clean end: others take it at once; nothing is done any more."""
         self.now = now
         if self.incarnation and not self.has_left:
-            self._hold_self(State.LEFT)
-            self._tell_at_once()
+            self._set_own_state(State.LEFT)
+            self._announce_self()
         self.has_left = True
 
     # Incarnations.
 
     def _join(self, incarnation: int) -> None:
         self.incarnation = incarnation
-        self._hold_self(State.ALIVE)
+        self._set_own_state(State.ALIVE)
         self._events.append(Joined(incarnation))
 
-    def _ask(self) -> None:
+    def _query_incarnation(self) -> None:
         """Guards against passing for an earlier process: others say what they hold of it."""
-        half = self._asking_until - self.timing.incarnation_query_time
-        if self.now >= self._asking_until or self.now >= half and self._answers_while_asking:
-            self._join(min(self.registry.held_of_self + 1, MAX_INCARNATION))
+        half = self._query_until - self.timing.incarnation_query_time
+        if self.now >= self._query_until or self.now >= half and self._query_answers:
+            self._join(min(self.registry.known_own_incarnation + 1, MAX_INCARNATION))
 
-    def _hold_self(self, state: State) -> None:
-        self.view.put(self.me, self.incarnation, state)
+    def _set_own_state(self, state: State) -> None:
+        self.view.set_state(self.me, self.incarnation, state)
         self.queue.add(self.me)
 
-    def _go_over(self, incarnation: int) -> None:
+    def _refute(self, incarnation: int) -> None:
         """Somebody holds this of the member itself: refute it, up to the bound of what others read."""
-        self.registry.held_of_self = max(self.registry.held_of_self, incarnation)
+        self.registry.known_own_incarnation = max(self.registry.known_own_incarnation, incarnation)
         if self.incarnation and not self.has_left:
             self.incarnation = min(incarnation + 1, MAX_INCARNATION)
-            self._hold_self(State.ALIVE)
-            self._tell_at_once()
+            self._set_own_state(State.ALIVE)
+            self._announce_self()
 
-    def _tell_at_once(self) -> None:
+    def _announce_self(self) -> None:
         fact = self.registry.fact(self.now, self.me)
-        for member in self.rounds.some_alive(TOLD_AT_ONCE, self.me):
-            self.outbox.send(member, Gossip, self._header(member), first=fact, alone=True)
+        for member in self.rounds.sample_alive(MAX_DIRECT_NOTIFICATIONS, self.me):
+            self.outbox.send(member, Gossip, self._header(member), first=fact, only_first=True)
 
     # Probes.
 
-    def _did_not_run(self, late: int) -> None:
+    def _handle_late_tick(self, late: int) -> None:
         """The process did not run for so long: answers may have been missed, so nobody is judged by them."""
-        self.prober.void()
-        self.registry.postpone(self.now, late + self.timing.late_tick_grace)
+        self.prober.discard_outstanding()
+        self.registry.extend_suspicions(self.now, late + self.timing.late_tick_grace)
         self.reachability.answered_at += late
-        self.reachability.heard_at += late
+        self.reachability.received_at += late
 
     def _update_isolation(self) -> None:
         """Whether this member is isolated; what it suspected is begun anew once it is no longer."""
-        known = self.view.present - 1 if self.incarnation else self.view.present
+        known = self.view.present_count - 1 if self.incarnation else self.view.present_count
         before = self.reachability.isolation
         isolation = self.reachability.find_isolation(
             self.now, known + self.view.counts[State.DEAD], self.timing
@@ -191,32 +193,36 @@
             self.reachability.isolation = isolation
             self._events.append(IsolationChanged(isolation, self.now - self.reachability.answered_at))
         if isolation is None and before is not None:
-            self.registry.start_anew(self.now)
+            self.registry.restart_suspicions(self.now)
 
     # News.
 
-    def _push(self) -> None:
-        for member in self.registry.take_news():
+    def _send_gossip(self) -> None:
+        for member in self.registry.take_changed_members():
             self.queue.add(member)
-        if self.now < self._push_at:
+        if self.now < self._gossip_at:
             return
-        self._push_at = self.now + (
-            self.timing.probe_period // 2 if self.probes.hurried else self.timing.probe_period
+        self._gossip_at = self.now + (
+            self.timing.probe_period // 2 if self.probes.many_failed else self.timing.probe_period
         )
         if len(self.queue):
-            hurried = self.probes.hurried
-            some = self.rounds.some_heard(PUSHES) if hurried else self.rounds.some_alive(PUSHES, self.me)
-            for member in some:
-                if self.outbox.affords_facts(PUSH_BYTES):
+            many_failed = self.probes.many_failed
+            targets = (
+                self.rounds.sample_recent_senders(GOSSIP_TARGETS)
+                if many_failed
+                else self.rounds.sample_alive(GOSSIP_TARGETS, self.me)
+            )
+            for member in targets:
+                if self.outbox.can_afford_facts(MIN_GOSSIP_BYTES):
                     self.outbox.send(member, Gossip, self._header(member))
-        if self.now >= self._page_at and self.exchange.ask(self.now, len(self.queue)):
-            self._page_at = self.now + self.timing.page_interval
+        if self.now >= self._page_request_at and self.exchange.request_pages(self.now, len(self.queue)):
+            self._page_request_at = self.now + self.timing.page_interval
 
     def _next_due(self) -> int:
         waits = self.registry.suspicions or self.registry.refusals
         due = self.prober.next_due(self.now, bool(waits) or not self.incarnation)
         if len(self.queue):
-            due = min(due, self._push_at)
+            due = min(due, self._gossip_at)
         return max(self.now + MS, due)
 
     def _header(self, to: int, sequence: int = 0) -> Header:
@@ -224,64 +230,64 @@
 
     # Datagrams.
 
-    def _read(self, data: bytes, sender: int | None) -> DropReason | None:
+    def _receive(self, data: bytes, sender: int | None) -> DropReason | None:
         if sender is None:
             return DropReason.SENDER
         try:
             message = self.codec.read(data)
-        except BadDatagram as error:
+        except InvalidDatagram as error:
             return error.drop
         header = message.header
         if header.sender != sender:
             return DropReason.SENDER
         self.outbox.received(len(data))
-        self.rounds.heard(sender)
+        self.rounds.record_sender(sender)
         if self.has_left:
             return None
-        self.reachability.heard_at = self.now
-        if header.held > self.incarnation:
-            self._go_over(header.held)
+        self.reachability.received_at = self.now
+        if header.known_incarnation > self.incarnation:
+            self._refute(header.known_incarnation)
         if header.incarnation < self.view.incarnations[sender]:
             if isinstance(message, Ping):  # an earlier process, or one that asks what is held of it
                 self.outbox.send(sender, Ack, self._header(sender, header.sequence))
             return DropReason.STALE if header.incarnation else None
         if header.incarnation:
             self.registry.learn(self.now, Fact(sender, header.incarnation, State.ALIVE), sender)
-        self._take(message)
+        self._handle(message)
         return None
 
-    def _take(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         header = message.header
         if isinstance(message, Page):
-            self.exchange.arrived(self.now, message)
+            self.exchange.page_received(self.now, message)
         if not isinstance(message, PageDigests):
             for fact in message.facts:
                 self._learn(fact, header.sender, isinstance(message, Page))
         if isinstance(message, Ping):
-            first = self.registry.bad_news(self.now, header.sender)
+            first = self.registry.non_alive_fact(self.now, header.sender)
             self.outbox.send(header.sender, Ack, self._header(header.sender, header.sequence), first=first)
         elif isinstance(message, Ack):
             self._answered(header.sequence, header.sender, header.incarnation)
         elif isinstance(message, IndirectAck):
             self._answered(header.sequence, message.target, message.target_incarnation)
         elif isinstance(message, IndirectPing):
-            self.prober.probe_for(self.now, header, message.target)
+            self.prober.probe_on_behalf(self.now, header, message.target)
         elif isinstance(message, PageDigests):
-            self.exchange.answer(self.now, message)
+            self.exchange.send_differing_pages(self.now, message)
         elif isinstance(message, Page):
-            self.exchange.compare(self.now, message)
+            self.exchange.queue_newer_facts(self.now, message)
         if header.digest != self.view.digest:
-            self.exchange.differs(header.sender)
+            self.exchange.note_difference(header.sender)
 
-    def _learn(self, fact: Fact, teller: int, of_page: bool) -> None:
+    def _learn(self, fact: Fact, reporter: int, from_page: bool) -> None:
         if fact.member != self.me:
-            self.registry.learn(self.now, fact, teller, of_page)
+            self.registry.learn(self.now, fact, reporter, from_page)
         elif fact.incarnation > self.incarnation or (
             fact.incarnation == self.incarnation and fact.state is not State.ALIVE
         ):
-            self._go_over(fact.incarnation)
+            self._refute(fact.incarnation)
 
     def _answered(self, sequence: int, target: int, incarnation: int) -> None:
         if self.prober.answered(self.now, sequence, target, incarnation):
-            self._answers_while_asking += 1
+            self._query_answers += 1
             self.registry.answered(self.now, target, incarnation)
--- a/limelatch/membership/messages.py
+++ b/limelatch/membership/messages.py
@@ -39,7 +39,7 @@
     incarnation: int
     sequence: int
     digest: int
-    held: int
+    known_incarnation: int
 
 
 class Ping(msgspec.Struct, frozen=True):
--- a/limelatch/membership/prober.py
+++ b/limelatch/membership/prober.py
@@ -8,14 +8,14 @@
 from limelatch.interface import SECOND
 from limelatch.membership.detector import Reachability, Probe, Probes, Rounds
 from limelatch.membership.messages import Header, IndirectAck, IndirectPing, Ping
-from limelatch.membership.outbox import DATAGRAM_LEAST, Outbox
+from limelatch.membership.outbox import MIN_DATAGRAM_BYTES, Outbox
 from limelatch.membership.registry import Registry
 from limelatch.membership.timing import Timing
 
-HELPERS = 3  # asked to probe for this member
-ABSENT_TRIES = 2  # of one that is dead or unknown, a span
-RELAYED_MOST, RELAYED_FOR = 64, 2 * SECOND  # probes for others that are outstanding
-TARGET_BYTES, TARGET_ACK_BYTES = 3, 7  # with the count of facts
+INDIRECT_HELPERS = 3  # asked to probe for this member
+ABSENT_PROBES_PER_INTERVAL = 2  # of one that is dead or unknown, a span
+MAX_RELAYED_PROBES, RELAYED_PROBE_LIFETIME = 64, 2 * SECOND  # probes for others that are outstanding
+INDIRECT_PING_BODY_BYTES, INDIRECT_ACK_BODY_BYTES = 3, 7  # with the count of facts
 
 
 class Prober:
@@ -36,124 +36,142 @@
         self.registry, self.view, self.outbox, self.header = registry, registry.view, outbox, header
         self.rounds, self.probes = Rounds(me, self.view, random), Probes(random)
         self.reachability = Reachability(start)
-        self.probe_at = self.absent_at = self._own_at = start
+        self.probe_at = self.absent_at = self._suspect_probe_at = start
         self._relayed: dict[int, tuple[int, int, int]] = {}  # own sequence -> asker, its sequence, until
 
     def expire(self, now: int) -> list[Probe]:
         """Ask others where the direct answer is late; return the probes of the round that had none at all."""
         for probe in list(self.probes.outstanding.values()):
-            if not probe.asked_others and probe.counts and now - probe.sent >= self.timing.direct_ack_timeout:
-                probe.asked_others = True
-                self._ask_others(now, probe)
+            if (
+                not probe.indirect_requested
+                and probe.in_round
+                and now - probe.sent_at >= self.timing.direct_ack_timeout
+            ):
+                probe.indirect_requested = True
+                self._request_indirect_probes(now, probe)
         for sequence in [each for each, (_, _, until) in self._relayed.items() if until <= now]:
             del self._relayed[sequence]
-        unanswered = [each for each in self.probes.take_expired(now, self.timing) if each.counts]
-        self.reachability.unanswered += len(unanswered)
+        unanswered = [each for each in self.probes.take_expired(now, self.timing) if each.in_round]
+        self.reachability.unanswered_probes += len(unanswered)
         return unanswered
 
-    def _ask_others(self, now: int, probe: Probe) -> None:
+    def _request_indirect_probes(self, now: int, probe: Probe) -> None:
         """The direct answer is late: ask again, and ask others to probe, one of another zone first."""
-        if self.probes.hurried:
+        if self.probes.many_failed:
             return
         sequence = next(each for each, other in self.probes.outstanding.items() if other is probe)
         self._ping(now, probe.target, sequence)
         for helper in self._helpers(probe.target):
-            if self.outbox.affords(2 * TARGET_ACK_BYTES + DATAGRAM_LEAST):
+            if self.outbox.can_afford(2 * INDIRECT_ACK_BODY_BYTES + MIN_DATAGRAM_BYTES):
                 self.outbox.send(
-                    helper, IndirectPing, self.header(helper, sequence), probe.target, tail=TARGET_BYTES
+                    helper,
+                    IndirectPing,
+                    self.header(helper, sequence),
+                    probe.target,
+                    body_bytes=INDIRECT_PING_BODY_BYTES,
                 )
 
     def _helpers(self, target: int) -> list[int]:
-        found = self.rounds.some_alive(2 * HELPERS if self.zones else HELPERS, self.me, target)
+        found = self.rounds.sample_alive(
+            2 * INDIRECT_HELPERS if self.zones else INDIRECT_HELPERS, self.me, target
+        )
         if self.zones:
             found.sort(key=lambda member: self.zones[member] == self.zones[self.me])
-        return found[:HELPERS]
+        return found[:INDIRECT_HELPERS]
 
-    def begin(self, now: int) -> None:
+    def send_due_probes(self, now: int) -> None:
         """Send the probes that are due."""
         self._probe_round(now)
         self._probe_absent(now)
-        self._probe_own_suspect(now)
+        self._probe_suspect(now)
 
     def _probe_round(self, now: int) -> None:
         if now < self.probe_at:
             return
-        hurried = self.probes.hurried and self.reachability.isolation is None
-        period = self.timing.fast_probe_period if hurried else self.timing.probe_period
+        many_failed = self.probes.many_failed and self.reachability.isolation is None
+        period = self.timing.fast_probe_period if many_failed else self.timing.probe_period
         self.probe_at = max(self.probe_at + period, now + period // 2)
-        target, counts = self.rounds.next_present(unsuspected=hurried), True
-        if target is None and hurried:  # all are suspect: their silence tells that this member is isolated
+        target, in_round = self.rounds.next_present(alive_only=many_failed), True
+        if (
+            target is None and many_failed
+        ):  # all are suspect: their silence tells that this member is isolated
             target = self.rounds.next_present()
         if target is None:  # nobody is known yet
-            target, counts = self.rounds.next_absent(), False
+            target, in_round = self.rounds.next_absent(), False
         if target is not None:
-            self._ping(now, target, self.probes.begin(now, target, counts))
+            self._ping(now, target, self.probes.begin(now, target, in_round))
 
     def _probe_absent(self, now: int) -> None:
         if now < self.absent_at:
             return
         self.absent_at = now + self.timing.absent_probe_interval
-        target = self.rounds.next_absent() if self._tries_absent() else None
+        target = self.rounds.next_absent() if self._should_probe_absent() else None
         if target is not None:
-            self._ping(now, target, self.probes.begin(now, target, counts=False))
+            self._ping(now, target, self.probes.begin(now, target, in_round=False))
 
-    def _probe_own_suspect(self, now: int) -> None:
-        if now < self._own_at or not self.outbox.affords(DATAGRAM_LEAST):
+    def _probe_suspect(self, now: int) -> None:
+        if now < self._suspect_probe_at or not self.outbox.can_afford(MIN_DATAGRAM_BYTES):
             return
-        suspect = self.registry.next_own_probe(now)
+        suspect = self.registry.next_suspect_to_probe(now)
         if suspect is not None:
-            self._own_at = now + self.timing.suspect_probe_gap
-            self._ping(now, suspect, self.probes.begin(now, suspect, counts=False))
+            self._suspect_probe_at = now + self.timing.suspect_probe_gap
+            self._ping(now, suspect, self.probes.begin(now, suspect, in_round=False))
 
-    def _tries_absent(self) -> bool:
-        """Whether it is this member's turn: all together try each absent one ABSENT_TRIES times a span.
+    def _should_probe_absent(self) -> bool:
+        """Decide at random whether to probe an absent member now.
 
-        Guards against hundreds of members that all try the one that is dead, at its return too."""
-        present = max(1, self.view.present)
-        return self.random.random() * present < ABSENT_TRIES * self.view.absent
+        All members together probe each absent one about ABSENT_PROBES_PER_INTERVAL times an interval. Guards
+        against hundreds of members that all probe the same dead one, also when it returns."""
+        present = max(1, self.view.present_count)
+        return self.random.random() * present < ABSENT_PROBES_PER_INTERVAL * self.view.absent_count
 
     def _ping(self, now: int, target: int, sequence: int) -> None:
         """The target hears first what is held of it, where that is not that it is alive."""
-        first = self.registry.bad_news(now, target)
-        alone = self.probes.hurried or not self.view.is_alive(target)  # it may not hear what is told
-        self.outbox.send(target, Ping, self.header(target, sequence), first=first, alone=alone)
+        first = self.registry.non_alive_fact(now, target)
+        only_first = self.probes.many_failed or not self.view.is_alive(target)  # it may not hear what is told
+        self.outbox.send(target, Ping, self.header(target, sequence), first=first, only_first=only_first)
 
-    def probe_for(self, now: int, header: Header, target: int) -> None:
+    def probe_on_behalf(self, now: int, header: Header, target: int) -> None:
         """Probe a member that another one has no direct answer of."""
-        if target in (self.me, header.sender) or len(self._relayed) >= RELAYED_MOST:
+        if target in (self.me, header.sender) or len(self._relayed) >= MAX_RELAYED_PROBES:
             return
-        if self.outbox.affords(DATAGRAM_LEAST):
-            sequence = self.probes.begin(now, target, counts=False)
-            self._relayed[sequence] = header.sender, header.sequence, now + RELAYED_FOR
+        if self.outbox.can_afford(MIN_DATAGRAM_BYTES):
+            sequence = self.probes.begin(now, target, in_round=False)
+            self._relayed[sequence] = header.sender, header.sequence, now + RELAYED_PROBE_LIFETIME
             self._ping(now, target, sequence)
 
     def answered(self, now: int, sequence: int, target: int, incarnation: int) -> bool:
         """An answer has come, straight or by way of another member; whether it is one to an own probe."""
         if sequence in self._relayed:
-            self._pass_on(now, sequence, target, incarnation)
+            self._relay_answer(now, sequence, target, incarnation)
             return False
         if self.probes.answered(sequence, target) is None:
             return False
-        self.reachability.answered(now)
+        self.reachability.record_answer(now)
         return True
 
-    def void(self) -> None:
+    def discard_outstanding(self) -> None:
         """This process did not run: no probe counts that was out."""
-        self.probes.void()
+        self.probes.discard_outstanding()
 
     def late_targets(self) -> list[int]:
         """Members whose direct answer is late."""
-        return [probe.target for probe in self.probes.outstanding.values() if probe.asked_others]
+        return [probe.target for probe in self.probes.outstanding.values() if probe.indirect_requested]
 
     def next_due(self, now: int, busy: bool) -> int:
         """When there is something to do again; `busy`: others wait for each tick as well."""
-        due = min(self.probe_at, self.absent_at) if self.view.absent else self.probe_at
+        due = min(self.probe_at, self.absent_at) if self.view.absent_count else self.probe_at
         return min(due, now + self.timing.tick) if busy or self.probes.outstanding else due
 
-    def _pass_on(self, now: int, sequence: int, target: int, incarnation: int) -> None:
+    def _relay_answer(self, now: int, sequence: int, target: int, incarnation: int) -> None:
         if self.probes.answered(sequence, target) is not None and incarnation:
-            asker, asked, _ = self._relayed.pop(sequence)
-            self.reachability.answered(now)
+            asker, asker_sequence, _ = self._relayed.pop(sequence)
+            self.reachability.record_answer(now)
             self.outbox.send(
-                asker, IndirectAck, self.header(asker, asked), target, incarnation, tail=TARGET_ACK_BYTES
+                asker,
+                IndirectAck,
+                self.header(asker, asker_sequence),
+                target,
+                incarnation,
+                body_bytes=INDIRECT_ACK_BODY_BYTES,
             )
--- a/limelatch/membership/registry.py
+++ b/limelatch/membership/registry.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from limelatch.interface import SECOND
-from limelatch.membership.codec import AGE_MOST
+from limelatch.membership.codec import MAX_AGE
 from limelatch.membership.messages import Event, Fact, MemberChanged, State
 from limelatch.membership.suspicion import Refusals, Suspicion
 from limelatch.membership.timing import Timing
 from limelatch.membership.view import View
 
 AGE_UNIT = SECOND // 10
-FORETOLD_LEAST = 2 * SECOND  # that is left of a suspicion heard of, however old it is said to be
+MIN_REPORTED_SUSPICION = 2 * SECOND  # that is left of a suspicion heard of, however old it is said to be
 
 
 class Registry:
@@ -21,14 +21,14 @@
         self.view = View(members)
         self.suspicions: dict[int, Suspicion] = {}
         self.refusals: dict[int, Refusals] = {}  # of members that nobody suspects for it yet
-        self.held_of_self = 0  # the highest incarnation that others hold of this member
-        self._news: list[int] = []
+        self.known_own_incarnation = 0  # the highest incarnation that others hold of this member
+        self._changed_members: list[int] = []
         self._events: list[Event] = []
 
-    def take_news(self) -> list[int]:
+    def take_changed_members(self) -> list[int]:
         """Members of which something new is to be told."""
-        news, self._news = self._news, []
-        return news
+        members, self._changed_members = self._changed_members, []
+        return members
 
     def take_events(self) -> list[Event]:
         events, self._events = self._events, []
@@ -40,26 +40,26 @@
         if (suspicion := self.suspicions.get(member)) is None:
             return Fact(member, incarnation, state)
         age = max(0, now - suspicion.since) // AGE_UNIT
-        return Fact(member, incarnation, state, min(AGE_MOST, age), suspicion.own)
+        return Fact(member, incarnation, state, min(MAX_AGE, age), suspicion.own)
 
-    def bad_news(self, now: int, member: int) -> Fact | None:
+    def non_alive_fact(self, now: int, member: int) -> Fact | None:
         """What a member should hear of itself at once."""
         bad = self.view.is_known(member) and self.view.states[member] is not State.ALIVE
         return self.fact(now, member) if bad else None
 
-    def learn(self, now: int, fact: Fact, teller: int, of_page: bool = False) -> None:
-        """Take a fact on another member that `teller` told.
+    def learn(self, now: int, fact: Fact, reporter: int, from_page: bool = False) -> None:
+        """Take a fact on another member that `reporter` told.
 
         Who is alive, and comes in a page to a member that did not know it, is no news to the others."""
         member = fact.member
-        if self.view.newer(fact):
+        if self.view.is_newer(fact):
             known = self.view.is_known(member) or fact.state is not State.ALIVE
-            self._change(now, fact, f"told by member {teller}", news=known or not of_page)
+            self._change(now, fact, f"told by member {reporter}", gossip=known or not from_page)
         same = fact.incarnation == self.view.incarnations[member] and fact.state is State.SUSPECT
         if same and fact.witness and (suspicion := self.suspicions.get(member)) is not None:
-            suspicion.confirm(teller)
+            suspicion.confirm(reporter)
 
-    def _change(self, now: int, fact: Fact, why: str, news: bool = True) -> None:
+    def _change(self, now: int, fact: Fact, why: str, gossip: bool = True) -> None:
         member, view = fact.member, self.view
         known, before = view.is_known(member), view.states[member]
         after, suspicion = 0, self.suspicions.pop(member, None)
@@ -67,11 +67,11 @@
             self.refusals.pop(member, None)
         if suspicion is not None:
             after = now - suspicion.since
-        view.put(member, fact.incarnation, fact.state)
-        if news:
-            self._news.append(member)
+        view.set_state(member, fact.incarnation, fact.state)
+        if gossip:
+            self._changed_members.append(member)
         if fact.state is State.SUSPECT:
-            most = self.timing.reported_suspicion - FORETOLD_LEAST
+            most = self.timing.reported_suspicion - MIN_REPORTED_SUSPICION
             since = now - min(fact.age * AGE_UNIT, most)
             self.suspicions[member] = Suspicion(since, own=False, next_probe=now)
         if not known or before is not fact.state:
@@ -90,7 +90,7 @@
         if not suspicion.own:
             suspicion.own, suspicion.next_probe = True, now
             suspicion.since = max(suspicion.since, since)  # what was heard of does not shorten the own wait
-            self._news.append(member)
+            self._changed_members.append(member)
 
     def refused(self, now: int, member: int) -> None:
         """A datagram to it came to a closed port.
@@ -113,10 +113,10 @@
             self._change(now, Fact(member, incarnation, State.ALIVE), "answered")
         elif incarnation == view.incarnations[member] and member in self.suspicions:
             after = now - self.suspicions.pop(member).since
-            view.put(member, incarnation, State.ALIVE)
+            view.set_state(member, incarnation, State.ALIVE)
             self._events.append(MemberChanged(member, State.ALIVE, incarnation, "answered", after))
 
-    def next_own_probe(self, now: int) -> int | None:
+    def next_suspect_to_probe(self, now: int) -> int | None:
         """The suspect that has waited longest for another probe of this member, if one is due."""
         due = [
             (each.next_probe, member)
@@ -132,20 +132,20 @@
                 waits.next_probe = now + self.timing.suspect_probe_interval
         return member
 
-    def judge(self, now: int) -> None:
+    def expire_suspicions(self, now: int) -> None:
         """Suspicions whose time is over become verdicts."""
         for member, suspicion in list(self.suspicions.items()):
             if suspicion.ends_at(self.timing) <= now:
                 fact = Fact(member, self.view.incarnations[member], State.DEAD)
-                self._change(now, fact, suspicion.why(), news=suspicion.own)  # else all decide it alone
+                self._change(now, fact, suspicion.why(), gossip=suspicion.own)  # else all decide it alone
 
-    def postpone(self, now: int, span: int) -> None:
+    def extend_suspicions(self, now: int, span: int) -> None:
         """This process did not run: each suspicion lasts so much longer."""
         for suspicion in self.suspicions.values():
             suspicion.since = min(now, suspicion.since + span)
             suspicion.next_probe = now
 
-    def start_anew(self, now: int) -> None:
+    def restart_suspicions(self, now: int) -> None:
         """This member was isolated: what it suspected meanwhile says nothing of the others."""
         for suspicion in self.suspicions.values():
             suspicion.since, suspicion.next_probe, suspicion.refused = now, now, False
--- a/limelatch/membership/suspicion.py
+++ b/limelatch/membership/suspicion.py
@@ -6,8 +6,8 @@
 
 from limelatch.membership.timing import Timing
 
-CONFIRMATIONS = 2  # by other witnesses, which shorten a suspicion
-REFUSALS = 2  # that show that a member's process is gone
+CONFIRMATIONS_REQUIRED = 2  # by other witnesses, which shorten a suspicion
+REFUSALS_REQUIRED = 2  # that show that a member's process is gone
 
 
 @dataclass(slots=True)
@@ -17,13 +17,13 @@
     first_at: int
     next_probe: int
     count: int = 0
-    counted_at: int = 0
+    last_counted_at: int = 0
 
     def add(self, now: int, timing: Timing) -> bool:
         """One more, a burst counts once; whether they are enough."""
-        if not self.count or now - self.counted_at >= timing.refusal_interval:
-            self.count, self.counted_at = self.count + 1, now
-        return self.count >= REFUSALS
+        if not self.count or now - self.last_counted_at >= timing.refusal_interval:
+            self.count, self.last_counted_at = self.count + 1, now
+        return self.count >= REFUSALS_REQUIRED
 
 
 @dataclass(slots=True)
@@ -33,11 +33,13 @@
     since: int
     own: bool  # this member's probes had no answer
     next_probe: int
-    witnesses: set[int] = field(default_factory=set)  # others whose probes had none; CONFIRMATIONS at most
+    witnesses: set[int] = field(
+        default_factory=set
+    )  # others whose probes had none; CONFIRMATIONS_REQUIRED at most
     refused: bool = False  # its process is gone, as its port shows
 
     def confirm(self, witness: int) -> None:
-        if len(self.witnesses) < CONFIRMATIONS:
+        if len(self.witnesses) < CONFIRMATIONS_REQUIRED:
             self.witnesses.add(witness)
 
     def ends_at(self, timing: Timing) -> int:
@@ -48,7 +50,7 @@
             return self.since + timing.reported_suspicion
         return self.since + (
             timing.confirmed_suspicion
-            if len(self.witnesses) >= CONFIRMATIONS
+            if len(self.witnesses) >= CONFIRMATIONS_REQUIRED
             else timing.unconfirmed_suspicion
         )
 
--- a/limelatch/membership/view.py
+++ b/limelatch/membership/view.py
@@ -8,17 +8,17 @@
 MAX_MEMBERS = PAGE_MEMBERS * 58  # whose page digests fit in a datagram of 256 bytes
 DIGEST_BITS = (1 << 32) - 1
 UNKNOWN = 0  # the incarnation of a member that nothing is known of
-GONE = (State.DEAD, State.LEFT)
+ABSENT_STATES = (State.DEAD, State.LEFT)
 
 
-def pages_of(members: int) -> int:
+def page_count(members: int) -> int:
     """How many pages the view of a fleet has."""
     return -(-members // PAGE_MEMBERS)
 
 
 def digest_word(member: int, incarnation: int, state: State) -> int:
     """What a member adds to its page's digest. Alive and suspect are alike: suspicions come and go."""
-    kind = state if state in GONE else State.ALIVE
+    kind = state if state in ABSENT_STATES else State.ALIVE
     word = (member << 34 | incarnation << 2 | kind) * 0x9E3779B97F4A7C15
     return (word >> 29 ^ word >> 3) & DIGEST_BITS
 
@@ -29,8 +29,8 @@
     def __init__(self, members: int) -> None:
         self.incarnations = [UNKNOWN] * members
         self.states: list[State] = [State.ALIVE] * members  # of a known member
-        self.words = [0] * members
-        self.page_digests = [0] * pages_of(members)
+        self.digest_words = [0] * members
+        self.page_digests = [0] * page_count(members)
         self.digest = 0
         self.counts = dict.fromkeys(State, 0)
 
@@ -39,7 +39,7 @@
 
     def is_present(self, member: int) -> bool:
         """Alive or suspect."""
-        return self.is_known(member) and self.states[member] not in GONE
+        return self.is_known(member) and self.states[member] not in ABSENT_STATES
 
     def is_alive(self, member: int) -> bool:
         """Alive, and not suspect."""
@@ -48,30 +48,30 @@
     def has_left(self, member: int) -> bool:
         return self.is_known(member) and self.states[member] is State.LEFT
 
-    def newer(self, fact: Fact) -> bool:
+    def is_newer(self, fact: Fact) -> bool:
         """Whether the fact goes before what is held."""
         held = self.incarnations[fact.member]
         if fact.incarnation != held:
             return fact.incarnation > held
         return fact.state > self.states[fact.member]
 
-    def put(self, member: int, incarnation: int, state: State) -> None:
+    def set_state(self, member: int, incarnation: int, state: State) -> None:
         """Hold this of a member, whatever was held before."""
         if self.is_known(member):
             self.counts[self.states[member]] -= 1
         self.counts[state] += 1
         word = digest_word(member, incarnation, state)
-        change = self.words[member] ^ word
-        self.incarnations[member], self.states[member], self.words[member] = incarnation, state, word
+        change = self.digest_words[member] ^ word
+        self.incarnations[member], self.states[member], self.digest_words[member] = incarnation, state, word
         self.page_digests[member // PAGE_MEMBERS] ^= change
         self.digest ^= change
 
     @property
-    def present(self) -> int:
+    def present_count(self) -> int:
         """How many are alive or suspect."""
         return self.counts[State.ALIVE] + self.counts[State.SUSPECT]
 
     @property
-    def absent(self) -> int:
+    def absent_count(self) -> int:
         """How many are dead or unknown."""
-        return len(self.words) - self.present - self.counts[State.LEFT]
+        return len(self.digest_words) - self.present_count - self.counts[State.LEFT]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,14 +10,14 @@
 from limelatch.interface import MS, SECOND
 from limelatch.membership.codec import (
     MAX_DATAGRAM_BYTES,
-    WIDE_DISTANCES,
-    BadDatagram,
+    MAX_TWO_BYTE_DISTANCES,
+    InvalidDatagram,
     Codec,
     cluster_key,
     fact_bytes,
     write_facts,
 )
-from limelatch.membership.detector import HISTORY, Probes
+from limelatch.membership.detector import PROBE_HISTORY, Probes
 from limelatch.membership.dissemination import FactQueue
 from limelatch.membership.member import Member
 from limelatch.membership.messages import (
@@ -38,20 +38,20 @@
     Ping,
     State,
 )
-from limelatch.membership.outbox import BYTES_A_SECOND, BYTES_SAVED, PACKET_HEADERS
+from limelatch.membership.outbox import BYTES_PER_SECOND, MAX_SAVED_BYTES, PACKET_HEADER_BYTES
 from limelatch.membership.suspicion import Refusals, Suspicion
 from limelatch.membership.timing import Timing
-from limelatch.membership.view import PAGE_MEMBERS, View, pages_of
+from limelatch.membership.view import PAGE_MEMBERS, View, page_count
 
 COUNT = 40
 PEERS = [f"10.0.0.{number}:7946" for number in range(COUNT)]
-KEY, PAGES = cluster_key(PEERS), pages_of(COUNT)
+KEY, PAGES = cluster_key(PEERS), page_count(COUNT)
 NOW = 1000 * SECOND
 TIMING = Timing()
 
 
 def codec(me=0, count=COUNT, key=KEY):
-    return Codec(key, count, me, pages_of(count))
+    return Codec(key, count, me, page_count(count))
 
 
 WORDS, INCARNATIONS = st.integers(0, 2**32 - 1), st.integers(0, MAX_INCARNATION)
@@ -95,13 +95,13 @@
     at = draw.draw(st.integers(0, len(data) - 1))
     flipped = data[:at] + bytes([data[at] ^ draw.draw(st.integers(1, 255))]) + data[at + 1 :]
     for bad in (flipped, data[:at], data + b"\0"):
-        with pytest.raises(BadDatagram):
+        with pytest.raises(InvalidDatagram):
             codec().read(bad)
 
 
 @given(st.binary(max_size=400))
 def test_no_bytes_make_a_reader_fail_otherwise(data):
-    with pytest.raises(BadDatagram):
+    with pytest.raises(InvalidDatagram):
         codec().read(data)
 
 
@@ -137,14 +137,14 @@
     ],
 )
 def test_each_bad_datagram_has_its_reason(data, drop):
-    with pytest.raises(BadDatagram) as error:
+    with pytest.raises(InvalidDatagram) as error:
         codec().read(data)
     assert error.value.drop is drop
 
 
 @given(FACTS)
 def test_facts_never_take_more_than_is_reckoned_with(facts):
-    assert len(write_facts(facts)) <= 1 + WIDE_DISTANCES + sum(fact_bytes(fact) for fact in facts)
+    assert len(write_facts(facts)) <= 1 + MAX_TWO_BYTE_DISTANCES + sum(fact_bytes(fact) for fact in facts)
 
 
 @given(st.lists(FACT, max_size=30), st.randoms())
@@ -154,14 +154,14 @@
         random.shuffle(facts)
         view = View(COUNT)
         for fact in facts:
-            if view.newer(fact):
-                view.put(fact.member, fact.incarnation, fact.state)
+            if view.is_newer(fact):
+                view.set_state(fact.member, fact.incarnation, fact.state)
         views.append(view)
     one, other = views
     assert one.incarnations == other.incarnations and one.digest == other.digest
     assert one.page_digests == other.page_digests and one.counts == other.counts
     absent = [member for member in range(COUNT) if not one.is_present(member) and not one.has_left(member)]
-    assert one.absent == len(absent)
+    assert one.absent_count == len(absent)
 
 
 def test_digests_differ_by_incarnation_and_by_death_and_not_by_suspicion():
@@ -174,7 +174,7 @@
         (2, State.ALIVE),
     ):
         view = View(COUNT)
-        view.put(7, incarnation, state)
+        view.set_state(7, incarnation, state)
         digests.append(view.digest)
     assert digests[0] == digests[1] and len(set(digests)) == 4
 
@@ -187,9 +187,9 @@
     def fact(member):
         return Fact(member, 1, State.ALIVE)
 
-    assert [each.member for each in queue.take(WIDE_DISTANCES + 6, fact)] == [99, 98, 97]
+    assert [each.member for each in queue.take(MAX_TWO_BYTE_DISTANCES + 6, fact)] == [99, 98, 97]
     queue.add(5)  # still queued: its news overtakes
-    assert queue.take(WIDE_DISTANCES + 2, fact)[0].member == 5
+    assert queue.take(MAX_TWO_BYTE_DISTANCES + 2, fact)[0].member == 5
     told = [each.member for _ in range(200) for each in queue.take(60, fact)]
     assert len(queue) == 0 and max(told.count(member) for member in range(100)) <= 3
 
@@ -214,13 +214,16 @@
 
 def test_an_answer_counts_once_and_only_from_the_member_that_was_probed():
     probes = Probes(Random(1))
-    sequence = probes.begin(NOW, 3, counts=True)
+    sequence = probes.begin(NOW, 3, in_round=True)
     assert probes.answered(sequence, 4) is None and probes.answered(sequence + 1, 3) is None
     assert probes.answered(sequence, 3).target == 3 and probes.answered(sequence, 3) is None
-    assert not probes.hurried
-    for _ in range(HISTORY // 2):
-        probes.begin(NOW, 5, counts=True)
-    assert len(probes.take_expired(NOW + TIMING.probe_timeout, TIMING)) == HISTORY // 2 and probes.hurried
+    assert not probes.many_failed
+    for _ in range(PROBE_HISTORY // 2):
+        probes.begin(NOW, 5, in_round=True)
+    assert (
+        len(probes.take_expired(NOW + TIMING.probe_timeout, TIMING)) == PROBE_HISTORY // 2
+        and probes.many_failed
+    )
 
 
 # One member by hand: the others are this test.
@@ -238,7 +241,7 @@
     def _took(self):
         datagrams, events = self.member.take()
         for each in datagrams:
-            receiver = Codec(cluster_key(self.peers), self.count, each.to, pages_of(self.count))
+            receiver = Codec(cluster_key(self.peers), self.count, each.to, page_count(self.count))
             self.sent.append((each.to, receiver.read(each.data)))
         self.events += events
 
@@ -258,7 +261,7 @@
 
     def tell(self, sender, form, *parts, sequence=0, incarnation=1, held=0, digest=0, address=None):
         header = Header(sender, incarnation, sequence, digest, held)
-        one = Codec(cluster_key(self.peers), self.count, sender, pages_of(self.count))
+        one = Codec(cluster_key(self.peers), self.count, sender, page_count(self.count))
         drop = self.member.received(
             self.now, one.write(form(header, *parts)), sender if address is None else address
         )
@@ -375,7 +378,9 @@
     assert hand.tell(3, Gossip, (Fact(4, 9, State.DEAD),), incarnation=4) is DropReason.STALE
     assert hand.tell(3, Ping, (Fact(4, 9, State.DEAD),), incarnation=4) is DropReason.STALE
     assert (list(hand.member.view.incarnations), hand.member.view.digest) == before
-    assert [message.header.held for to, message in hand.sent if to == 3 and isinstance(message, Ack)] == [5]
+    assert [
+        message.header.known_incarnation for to, message in hand.sent if to == 3 and isinstance(message, Ack)
+    ] == [5]
 
 
 def test_a_datagram_from_another_address_than_its_senders_is_dropped():
@@ -461,8 +466,8 @@
             hand.tell(3, form, *parts, sequence=1)
         hand.run(10 * MS, others(hand))
     for to, message in hand.sent:
-        sizes += len(Codec(cluster_key(PEERS), COUNT, to, PAGES).write(message)) + PACKET_HEADERS
-    assert sizes <= BYTES_A_SECOND + 2 * BYTES_SAVED
+        sizes += len(Codec(cluster_key(PEERS), COUNT, to, PAGES).write(message)) + PACKET_HEADER_BYTES
+    assert sizes <= BYTES_PER_SECOND + 2 * MAX_SAVED_BYTES
     assert all(hand.state(member) is State.ALIVE for member in others(hand))
     assert len(hand.member.queue) <= COUNT and len(hand.member.probes.outstanding) <= 64
 
