--- a/limelatch/membership/__init__.py
+++ b/limelatch/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Failure detection among the relays: who is alive, suspect, dead or gone, as far as this member can tell.
+"""Failure detection among relays: which members are alive, suspect, dead or have left, as seen by one member.
 
-SWIM with the additions of Lifeguard (docs/design/membership.md). Free of I/O: times and a random source come
-in, datagrams and events go out. It runs unchanged in the simulation (limelatch.lab.membership) and in the
-relay (limelatch.relay.peers).
+Implements SWIM with extensions of Lifeguard (docs/design/membership.md). The package does no I/O: it is given
+times and a random source and returns datagrams and events. The same code runs in the simulation
+(limelatch.lab.membership) and in the relay (limelatch.relay.peers).
 """
--- a/limelatch/membership/codec.py
+++ b/limelatch/membership/codec.py
@@ -1,4 +1,7 @@
-"""Datagrams to messages and back: version, bounds and checksum. Forms: docs/design/membership.md."""
+"""Encodes messages as datagrams and decodes them, checking version, bounds and checksum.
+
+The layouts are described in docs/design/membership.md.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +26,17 @@
 )
 from limelatch.membership.view import MAX_MEMBERS
 
-VERSION, MAX_DATAGRAM_BYTES = 1, 256
-HEADER, CHECKSUM = struct.Struct(">BBHIIIII"), struct.Struct(">I")
-CHECKSUM_OFFSET = 4
+VERSION = 1  # of the datagram layouts
+MAX_DATAGRAM_BYTES = 256
+HEADER = struct.Struct(">BBHIIIII")
+CHECKSUM = struct.Struct(">I")
+CHECKSUM_OFFSET = 4  # bytes, in the header
 TARGET, TARGET_INCARNATION, RANGE, DIGEST = (struct.Struct(form) for form in (">H", ">HI", ">HH", ">I"))
-MAX_FACTS = 255
-STATE_BITS = 2
-MAX_TWO_BYTE_DISTANCES = MAX_MEMBERS // 128
-MAX_AGE, WITNESS_BIT = 127, 128  # tenths of a second, and the bit beside them
+MAX_FACTS = 255  # in a datagram: their count is one byte
+STATE_BITS = 2  # the low bits of a fact's incarnation and state
+MAX_TWO_BYTE_DISTANCES = MAX_MEMBERS // 128  # facts of one datagram whose member distance takes two bytes
+MAX_AGE = 127  # tenths of a second, in the low bits of the suspicion byte
+WITNESS_BIT = 128  # of the suspicion byte
 PING, ACK, GOSSIP, INDIRECT_PING, INDIRECT_ACK, PAGE_DIGESTS, PAGE = range(1, 8)
 MESSAGE_KINDS = {
     Ping: PING,
@@ -45,7 +51,7 @@
 
 
 class InvalidDatagram(Exception):
-    """A datagram that is dropped whole."""
+    """Raised for a datagram that must be dropped whole; `drop` is the reason."""
 
     def __init__(self, drop: DropReason) -> None:
         super().__init__(drop.value)
@@ -53,12 +59,14 @@
 
 
 def cluster_key(peers: Sequence[str]) -> int:
-    """The beginning of all checksums of a fleet: its peers' addresses, in their order."""
+    """Checksum of the peers' addresses in their order: the initial value of all checksums of a fleet.
+
+    Datagrams of another fleet, or of another list of peers, thus fail the checksum."""
     return zlib.crc32("\n".join(peers).encode())
 
 
 def put_varint(value: int, output: bytearray) -> None:
-    """LEB128."""
+    """Append the value to the output in the LEB128 format."""
     while value > 127:
         output.append(value & 127 | 128)
         value >>= 7
@@ -66,7 +74,7 @@
 
 
 def write_facts(facts: Iterable[Fact]) -> bytes:
-    """The count and the facts, in the order of their members."""
+    """Encode the count and the facts, sorted by member."""
     output, previous, count = bytearray(1), 0, 0
     for fact in sorted(facts, key=lambda each: each.member):
         put_varint(fact.member - previous, output)
@@ -79,8 +87,9 @@
 
 
 def fact_bytes(fact: Fact) -> int:
-    """What a fact takes in a datagram where its distance takes one byte; of all facts of a datagram at most
-    MAX_TWO_BYTE_DISTANCES take one more."""
+    """Encoded size of a fact whose distance to the previous member takes one byte.
+
+    At most MAX_TWO_BYTE_DISTANCES facts of a datagram take one byte more."""
     value, size = fact.incarnation << STATE_BITS, 3 if fact.state is State.SUSPECT else 2
     while value > 127:
         value >>= 7
@@ -89,7 +98,7 @@
 
 
 class _Cursor:
-    """Reads on in the part behind the header; raises BadDatagram where it ends too early."""
+    """Reads the body of a datagram field by field; raises InvalidDatagram where it ends too early."""
 
     def __init__(self, data: bytes, position: int) -> None:
         self.data, self.position = data, position
@@ -122,7 +131,9 @@
 
 
 class Codec:
-    """Writes and reads the datagrams of one fleet, for the member `me` of `members`."""
+    """Encodes and decodes the datagrams of a fleet of `members` members, for the member number `me`.
+
+    `key`: the fleet's `cluster_key`; `pages`: how many pages its view has."""
 
     def __init__(self, key: int, members: int, me: int, pages: int) -> None:
         self.key, self.members, self.me, self.pages = key, members, me, pages
@@ -134,7 +145,7 @@
         }
 
     def write(self, message: Message) -> bytes:
-        """The datagram; ValueError where it would be over MAX_DATAGRAM_BYTES, a fault of the caller."""
+        """Encode a message. Raises ValueError if it exceeds MAX_DATAGRAM_BYTES: an error of the caller."""
         header = message.header
         head = HEADER.pack(
             VERSION,
@@ -148,7 +159,7 @@
         )
         data = head + self._encode_body(message)
         if len(data) > MAX_DATAGRAM_BYTES:
-            raise ValueError(f"a datagram of {len(data)} bytes")
+            raise ValueError(f"datagram of {len(data)} bytes exceeds the limit")
         return (
             data[:CHECKSUM_OFFSET]
             + CHECKSUM.pack(self._checksum(data))
@@ -172,7 +183,7 @@
         return zlib.crc32(data[CHECKSUM_OFFSET + CHECKSUM.size :], begun)
 
     def read(self, data: bytes) -> Message:
-        """The message. Raises BadDatagram with the reason; nothing of a bad one is used."""
+        """Decode and check a whole datagram. Raises InvalidDatagram with the reason."""
         if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
             raise InvalidDatagram(DropReason.LENGTH)
         version, kind, sender, checksum, incarnation, sequence, digest, known_incarnation = (
@@ -213,7 +224,7 @@
         facts, member = [], 0
         for number in range(cursor.byte()):
             distance = cursor.varint()
-            if number and not distance:  # the same member twice
+            if number and not distance:  # a second fact on the same member
                 raise InvalidDatagram(DropReason.VALUE)
             member = self._member(member + distance)
             value = cursor.varint()
--- a/limelatch/membership/dissemination.py
+++ b/limelatch/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""The facts that a member still passes on, each a bounded number of times, the newest first."""
+"""The queue of facts to gossip: each is sent a bounded number of times, the newest first."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 
 class FactQueue:
-    """Members with news and how often each is still to be told; the news itself is read as it is sent."""
+    """Members whose state has changed, and how often each is still to be sent.
+
+    The fact itself is read when it is sent, so that it is always the current one."""
 
     def __init__(self, max_transmissions: int) -> None:
         self.max_transmissions = max_transmissions
@@ -20,14 +22,14 @@
         return len(self._transmissions_left)
 
     def add(self, member: int) -> None:
-        """There is news of the member: it goes before all else, a refutation before older suspicions too."""
+        """Queue a changed member in front of all others, so that a refutation overtakes older suspicions."""
         self._transmissions_left[member] = self.max_transmissions
         self._transmissions_left.move_to_end(member, last=False)
 
     def take(
         self, free_bytes: int, fact_of: Callable[[int], Fact], first: Fact | None = None
     ) -> tuple[Fact, ...]:
-        """Facts of `room` bytes at most, `first` before the queue's; each counts as sent once."""
+        """Take facts of at most `free_bytes`, `first` before the queued ones; each counts as sent once."""
         taken, free_bytes = [], free_bytes - MAX_TWO_BYTE_DISTANCES
         if first is not None and fact_bytes(first) <= free_bytes:
             free_bytes -= fact_bytes(first)
@@ -44,7 +46,7 @@
         return tuple(taken)
 
     def _count_transmission(self, member: int) -> None:
-        """It has been sent once more: behind the others, or out."""
+        """Count a transmission: move the member behind the others, or remove it after the last one."""
         self._transmissions_left[member] -= 1
         if self._transmissions_left[member]:
             self._transmissions_left.move_to_end(member)
--- a/limelatch/membership/exchange.py
+++ b/limelatch/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Views that differ after the news is told: page digests are compared, and pages that differ are sent."""
+"""Anti-entropy for views that still differ after gossip: compares page digests and sends differing pages."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from limelatch.membership.registry import Registry
 from limelatch.membership.view import PAGE_MEMBERS
 
-MAX_PAGES_PER_REQUEST = 3  # sent for one PageDigests
-PAGE_FIELDS_BYTES = 5  # first, end and the count of facts
-PAGE_FACTS_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - PAGE_FIELDS_BYTES - MAX_TWO_BYTE_DISTANCES
-SYNC_DURATION = 3 * SECOND  # after a page that told of unknown members
-BUSY_REQUEST_INTERVAL = 10 * SECOND  # between two questions while facts are queued
+MAX_PAGES_PER_REQUEST = 3  # sent in reply to one PageDigests
+PAGE_FIELDS_BYTES = 5  # bytes of `first`, `end` and the count of facts
+PAGE_FACTS_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - PAGE_FIELDS_BYTES - MAX_TWO_BYTE_DISTANCES  # of a Page
+SYNC_DURATION = 3 * SECOND  # for which pages are requested often, after a page with unknown members
+BUSY_REQUEST_INTERVAL = 10 * SECOND  # between two requests while facts are queued
 
 
 class Exchange:
-    """Compares this member's view with that of another one whose digest differed."""
+    """Synchronizes this member's view with that of a member whose digest differed."""
 
     def __init__(self, registry: Registry, outbox: Outbox, header: Callable[[int], Header]) -> None:
         self.registry, self.view, self.outbox, self.header = registry, registry.view, outbox, header
@@ -28,13 +28,14 @@
         self._syncing_until = 0
 
     def note_difference(self, member: int) -> None:
+        """Remember the latest member whose view digest differs from this one's."""
         self._differing_member = member
 
     def request_pages(self, now: int, queued: int) -> bool:
-        """Send the digests to the last member whose view differed; False where there is nothing to ask.
+        """Send the page digests to the latest member whose view differed; False if nothing was sent.
 
-        While there is news, views differ by what is on its way: then it is asked seldom. Guards against pages
-        that use up the budget where many datagrams are lost, and refutations that come too late by it."""
+        While `queued` facts wait, views differ by what is still on its way, so requests are rare. Guards
+        against pages that use up the byte budget when many datagrams are lost and so delay refutations."""
         other, self._differing_member = self._differing_member, None
         size = HEADER.size + 4 * len(self.view.page_digests)
         syncing = self._knows_few_members() or now < self._syncing_until
@@ -48,11 +49,11 @@
         return True
 
     def _knows_few_members(self) -> bool:
-        """Much is unknown here, as just after a start."""
+        """Whether less than half of the members are known as present, as just after a start."""
         return 2 * self.view.present_count < len(self.view.digest_words)
 
     def send_differing_pages(self, now: int, request: PageDigests) -> None:
-        """Send some of the pages that differ, another part of them each time."""
+        """Send some of the pages that differ, starting after the last one sent."""
         pages = len(self.view.page_digests)
         order = [(self._next_page + number) % pages for number in range(pages)]
         differing = [page for page in order if request.digests[page] != self.view.page_digests[page]]
@@ -61,7 +62,7 @@
             self.send_page(now, request.header.sender, page)
 
     def send_page(self, now: int, to: int, page: int) -> None:
-        """A page, in as many datagrams as its facts need."""
+        """Send a page, in as many datagrams as its facts need."""
         first = page * PAGE_MEMBERS
         last = min(first + PAGE_MEMBERS, len(self.view.digest_words))
         facts, free_bytes = [], PAGE_FACTS_BYTES
@@ -81,14 +82,15 @@
             self.outbox.send_whole(to, Page(self.header(to), first, end, tuple(facts)))
 
     def page_received(self, now: int, page: Page) -> None:
-        """A page has come, and is not learned yet: while pages tell of unknown members the next is asked for.
+        """Note a received page before its facts are learned: unknown members keep requests frequent.
 
-        Guards against a member just started that knows half of the others and asks once in ten seconds."""
+        Guards against a newly started member that knows half of the others and then requests pages only once
+        in ten seconds."""
         if any(not self.view.is_known(fact.member) for fact in page.facts):
             self._syncing_until = now + SYNC_DURATION
 
     def queue_newer_facts(self, now: int, page: Page) -> None:
-        """Its facts are learned already; tell its sender of those that are newer here."""
+        """Queue the facts of the page's range that are newer here. Its own facts are learned already."""
         received = {fact.member: fact for fact in page.facts}
         newer = []
         for member in range(page.first, page.end):
--- a/limelatch/membership/member.py
+++ b/limelatch/membership/member.py
@@ -1,7 +1,7 @@
-"""One member: it probes the others, learns from what they tell, and passes on what it knows.
+"""One member of a fleet: probes the others, merges the facts that they send, and gossips its own.
 
-The host program calls `tick` at the time that `due` names, `received` for each datagram, `refused` where a
-datagram found a closed port, and `leave` at a clean end; after each it takes what `take` gives.
+The host program calls `tick` at the time `due`, `received` for each datagram, `refused` for a datagram that a
+closed port refused, and `leave` at a clean end. After each call it sends and handles what `take` returns.
 """
 
 from __future__ import annotations
@@ -38,15 +38,16 @@
 from limelatch.membership.timing import Timing, transmissions
 from limelatch.membership.view import page_count
 
-GOSSIP_TARGETS = 2  # gossip datagrams a period
-MIN_GOSSIP_BYTES = (
-    200  # that have to be affordable: few full datagrams of facts cost less than many small ones
-)
-MAX_DIRECT_NOTIFICATIONS = 32  # members that hear directly that this one is alive, or leaves
+GOSSIP_TARGETS = 2  # members that get a gossip datagram each period
+MIN_GOSSIP_BYTES = 200  # that the budget must allow: few full datagrams cost less than many small ones
+MAX_DIRECT_NOTIFICATIONS = 32  # members that are told directly that this one is alive or leaves
 
 
 class Member:
-    """The member at `me` of `peers`. `incarnation`: 0 where no earlier one is known, which is asked for."""
+    """The member at index `me` of `peers`.
+
+    `incarnation`: 0 if the earlier one is not known; the other members are then queried for it.
+    `now`: in tenths of a millisecond, as all times. `zones`: of each member, empty if not configured."""
 
     registry_class = Registry
 
@@ -87,7 +88,7 @@
     # What the host program calls.
 
     def take(self) -> tuple[list[Datagram], list[Event]]:
-        """What is to be sent, and what has changed, since the last call."""
+        """Return the datagrams to send and the events since the last call."""
         datagrams, self.outbox.datagrams = self.outbox.datagrams, []
         events, self._events = self._events + self.registry.take_events(), []
         for member in self.registry.take_changed_members():
@@ -95,7 +96,7 @@
         return datagrams, events
 
     def tick(self, now: int) -> None:
-        """All that is due; `due` is then the time of the next call."""
+        """Do all that is due, and set `due` to the time of the next call."""
         late, self.now = now - self.due, now
         if self.has_left:
             return
@@ -115,7 +116,9 @@
         self.due = self._next_due()
 
     def received(self, now: int, data: bytes, sender: int | None) -> DropReason | None:
-        """A datagram from a member's address; None: from another one. Returns why it was dropped, if so."""
+        """Handle a datagram; `sender`: the member with its source address, None if there is none.
+
+        Returns why the datagram was dropped, None if it was not."""
         self.now = max(now, self.now)
         drop = self._receive(data, sender)
         if drop is not None:
@@ -123,20 +126,20 @@
         return drop
 
     def refused(self, now: int, member: int) -> None:
-        """A datagram to this member came to a closed port: its process is gone."""
+        """A datagram to this member was refused by a closed port, as its process may be gone."""
         self.now = max(now, self.now)
         usable = not self.has_left and self.reachability.isolation is None
         if usable and member != self.me and self.view.is_present(member):
             self.registry.refused(self.now, member)
 
     def unresponsive_members(self) -> list[int]:
-        """Members that have not answered: worth a look whether their processes are gone."""
+        """Members that have not answered; the host program can check whether their ports are closed."""
         late = self.prober.late_targets()
         own = [member for member, each in self.registry.suspicions.items() if each.own]
         return list(dict.fromkeys([*self.registry.refusals, *late, *own]))
 
     def leave(self, now: int) -> None:
-        """A clean end: others take it at once; nothing is done any more."""
+        """Tell other members that this one leaves; from then on it does nothing."""
         self.now = now
         if self.incarnation and not self.has_left:
             self._set_own_state(State.LEFT)
@@ -151,7 +154,9 @@
         self._events.append(Joined(incarnation))
 
     def _query_incarnation(self) -> None:
-        """Guards against passing for an earlier process: others say what they hold of it."""
+        """Join above the incarnation that others know of this member, once they had time to answer.
+
+        Guards against being taken for an earlier process of this member."""
         half = self._query_until - self.timing.incarnation_query_time
         if self.now >= self._query_until or self.now >= half and self._query_answers:
             self._join(min(self.registry.known_own_incarnation + 1, MAX_INCARNATION))
@@ -161,7 +166,7 @@
         self.queue.add(self.me)
 
     def _refute(self, incarnation: int) -> None:
-        """Somebody holds this of the member itself: refute it, up to the bound of what others read."""
+        """Refute a fact on this member by a higher incarnation, up to the maximum that others accept."""
         self.registry.known_own_incarnation = max(self.registry.known_own_incarnation, incarnation)
         if self.incarnation and not self.has_left:
             self.incarnation = min(incarnation + 1, MAX_INCARNATION)
@@ -176,14 +181,14 @@
     # Probes.
 
     def _handle_late_tick(self, late: int) -> None:
-        """The process did not run for so long: answers may have been missed, so nobody is judged by them."""
+        """Void probes and prolong suspicions: the process did not run and may have missed answers."""
         self.prober.discard_outstanding()
         self.registry.extend_suspicions(self.now, late + self.timing.late_tick_grace)
         self.reachability.answered_at += late
         self.reachability.received_at += late
 
     def _update_isolation(self) -> None:
-        """Whether this member is isolated; what it suspected is begun anew once it is no longer."""
+        """Update whether this member is isolated; restart its suspicions once it no longer is."""
         known = self.view.present_count - 1 if self.incarnation else self.view.present_count
         before = self.reachability.isolation
         isolation = self.reachability.find_isolation(
@@ -195,7 +200,7 @@
         if isolation is None and before is not None:
             self.registry.restart_suspicions(self.now)
 
-    # News.
+    # Gossip.
 
     def _send_gossip(self) -> None:
         for member in self.registry.take_changed_members():
@@ -248,7 +253,7 @@
         if header.known_incarnation > self.incarnation:
             self._refute(header.known_incarnation)
         if header.incarnation < self.view.incarnations[sender]:
-            if isinstance(message, Ping):  # an earlier process, or one that asks what is held of it
+            if isinstance(message, Ping):  # an earlier process, or one that queries its incarnation
                 self.outbox.send(sender, Ack, self._header(sender, header.sequence))
             return DropReason.STALE if header.incarnation else None
         if header.incarnation:
--- a/limelatch/membership/messages.py
+++ b/limelatch/membership/messages.py
@@ -1,4 +1,4 @@
-"""What members tell each other, and what a member tells its host program."""
+"""Messages between members, and the events that a member reports to its host program."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class State(IntEnum):
-    """How a member is; at one incarnation a higher state goes before a lower one."""
+    """State of a member; at the same incarnation a higher state overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,8 +19,10 @@
 
 
 class Fact(msgspec.Struct, frozen=True):
-    """A member's state at an incarnation. Of a suspicion: its `age` in tenths of a second, and whether who
-    tells it is a `witness`, whose own probes had no answer."""
+    """A member's state at an incarnation.
+
+    Of a suspicion only: its `age` in tenths of a second, and whether the sender is a `witness`, that is
+    whether its own probes had no answer."""
 
     member: int
     incarnation: int
@@ -30,10 +32,10 @@
 
 
 class Header(msgspec.Struct, frozen=True):
-    """What every datagram begins with.
+    """The header of every datagram.
 
-    `sequence`: of the probe, for pings and their answers; `digest`: of the sender's view; `held`: the
-    incarnation that the sender holds of the receiver, 0 if it does not know it."""
+    `sequence`: of the probe, for pings and their answers; `digest`: of the sender's view;
+    `known_incarnation`: the receiver's incarnation as the sender knows it, 0 if it does not."""
 
     sender: int
     incarnation: int
@@ -50,21 +52,21 @@
 
 
 class Ack(msgspec.Struct, frozen=True):
-    """Answers a Ping."""
+    """Answers a Ping, with its sequence number."""
 
     header: Header
     facts: tuple[Fact, ...] = ()
 
 
 class Gossip(msgspec.Struct, frozen=True):
-    """Facts alone, with no answer."""
+    """Carries facts; is not answered."""
 
     header: Header
     facts: tuple[Fact, ...] = ()
 
 
 class IndirectPing(msgspec.Struct, frozen=True):
-    """Asks the receiver to ping `target` and to pass on its answer."""
+    """Asks the receiver to ping `target` and to relay its answer."""
 
     header: Header
     target: int
@@ -72,7 +74,7 @@
 
 
 class IndirectAck(msgspec.Struct, frozen=True):
-    """`target` has answered the receiver's IndirectPing, at `target_incarnation`."""
+    """Reports that `target` has answered, at `target_incarnation`: the answer to an IndirectPing."""
 
     header: Header
     target: int
@@ -81,14 +83,14 @@
 
 
 class PageDigests(msgspec.Struct, frozen=True):
-    """The digest of each page of the sender's view; the receiver sends the pages that differ."""
+    """The digest of each page of the sender's view; the receiver answers with the pages that differ."""
 
     header: Header
     digests: tuple[int, ...]
 
 
 class Page(msgspec.Struct, frozen=True):
-    """All that the sender knows of the members from `first` up to and without `end`."""
+    """All facts that the sender knows of the members from `first` up to, but not including, `end`."""
 
     header: Header
     first: int
@@ -100,27 +102,29 @@
 
 
 class DropReason(Enum):
-    """Why a datagram was dropped whole."""
+    """Why a datagram was dropped."""
 
     LENGTH = "length"
     VERSION = "version"
     KIND = "kind"
     CHECKSUM = "checksum"
-    SENDER = "sender"  # not a member, not its address, or the receiver itself
-    VALUE = "value"  # a member beyond the list, an incarnation beyond its bound, a fact twice
-    STALE = "stale"  # of an earlier process of its sender
-    FLOOD = "flood"  # more in a moment than are read
+    SENDER = "sender"  # not a member, not that member's address, or the receiver itself
+    VALUE = "value"  # a member or incarnation out of range, or two facts on one member
+    STALE = "stale"  # from an earlier process of its sender
+    FLOOD = "flood"  # over the limit of datagrams read in an interval
 
 
 class Isolation(Enum):
-    """Why a member that gets no answers believes so."""
+    """Why a member counts itself as isolated."""
 
-    UNANSWERED = "unanswered"  # others are heard, and none answers
-    DEAF = "deaf"  # nothing is heard
+    UNANSWERED = "unanswered"  # datagrams arrive, but no probe is answered
+    DEAF = "deaf"  # no datagram arrives
 
 
 class MemberChanged(msgspec.Struct, frozen=True):
-    """The view of a member has changed. `after`: since the first sign of it, in tenths of a millisecond."""
+    """The state of a member has changed in this view.
+
+    `after`: time since the first sign of the change, in tenths of a millisecond."""
 
     member: int
     state: State
@@ -130,14 +134,16 @@
 
 
 class IsolationChanged(msgspec.Struct, frozen=True):
-    """This member has become isolated, or with None it is no longer."""
+    """This member has become isolated, or, if `why` is None, is no longer.
+
+    `after`: time since the last answer, in tenths of a millisecond."""
 
     why: Isolation | None
     after: int = 0
 
 
 class Joined(msgspec.Struct, frozen=True):
-    """This member has its incarnation and takes part."""
+    """This member has its incarnation and takes part from now on."""
 
     incarnation: int
 
@@ -146,7 +152,7 @@
 
 
 class Datagram(msgspec.Struct, frozen=True):
-    """Bytes to send to a member."""
+    """An encoded message and the member to send it to."""
 
     to: int
     data: bytes
--- a/limelatch/membership/outbox.py
+++ b/limelatch/membership/outbox.py
@@ -1,4 +1,4 @@
-"""What a member sends: datagrams filled with facts, within its budget of bytes."""
+"""Outgoing datagrams of a member, filled up with queued facts and limited by a byte budget."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 from limelatch.membership.dissemination import FactQueue
 from limelatch.membership.messages import Datagram, Fact, Header, Message
 
-RESERVED_BYTES = 400  # bytes that only pings and answers use
-FACTS_RESERVED_BYTES = 900  # that facts leave: indirect probes and second looks come before them
-MIN_DATAGRAM_BYTES = 25  # of a ping without facts
-PACKET_HEADER_BYTES = 28  # of IPv4 and UDP
-BYTES_PER_SECOND, MAX_SAVED_BYTES = 2700, 1400  # sent and received, packet headers counted: under 3 KB/s
+RESERVED_BYTES = 400  # bytes that only pings and answers may use
+FACTS_RESERVED_BYTES = 900  # bytes that facts leave unused: indirect and repeated probes have priority
+MIN_DATAGRAM_BYTES = 25  # a ping without facts
+PACKET_HEADER_BYTES = 28  # bytes of the IPv4 and UDP headers
+BYTES_PER_SECOND = 2700  # sent and received with packet headers; keeps a member under 3 KB/s
+MAX_SAVED_BYTES = 1400  # unused budget that is kept for a burst
 
 
 class Outbox:
-    """Datagrams of this turn. A budget keeps their bytes down: facts give way first, answers last."""
+    """The datagrams of the current step, limited by a token bucket of bytes.
+
+    When it runs low, facts are left out first and answers last."""
 
     def __init__(self, now: int, codec: Codec, queue: FactQueue, fact_of: Callable[[int], Fact]) -> None:
         self.codec, self.queue, self.fact_of = codec, queue, fact_of
@@ -26,6 +29,7 @@
         self._receive_allowance = MAX_SAVED_BYTES
 
     def refill(self, now: int) -> None:
+        """Add the budget of the time since the last call."""
         earned = (now - self.refilled_at) * BYTES_PER_SECOND // SECOND
         if earned > 0:
             self.allowance = min(MAX_SAVED_BYTES, self.allowance + earned)
@@ -33,22 +37,23 @@
             self.refilled_at = now
 
     def received(self, size: int) -> None:
-        """A datagram of another member: it is paid for from the same budget.
+        """Charge a received datagram to the same budget.
 
-        Guards against a member that sends so much that this one can't answer: at most half is charged."""
+        At most half of the budget is charged. Guards against a member that sends so much that this one can no
+        longer answer."""
         charged = min(size + PACKET_HEADER_BYTES, self._receive_allowance)
         self._receive_allowance -= charged
         self.allowance -= charged
 
     def can_afford(self, size: int) -> bool:
-        """Whether a probe that may be left out leaves the reserve, from which pings and answers go.
+        """Whether an optional probe of this size leaves the reserve for pings and answers.
 
-        Guards against news that uses up the budget: without indirect probes more members are suspect, and
-        that is more news."""
+        Guards against facts that use up the budget: without indirect probes more members become suspect,
+        which causes even more facts."""
         return self.allowance >= RESERVED_BYTES + size + PACKET_HEADER_BYTES
 
     def can_afford_facts(self, size: int) -> bool:
-        """The same for a datagram that is sent for its facts alone."""
+        """Whether the budget allows a datagram that is sent only for its facts."""
         return self.allowance >= FACTS_RESERVED_BYTES + size + PACKET_HEADER_BYTES
 
     def send(
@@ -61,10 +66,10 @@
         first: Fact | None = None,
         only_first: bool = False,
     ) -> None:
-        """Send a message with `first` and, unless that is to go alone, as many queued facts as fit.
-        `tail`: the message's bytes behind the header without facts.
+        """Send a message with the fact `first` and, unless `only_first`, as many queued facts as fit.
 
-        Guards against answers to a flood of pings: with the saved bytes overdrawn nothing is sent."""
+        `body_bytes`: the message's size without header and facts. Nothing is sent once the budget is
+        overdrawn by MAX_SAVED_BYTES: guards against answering a flood of pings."""
         size = HEADER.size + body_bytes
         if self.allowance + MAX_SAVED_BYTES < size + PACKET_HEADER_BYTES:
             return
@@ -79,7 +84,7 @@
         self._put(to, message_type(header, *fields, facts))
 
     def send_whole(self, to: int, message: Message) -> None:
-        """Send a message that is filled already."""
+        """Send a complete message, without queued facts."""
         self._put(to, message)
 
     def _put(self, to: int, message: Message) -> None:
--- a/limelatch/membership/prober.py
+++ b/limelatch/membership/prober.py
@@ -1,4 +1,4 @@
-"""The probes of one member: its rounds, those for others, and second looks at suspects and absent ones."""
+"""Sends the probes of one member: regular rounds, indirect ones, and those of suspect and absent members."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 from limelatch.membership.registry import Registry
 from limelatch.membership.timing import Timing
 
-INDIRECT_HELPERS = 3  # asked to probe for this member
-ABSENT_PROBES_PER_INTERVAL = 2  # of one that is dead or unknown, a span
-MAX_RELAYED_PROBES, RELAYED_PROBE_LIFETIME = 64, 2 * SECOND  # probes for others that are outstanding
-INDIRECT_PING_BODY_BYTES, INDIRECT_ACK_BODY_BYTES = 3, 7  # with the count of facts
+INDIRECT_HELPERS = 3  # members asked for an indirect probe
+ABSENT_PROBES_PER_INTERVAL = 2  # of each dead or unknown member, by all members together
+MAX_RELAYED_PROBES = 64  # outstanding probes on behalf of others
+RELAYED_PROBE_LIFETIME = 2 * SECOND
+INDIRECT_PING_BODY_BYTES = 3  # the target and the count of facts
+INDIRECT_ACK_BODY_BYTES = 7  # the target, its incarnation and the count of facts
 
 
 class Prober:
-    """Sends pings and learns which of them are answered; `zones`: of each member, if they are told."""
+    """Sends pings and matches their answers. `zones`: the zone of each member, empty if not configured."""
 
     def __init__(
         self,
@@ -37,10 +39,12 @@
         self.rounds, self.probes = Rounds(me, self.view, random), Probes(random)
         self.reachability = Reachability(start)
         self.probe_at = self.absent_at = self._suspect_probe_at = start
-        self._relayed: dict[int, tuple[int, int, int]] = {}  # own sequence -> asker, its sequence, until
+        self._relayed: dict[
+            int, tuple[int, int, int]
+        ] = {}  # own sequence -> (requester, its sequence, expiry)
 
     def expire(self, now: int) -> list[Probe]:
-        """Ask others where the direct answer is late; return the probes of the round that had none at all."""
+        """Request indirect probes where direct answers are late; return the round's probes that timed out."""
         for probe in list(self.probes.outstanding.values()):
             if (
                 not probe.indirect_requested
@@ -56,7 +60,7 @@
         return unanswered
 
     def _request_indirect_probes(self, now: int, probe: Probe) -> None:
-        """The direct answer is late: ask again, and ask others to probe, one of another zone first."""
+        """Ping again, and ask helpers to probe the target, those of other zones first."""
         if self.probes.many_failed:
             return
         sequence = next(each for each, other in self.probes.outstanding.items() if other is probe)
@@ -80,7 +84,7 @@
         return found[:INDIRECT_HELPERS]
 
     def send_due_probes(self, now: int) -> None:
-        """Send the probes that are due."""
+        """Send all probes that are due."""
         self._probe_round(now)
         self._probe_absent(now)
         self._probe_suspect(now)
@@ -94,9 +98,9 @@
         target, in_round = self.rounds.next_present(alive_only=many_failed), True
         if (
             target is None and many_failed
-        ):  # all are suspect: their silence tells that this member is isolated
+        ):  # all are suspect: unanswered probes then show that this member is isolated
             target = self.rounds.next_present()
-        if target is None:  # nobody is known yet
+        if target is None:  # no member is known yet
             target, in_round = self.rounds.next_absent(), False
         if target is not None:
             self._ping(now, target, self.probes.begin(now, target, in_round))
@@ -126,13 +130,15 @@
         return self.random.random() * present < ABSENT_PROBES_PER_INTERVAL * self.view.absent_count
 
     def _ping(self, now: int, target: int, sequence: int) -> None:
-        """The target hears first what is held of it, where that is not that it is alive."""
+        """Send a ping. If the target is not known as alive, the first fact is its state, for it to refute."""
         first = self.registry.non_alive_fact(now, target)
-        only_first = self.probes.many_failed or not self.view.is_alive(target)  # it may not hear what is told
+        only_first = self.probes.many_failed or not self.view.is_alive(
+            target
+        )  # facts would be lost on a target that may be gone
         self.outbox.send(target, Ping, self.header(target, sequence), first=first, only_first=only_first)
 
     def probe_on_behalf(self, now: int, header: Header, target: int) -> None:
-        """Probe a member that another one has no direct answer of."""
+        """Probe a member from which another one got no direct answer."""
         if target in (self.me, header.sender) or len(self._relayed) >= MAX_RELAYED_PROBES:
             return
         if self.outbox.can_afford(MIN_DATAGRAM_BYTES):
@@ -141,7 +147,7 @@
             self._ping(now, target, sequence)
 
     def answered(self, now: int, sequence: int, target: int, incarnation: int) -> bool:
-        """An answer has come, straight or by way of another member; whether it is one to an own probe."""
+        """Handle a direct or indirect answer; return whether it answers a probe of this member's own."""
         if sequence in self._relayed:
             self._relay_answer(now, sequence, target, incarnation)
             return False
@@ -151,7 +157,7 @@
         return True
 
     def discard_outstanding(self) -> None:
-        """This process did not run: no probe counts that was out."""
+        """Forget the outstanding probes: this process did not run and may have missed answers."""
         self.probes.discard_outstanding()
 
     def late_targets(self) -> list[int]:
@@ -159,18 +165,18 @@
         return [probe.target for probe in self.probes.outstanding.values() if probe.indirect_requested]
 
     def next_due(self, now: int, busy: bool) -> int:
-        """When there is something to do again; `busy`: others wait for each tick as well."""
+        """When the next tick is due; `busy`: something else needs every regular tick as well."""
         due = min(self.probe_at, self.absent_at) if self.view.absent_count else self.probe_at
         return min(due, now + self.timing.tick) if busy or self.probes.outstanding else due
 
     def _relay_answer(self, now: int, sequence: int, target: int, incarnation: int) -> None:
         if self.probes.answered(sequence, target) is not None and incarnation:
-            asker, asker_sequence, _ = self._relayed.pop(sequence)
+            requester, requester_sequence, _ = self._relayed.pop(sequence)
             self.reachability.record_answer(now)
             self.outbox.send(
-                asker,
+                requester,
                 IndirectAck,
-                self.header(asker, asker_sequence),
+                self.header(requester, requester_sequence),
                 target,
                 incarnation,
                 body_bytes=INDIRECT_ACK_BODY_BYTES,
--- a/limelatch/membership/registry.py
+++ b/limelatch/membership/registry.py
@@ -1,4 +1,4 @@
-"""What a member believes of the others: facts taken in by their precedence, suspicions and verdicts."""
+"""A member's knowledge of the others: merges facts by precedence and turns old suspicions into deaths."""
 
 from __future__ import annotations
 
@@ -9,33 +9,34 @@
 from limelatch.membership.timing import Timing
 from limelatch.membership.view import View
 
-AGE_UNIT = SECOND // 10
-MIN_REPORTED_SUSPICION = 2 * SECOND  # that is left of a suspicion heard of, however old it is said to be
+AGE_UNIT = SECOND // 10  # of a suspicion's age in a fact
+MIN_REPORTED_SUSPICION = 2 * SECOND  # left of a reported suspicion, whatever age is reported
 
 
 class Registry:
-    """The view of one member, its suspicions, and the news and events that come of them."""
+    """The view of one member, its suspicions, and the changes and events that result from them."""
 
     def __init__(self, members: int, me: int, timing: Timing) -> None:
         self.me, self.timing = me, timing
         self.view = View(members)
         self.suspicions: dict[int, Suspicion] = {}
-        self.refusals: dict[int, Refusals] = {}  # of members that nobody suspects for it yet
-        self.known_own_incarnation = 0  # the highest incarnation that others hold of this member
+        self.refusals: dict[int, Refusals] = {}  # of members not yet suspect because of them
+        self.known_own_incarnation = 0  # the highest incarnation of this member that others know
         self._changed_members: list[int] = []
         self._events: list[Event] = []
 
     def take_changed_members(self) -> list[int]:
-        """Members of which something new is to be told."""
+        """Return and clear the members whose changes are to be sent to others."""
         members, self._changed_members = self._changed_members, []
         return members
 
     def take_events(self) -> list[Event]:
+        """Return and clear the events since the last call."""
         events, self._events = self._events, []
         return events
 
     def fact(self, now: int, member: int) -> Fact:
-        """What is to be told of a member now."""
+        """The current fact on a member."""
         state, incarnation = self.view.states[member], self.view.incarnations[member]
         if (suspicion := self.suspicions.get(member)) is None:
             return Fact(member, incarnation, state)
@@ -43,14 +44,14 @@
         return Fact(member, incarnation, state, min(MAX_AGE, age), suspicion.own)
 
     def non_alive_fact(self, now: int, member: int) -> Fact | None:
-        """What a member should hear of itself at once."""
+        """The fact that a member should refute at once: it is known, and not as alive; else None."""
         bad = self.view.is_known(member) and self.view.states[member] is not State.ALIVE
         return self.fact(now, member) if bad else None
 
     def learn(self, now: int, fact: Fact, reporter: int, from_page: bool = False) -> None:
-        """Take a fact on another member that `reporter` told.
+        """Merge a fact on another member, received from `reporter`.
 
-        Who is alive, and comes in a page to a member that did not know it, is no news to the others."""
+        An alive member that was unknown here and comes in a page is not passed on: the others know it."""
         member = fact.member
         if self.view.is_newer(fact):
             known = self.view.is_known(member) or fact.state is not State.ALIVE
@@ -71,14 +72,14 @@
         if gossip:
             self._changed_members.append(member)
         if fact.state is State.SUSPECT:
-            most = self.timing.reported_suspicion - MIN_REPORTED_SUSPICION
-            since = now - min(fact.age * AGE_UNIT, most)
+            max_age = self.timing.reported_suspicion - MIN_REPORTED_SUSPICION
+            since = now - min(fact.age * AGE_UNIT, max_age)
             self.suspicions[member] = Suspicion(since, own=False, next_probe=now)
         if not known or before is not fact.state:
             self._events.append(MemberChanged(member, fact.state, fact.incarnation, why, after))
 
     def suspect(self, now: int, member: int, since: int) -> None:
-        """Own probes, the first sent at `since`, had no answer."""
+        """Suspect a member, as this member's probes, the first sent at `since`, had no answer."""
         if not self.view.is_present(member):
             return
         suspicion = self.suspicions.get(member)
@@ -89,13 +90,13 @@
             suspicion.since = since
         if not suspicion.own:
             suspicion.own, suspicion.next_probe = True, now
-            suspicion.since = max(suspicion.since, since)  # what was heard of does not shorten the own wait
+            suspicion.since = max(suspicion.since, since)  # a reported suspicion does not shorten the own one
             self._changed_members.append(member)
 
     def refused(self, now: int, member: int) -> None:
-        """A datagram to it came to a closed port.
+        """Count a datagram to this member that a closed port refused.
 
-        One refusal is no suspicion: the member may just have left, or be starting again."""
+        One refusal is not enough for a suspicion: the member may just have left, or be restarting."""
         if not self.view.is_present(member):
             return
         refusals = self.refusals.setdefault(
@@ -106,7 +107,7 @@
             self.suspicions[member].refused = True
 
     def answered(self, now: int, member: int, incarnation: int) -> None:
-        """It has answered a probe: what is suspected here is over, whatever others still tell."""
+        """The member has answered a probe: end its suspicion here, whatever others still report."""
         view = self.view
         self.refusals.pop(member, None)
         if incarnation > view.incarnations[member]:
@@ -117,7 +118,7 @@
             self._events.append(MemberChanged(member, State.ALIVE, incarnation, "answered", after))
 
     def next_suspect_to_probe(self, now: int) -> int | None:
-        """The suspect that has waited longest for another probe of this member, if one is due."""
+        """The member, suspect or with refusals, whose next probe by this member is longest due; else None."""
         due = [
             (each.next_probe, member)
             for member, each in self.suspicions.items()
@@ -127,26 +128,28 @@
         if not due:
             return None
         _, member = min(due)
-        for waits in (self.suspicions.get(member), self.refusals.get(member)):
-            if waits is not None:
-                waits.next_probe = now + self.timing.suspect_probe_interval
+        for schedule in (self.suspicions.get(member), self.refusals.get(member)):
+            if schedule is not None:
+                schedule.next_probe = now + self.timing.suspect_probe_interval
         return member
 
     def expire_suspicions(self, now: int) -> None:
-        """Suspicions whose time is over become verdicts."""
+        """Declare the members dead whose suspicion has ended."""
         for member, suspicion in list(self.suspicions.items()):
             if suspicion.ends_at(self.timing) <= now:
                 fact = Fact(member, self.view.incarnations[member], State.DEAD)
-                self._change(now, fact, suspicion.why(), gossip=suspicion.own)  # else all decide it alone
+                self._change(
+                    now, fact, suspicion.why(), gossip=suspicion.own
+                )  # else each member declares it by itself
 
     def extend_suspicions(self, now: int, span: int) -> None:
-        """This process did not run: each suspicion lasts so much longer."""
+        """Prolong each suspicion by the time for which this process did not run."""
         for suspicion in self.suspicions.values():
             suspicion.since = min(now, suspicion.since + span)
             suspicion.next_probe = now
 
     def restart_suspicions(self, now: int) -> None:
-        """This member was isolated: what it suspected meanwhile says nothing of the others."""
+        """Restart all suspicions after isolation, as they say nothing about the suspects."""
         for suspicion in self.suspicions.values():
             suspicion.since, suspicion.next_probe, suspicion.refused = now, now, False
         self.refusals.clear()
--- a/limelatch/membership/suspicion.py
+++ b/limelatch/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions: who is suspect since when, who confirms it, and when it becomes a verdict."""
+"""Suspicions: since when a member is suspect, who confirms it, and when it is declared dead."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 from limelatch.membership.timing import Timing
 
 CONFIRMATIONS_REQUIRED = 2  # by other witnesses, which shorten a suspicion
-REFUSALS_REQUIRED = 2  # that show that a member's process is gone
+REFUSALS_REQUIRED = 2  # of datagrams, after which a member's process counts as gone
 
 
 @dataclass(slots=True)
 class Refusals:
-    """Datagrams to one member that came to a closed port, with no answer since."""
+    """Datagrams to one member that were refused by a closed port, without an answer since.
+
+    Times in tenths of a millisecond."""
 
     first_at: int
     next_probe: int
@@ -20,7 +22,7 @@
     last_counted_at: int = 0
 
     def add(self, now: int, timing: Timing) -> bool:
-        """One more, a burst counts once; whether they are enough."""
+        """Count a refusal, a burst as one; return whether REFUSALS_REQUIRED are reached."""
         if not self.count or now - self.last_counted_at >= timing.refusal_interval:
             self.count, self.last_counted_at = self.count + 1, now
         return self.count >= REFUSALS_REQUIRED
@@ -28,22 +30,25 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """Of one member. `since`: when the probe was sent that had no answer, here or at another member."""
+    """The suspicion of one member.
+
+    `since`: when the unanswered probe was sent, by this member or by another one."""
 
     since: int
-    own: bool  # this member's probes had no answer
+    own: bool  # this member's own probes had no answer
     next_probe: int
     witnesses: set[int] = field(
         default_factory=set
-    )  # others whose probes had none; CONFIRMATIONS_REQUIRED at most
-    refused: bool = False  # its process is gone, as its port shows
+    )  # other members whose probes had none; at most CONFIRMATIONS_REQUIRED
+    refused: bool = False  # its port is closed, so its process is gone
 
     def confirm(self, witness: int) -> None:
+        """Count another member whose own probes had no answer."""
         if len(self.witnesses) < CONFIRMATIONS_REQUIRED:
             self.witnesses.add(witness)
 
     def ends_at(self, timing: Timing) -> int:
-        """When it becomes a verdict."""
+        """When the member is declared dead."""
         if self.refused:
             return self.since + timing.refused_suspicion
         if not self.own:
@@ -55,6 +60,7 @@
         )
 
     def why(self) -> str:
+        """The reason that is logged when the member is declared dead."""
         if self.refused:
             return "refused"
         return "unanswered" if self.own else "hearsay"
