--- a/limelatch/lab/membership/__init__.py
+++ b/limelatch/lab/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership in the laboratory: fleets on a virtual clock, a faulty network of datagrams, baselines."""
+"""Simulation of membership: fleets on a virtual clock, a faulty datagram network, and baseline detectors."""
--- a/limelatch/lab/membership/baselines.py
+++ b/limelatch/lab/membership/baselines.py
@@ -1,6 +1,6 @@
-"""What the failure detector is compared with: heartbeats from all to all, and plain SWIM. For fleets alone.
+"""Baselines for the failure detector, used only in simulated fleets: all-to-all heartbeats, and plain SWIM.
 
-Both are small, and neither bears pauses.
+Neither tolerates a process that is paused.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 from limelatch.membership.registry import Registry
 from limelatch.membership.view import View
 
-HEARTBEAT_INTERVAL, MAX_MISSED_HEARTBEATS = SECOND, 3
-NEVER = 1 << 62
+HEARTBEAT_INTERVAL = SECOND
+MAX_MISSED_HEARTBEATS = 3
+NEVER = 1 << 62  # a time that is never reached
 
 
 class Heartbeats:
-    """One heartbeat a second to each of the others; three missed ones are a verdict."""
+    """Sends a heartbeat each second to every other member; three missed ones declare a member dead."""
 
     def __init__(self, peers: Sequence[str], me: int, incarnation: int, random: Random, now: int) -> None:
         self.me, self.now, self.incarnation = me, now, max(1, incarnation)
@@ -30,13 +31,13 @@
         self._events: list[Event] = []
 
     def take(self) -> tuple[list[Datagram], list[Event]]:
-        """What is to be sent, and what has changed."""
+        """Return the datagrams to send and the events since the last call."""
         datagrams, self._datagrams = self._datagrams, []
         events, self._events = self._events, []
         return datagrams, events
 
     def tick(self, now: int) -> None:
-        """Send a heartbeat to all, and judge those that were not heard."""
+        """Send a heartbeat to all members, and declare the silent ones dead."""
         self.now, self.due = now, now + HEARTBEAT_INTERVAL
         data = b"%d %d" % (self.me, self.incarnation)
         for member in range(len(self.received_at)):
@@ -54,7 +55,7 @@
         self._events.append(MemberChanged(member, state, incarnation, "missed"))
 
     def received(self, now: int, data: bytes, sender: int | None) -> DropReason | None:
-        """A heartbeat."""
+        """Handle a heartbeat."""
         _, incarnation = data.split()
         self.received_at[sender] = now
         if not self.view.is_alive(sender):
@@ -63,30 +64,32 @@
         return None
 
     def refused(self, now: int, member: int) -> None:
-        """It makes no use of refusals."""
+        """Ignored: refusals are not used."""
 
     def leave(self, now: int) -> None:
-        """It says nothing at its end."""
+        """Stop without telling the others."""
         self.due = NEVER
 
 
 class PlainRegistry(Registry):
-    """Suspicions by hearsay and by own probes last alike, and nobody probes a suspect beside the round."""
+    """All suspicions last equally long, and suspects are probed only in the regular round."""
 
     def next_suspect_to_probe(self, now: int) -> int | None:
-        """Never."""
+        """None: suspects get no probes of their own."""
         return None
 
     def expire_suspicions(self, now: int) -> None:
-        """Every suspicion ends after the confirmed one's time."""
+        """Declare members dead after the time of a confirmed suspicion."""
         for member, suspicion in list(self.suspicions.items()):
             if suspicion.since + self.timing.confirmed_suspicion <= now:
                 self._change(now, Fact(member, self.view.incarnations[member], State.DEAD), "unanswered")
 
 
 class PlainSwim(Member):
-    """SWIM as first published: one suspicion time, no own probes of a suspect, and no notice of refusals, of
-    isolation or of a process that did not run."""
+    """SWIM as first published.
+
+    It has one suspicion time and no extra probes of suspects, and ignores refusals, isolation, and times in
+    which its process did not run."""
 
     registry_class = PlainRegistry
 
@@ -97,4 +100,4 @@
         pass
 
     def refused(self, now: int, member: int) -> None:
-        """It makes no use of refusals."""
+        """Ignored: refusals are not used."""
--- a/limelatch/lab/membership/cells.py
+++ b/limelatch/lab/membership/cells.py
@@ -1,4 +1,4 @@
-"""The cells that are measured: one fault, one size, one way of finding out, one seed; and what came of it."""
+"""Runs measurement cells: each is one fault, failure detector (way), fleet size and seed."""
 
 from __future__ import annotations
 
@@ -21,34 +21,35 @@
     "plain-swim": PlainSwim,
     "heartbeats": Heartbeats,
 }
-SETTLE_TIME = 3 * WINDOW  # after the start, all members known to all
-AGREEMENT_TIMEOUT = 40 * SECOND  # that is waited for an agreement
+SETTLE_TIME = 3 * WINDOW  # simulated time at which faults begin
+AGREEMENT_TIMEOUT = 40 * SECOND  # simulated time for all members to agree
 PAUSES = (500 * MS, SECOND, 2 * SECOND, 5 * SECOND)
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What one cell gave. Spans in seconds, -1 where it did not come within 40 s."""
+    """Results of one cell. Durations in seconds; -1 if not reached within 40 s."""
 
     cell: str
     way: str
     members: int
     seed: int
-    agreed: float = -1.0  # all live members hold what is so
-    healed: float = -1.0  # after the fault's end
-    wrong: int = 0  # own verdicts on members that ran and could be reached
-    bytes_most: float = 0.0  # a second, of any member in any window of ten seconds
-    bytes_mean: float = 0.0
-    processor: float = 0.0  # share of a core a member, of this machine, in simulated time
-    simulated: float = 0.0  # seconds that were simulated
-    bytes_held: int = 0  # memory a member, where it was measured
+    agreed: float = -1.0  # until all live members have the true state of the others
+    healed: float = -1.0  # until all agree again after the fault's end
+    wrong: int = 0  # members declared dead by own probes although they ran and were reachable
+    bytes_most: float = 0.0  # per second, maximum over members and windows of ten seconds
+    bytes_mean: float = 0.0  # per second
+    processor: float = 0.0  # of one core, per member and simulated second
+    simulated: float = 0.0  # seconds simulated during the cell
+    bytes_held: int = 0  # memory per member, if measured
 
 
 def addresses(members: int) -> list[str]:
+    """Distinct addresses for the members of a fleet."""
     return [f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:7946" for number in range(members)]
 
 
 def settled_fleet(way: str, members: int, seed: int) -> Fleet:
-    """A fleet whose members all know each other, as after hours."""
+    """A fleet whose members all know each other, as after running for hours."""
     peers, form = addresses(members), WAYS[way]
 
     def make(number: int, incarnation: int, random: Random, now: int) -> SimulatedMember:
@@ -64,23 +65,25 @@
 
 
 def mark_all_known(member: SimulatedMember, members: int) -> None:
+    """Set all unknown members as alive in a member's view."""
     for other in range(members):
         if not member.view.is_known(other):
             member.view.set_state(other, 1, State.ALIVE)
 
 
 def seconds(span: int | None) -> float:
+    """Convert tenths of a millisecond to seconds; None becomes -1."""
     return -1.0 if span is None else span / SECOND
 
 
 def kill(fleet: Fleet, machine: bool) -> tuple[int | None, int | None]:
-    """One process, or one machine, gone."""
+    """One process, or its whole machine, ends."""
     fleet.kill(3, machine)
     return fleet.run_until_agreed([3], State.DEAD, AGREEMENT_TIMEOUT), None
 
 
 def pauses(fleet: Fleet) -> tuple[int | None, int | None]:
-    """Four members stand still for up to 5 s."""
+    """Four members are paused, the longest for 5 s."""
     for number, span in enumerate(PAUSES):
         fleet.pause(number, span)
     fleet.run(fleet.now + 20 * SECOND)
@@ -88,7 +91,7 @@
 
 
 def long_pause(fleet: Fleet, span: int) -> tuple[int | None, int | None]:
-    """One stands still for long, and comes back."""
+    """One member is paused for longer than is tolerated, and resumes."""
     others = [number for number in range(fleet.count) if number != 3]
     fleet.pause(3, span)
     began = fleet.now
@@ -98,14 +101,14 @@
 
 
 def loss(fleet: Fleet, share: float, span: int) -> tuple[int | None, int | None]:
-    """Datagrams lost, doubled and late for a while."""
+    """Datagrams are lost, duplicated and delayed for a while."""
     fleet.network.conditions = Conditions(share, share, share)
     fleet.run(fleet.now + span)
     return None, None
 
 
 def cut(fleet: Fleet, parts: list[list[int]], span: int) -> tuple[int | None, int | None]:
-    """Parts that hear nothing of each other."""
+    """A network partition into these parts."""
     part_of = {number: part for part, members in enumerate(parts) for number in members}
     fleet.network.cuts.append(lambda sender, receiver: part_of[sender] != part_of[receiver])
     began, agreed = fleet.now, None
@@ -121,7 +124,7 @@
 
 
 def kill_share(fleet: Fleet, share: float) -> tuple[int | None, int | None]:
-    """A part of the fleet's machines gone at once, and back at once."""
+    """A share of the machines fails at the same time, and later returns at the same time."""
     lost = list(range(int(fleet.count * share)))
     for number in lost:
         fleet.kill(number, machine=True)
@@ -134,12 +137,13 @@
 
 
 def halves(fleet: Fleet) -> list[list[int]]:
+    """Two halves of the fleet."""
     middle = fleet.count // 2
     return [list(range(middle)), list(range(middle, fleet.count))]
 
 
 def zone_and_others(fleet: Fleet) -> list[list[int]]:
-    """A seventh of the fleet and the others."""
+    """A seventh of the fleet, and the others."""
     size = max(2, fleet.count // 7)
     return [list(range(size)), list(range(size, fleet.count))]
 
@@ -160,7 +164,7 @@
 
 
 def play(cell: str, way: str, members: int, seed: int) -> Outcome:
-    """One cell; raises Broken where an invariant did not hold."""
+    """Run one cell. Raises InvariantError if an invariant does not hold."""
     fleet = settled_fleet(way, members, seed)
     began, processor = fleet.now, time.process_time()
     agreed, healed = CELLS[cell](fleet)
--- a/limelatch/lab/membership/fleet.py
+++ b/limelatch/lab/membership/fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of members on a virtual clock: processes that end, pause and return, checked at every step.
+"""Simulates a fleet of members on a virtual clock, whose processes can end, pause and restart.
 
-A member is anything with the calls of `limelatch.membership.member.Member`: baselines run here as well.
+Invariants are checked at each event. Members implement `SimulatedMember`, so the baselines run here as well.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 )
 from limelatch.membership.outbox import PACKET_HEADER_BYTES
 
-SOCKET_QUEUE_LENGTH = 256  # datagrams that wait for a paused process
-WINDOW = 10 * SECOND
-TOLERATED_PAUSE = 5 * SECOND  # a verdict on a member paused for at most so long is wrong
-TRACE_LENGTH = 60  # events that a failing run prints
+SOCKET_QUEUE_LENGTH = 256  # datagrams; a paused process loses the oldest ones beyond it
+WINDOW = 10 * SECOND  # of the byte counts
+TOLERATED_PAUSE = 5 * SECOND  # declaring a member dead that is paused for no longer is wrong
+TRACE_LENGTH = 60  # latest events, printed by a failing run
 
 
 class SimulatedMember(Protocol):
-    """What a fleet needs of its members."""
+    """The interface of a member that a fleet uses."""
 
     due: int
     incarnation: int
@@ -44,12 +44,12 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant does not hold; the message has the run's last events."""
+    """An invariant does not hold; the message contains the latest events of the run."""
 
 
 @dataclass(slots=True)
 class Process:
-    """One member's process, and what the simulation knows of it."""
+    """The process of one member and its simulated environment."""
 
     member: SimulatedMember | None = None
     paused: bool = False
@@ -57,27 +57,31 @@
     machine_up: bool = True
     waiting: deque = field(default_factory=lambda: deque(maxlen=SOCKET_QUEUE_LENGTH))
     starts: int = 0
-    stored: int = 0  # the incarnation in its folder
+    stored: int = 0  # the incarnation in its state directory
     isolated: bool = False
     bytes_by_window: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """A member was taken for dead by another one, by its own judgement or by hearsay."""
+    """The member `on` was declared dead by `by`, from own probes or another member's report."""
 
     at: int
     by: int
     on: int
     why: str
-    wrong: bool  # its own judgement on one that ran, or whose pause is to be borne, and no cut between
+    wrong: bool  # from own probes, though the member ran or paused only briefly, and no cut was between
 
 
-MemberFactory = Callable[[int, int, Random, int], SimulatedMember]  # number, incarnation, random source, now
+MemberFactory = Callable[
+    [int, int, Random, int], SimulatedMember
+]  # (number, incarnation, random source, now) -> member
 
 
 class Fleet:
-    """`count` members that `make` makes; everything by `seed`."""
+    """A fleet of `count` members created by `make`. All randomness comes from `seed`.
+
+    `stored`: whether members keep their incarnation over a restart. Times are in tenths of a millisecond."""
 
     def __init__(self, count: int, seed: int, make: MemberFactory, stored: bool = True) -> None:
         self.count, self.make, self.stored = count, make, stored
@@ -88,16 +92,18 @@
         self.processes = [Process() for _ in range(count)]
         self.verdicts: list[Verdict] = []
         self.trace: deque[str] = deque(maxlen=TRACE_LENGTH)
-        self.suspected: set[tuple[int, int]] = set()  # member and incarnation
+        self.suspected: set[tuple[int, int]] = set()  # (member, incarnation)
         self.changed_at = 0
 
     # The clock.
 
     def at(self, when: int, call: Callable[..., None], *arguments: object) -> None:
+        """Schedule a call."""
         self._number += 1
         heapq.heappush(self._queue, (when, self._number, call, arguments))
 
     def run(self, until: int) -> Fleet:
+        """Advance the virtual clock to this time, with all calls that are due."""
         queue = self._queue
         while queue and queue[0][0] <= until:
             self.now, _, call, arguments = heapq.heappop(queue)
@@ -108,6 +114,7 @@
     # Processes.
 
     def start(self, number: int) -> None:
+        """Start a member's process, also after a kill or a clean end."""
         process = self.processes[number]
         incarnation = process.stored + 1 if self.stored and process.stored else 0
         incarnation = 1 if self.stored and not process.stored else incarnation
@@ -120,17 +127,19 @@
         self._after_step(number)
 
     def start_all(self, within: int = 2 * SECOND) -> Fleet:
+        """Schedule the start of all members at random times."""
         for number in range(self.count):
             self.at(self.now + self.random.randrange(within), self.start, number)
         return self
 
     def kill(self, number: int, machine: bool = False) -> None:
-        """SIGKILL, or the end of the whole machine, whose kernel then refuses nothing."""
+        """Kill the process, or its whole machine: then no kernel refuses datagrams to it."""
         process = self.processes[number]
         process.member, process.machine_up = None, not machine
         self.record(f"member {number} is killed")
 
     def end(self, number: int) -> None:
+        """End a member's process cleanly."""
         process = self.processes[number]
         if process.member is not None:
             process.member.leave(self.now)
@@ -138,6 +147,7 @@
             process.member = None
 
     def pause(self, number: int, span: int) -> None:
+        """Pause a member's process for this time."""
         process = self.processes[number]
         if process.member is not None and not process.paused:
             process.paused, process.paused_at = True, self.now
@@ -209,12 +219,14 @@
             process.member.refused(self.now, number)
             self._send(sender)
 
-    # What is checked at every step.
+    # Invariants, checked at each event.
 
     def record(self, message: str) -> None:
+        """Add a message to the trace."""
         self.trace.append(f"{self.now / SECOND:.3f} {message}")
 
     def invariant_error(self, message: str) -> InvariantError:
+        """An error with this message and the trace."""
         return InvariantError("\n".join([f"{self.now / SECOND:.3f} {message}", *self.trace]))
 
     def _check(self, number: int, event: Event) -> None:
@@ -231,13 +243,15 @@
         if event.state is State.SUSPECT:
             self.suspected.add(subject)
             if not reported and self.processes[number].isolated:
-                raise self.invariant_error(f"member {number} suspects while it is isolated")
+                raise self.invariant_error(f"member {number} suspects a member while it is isolated")
         if event.state is not State.DEAD:
             return
         if subject not in self.suspected:
-            raise self.invariant_error(f"member {event.member} is dead to {number} and was suspect to nobody")
+            raise self.invariant_error(
+                f"member {event.member} is dead at member {number} but was never suspected"
+            )
         if not reported and self.processes[number].isolated:
-            raise self.invariant_error(f"member {number} gives a verdict while it is isolated")
+            raise self.invariant_error(f"member {number} declares a member dead while it is isolated")
         process = self.processes[event.member]
         gone = process.member is None or process.paused and self.now - process.paused_at > TOLERATED_PAUSE
         wrong = not reported and not gone and not self._is_apart(event.member, number)
@@ -246,21 +260,23 @@
     def _is_apart(self, one: int, other: int) -> bool:
         return self.network.is_cut(one, other) or self.network.is_cut(other, one)
 
-    # Figures.
+    # Results.
 
     def live_members(self) -> list[int]:
+        """The members whose process runs or is paused."""
         return [number for number, each in enumerate(self.processes) if each.member is not None]
 
     def states_of(self, subject: int) -> dict[int, State | None]:
-        """What each live member holds of one; None: unknown."""
+        """The state of one member as each other live member has it; None: unknown."""
         return {number: self.state_at(number, subject) for number in self.live_members() if number != subject}
 
     def state_at(self, number: int, subject: int) -> State | None:
+        """The state of `subject` in the view of member `number`; None: unknown."""
         view = self.processes[number].member.view
         return view.states[subject] if view.is_known(subject) else None
 
     def all_hold(self, subjects: list[int], state: State, by: list[int] | None = None) -> bool:
-        """Whether all live members (or those of `by`) hold this state of all subjects."""
+        """Whether all live members, or those of `by`, have this state for all subjects."""
         observers = self.live_members() if by is None else by
         return all(
             self.state_at(number, subject) is state
@@ -277,7 +293,7 @@
         by: list[int] | None = None,
         step: int = SECOND // 10,
     ) -> int | None:
-        """Time until they agree; None if not within `most`."""
+        """Run until they agree; return the time it took, None if longer than `timeout`."""
         began = self.now
         while self.now < began + timeout:
             self.run(self.now + step)
@@ -286,7 +302,7 @@
         return None
 
     def bytes_per_second(self, first: int, last: int) -> list[float]:
-        """Sent and received by each member in each whole window of ten seconds between the two times."""
+        """Bytes sent and received per second, by each member in each whole WINDOW between the two times."""
         windows = range(first // WINDOW, last // WINDOW)
         return [
             process.bytes_by_window.get(window, 0) * SECOND / WINDOW
--- a/limelatch/lab/membership/forwarder.py
+++ b/limelatch/lab/membership/forwarder.py
@@ -1,7 +1,7 @@
-"""A network of datagrams between real processes, which loses, doubles, delays and cuts by directed pair.
+"""A datagram network between real processes that can lose, duplicate, delay and cut by directed pair.
 
-Each member's address in `peers` is a socket of this network. What member A sends to B's comes out at the
-address on which B listens, from A's.
+Each member's address in `peers` is a front socket of this network. A datagram from member A to B's front
+address is forwarded to the address on which B listens, with A's front address as its source.
 """
 
 from __future__ import annotations
@@ -17,15 +17,17 @@
 from limelatch.interface import SECOND
 from limelatch.lab.membership.network import Conditions, Network
 
-MAX_PACKET_BYTES = 2048
-STOP_CHECK_INTERVAL = 0.05  # seconds, at the most, between two looks whether it is to end
-BUFFER_BYTES = 1 << 20
+MAX_PACKET_BYTES = 2048  # read from a datagram
+STOP_CHECK_INTERVAL = 0.05  # seconds, at most, between two checks whether to stop
+BUFFER_BYTES = 1 << 20  # of each socket's receive buffer
 
 Address = tuple[str, int]
 
 
 class DatagramNetwork:
-    """`fronts`: addresses that are bound here; `listens`: where the members themselves listen."""
+    """Forwards datagrams between members.
+
+    `fronts`: the front addresses that are bound here; `listens`: those on which the members listen."""
 
     def __init__(self, fronts: list[Address], listens: list[Address], seed: int = 1) -> None:
         self.network = Network(Random(seed))
@@ -35,7 +37,7 @@
         )
         self.sockets = [self._bound(front) for front in fronts]
         self.front_addresses = [each.getsockname() for each in self.sockets]
-        self.passed: Counter[tuple[int, int]] = Counter()  # datagrams by sender and receiver
+        self.forwarded: Counter[tuple[int, int]] = Counter()  # datagrams by (sender, receiver)
         self.unknown_senders = 0
         self._waiting: list[tuple[int, int, int, int, bytes]] = []
         self._count, self._ended = 0, False
@@ -57,32 +59,32 @@
         self.stop()
 
     def start(self) -> None:
-        """Pass datagrams on, in a thread of its own."""
+        """Start forwarding, in a thread of its own."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread and close the sockets."""
+        """Stop the thread and close the sockets."""
         self._ended = True
         self._thread.join()
         for each in self.sockets:
             each.close()
 
-    # Faults; each takes effect with the next datagram.
+    # Faults; each applies from the next datagram on.
 
     def set_conditions(self, **shares: float) -> None:
-        """Shares of all datagrams: `lost`, `doubled`, `late`."""
+        """Set the shares of all datagrams that are `lost`, `duplicated` and `delayed`."""
         self.network.conditions = Conditions(**shares)
 
     def cut(self, senders: set[int], receivers: set[int]) -> None:
-        """Nothing comes from any of these to any of those from now on, beside earlier cuts."""
+        """Drop all datagrams from the senders to the receivers, in addition to earlier cuts."""
         self.network.cuts.append(lambda sender, receiver: sender in senders and receiver in receivers)
 
     def partition(self, one_side: set[int]) -> None:
-        """These and all others hear nothing of each other."""
+        """Drop all datagrams between these members and all others."""
         self.network.cuts.append(lambda sender, receiver: (sender in one_side) != (receiver in one_side))
 
     def heal(self) -> None:
-        """All cuts end."""
+        """Remove all cuts."""
         self.network.cuts.clear()
 
     # The thread.
@@ -110,7 +112,7 @@
                 data, address = self.sockets[receiver].recvfrom(MAX_PACKET_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # the port of a member that has ended refused an earlier one
+            except OSError:  # an earlier datagram was refused by the closed port of a stopped member
                 continue
             sender = self.numbers.get(address)
             if sender is None:
@@ -123,8 +125,8 @@
     def _forward_due(self) -> None:
         while self._waiting and self._waiting[0][0] <= self._now():
             _, _, sender, receiver, data = heapq.heappop(self._waiting)
-            self.passed[sender, receiver] += 1
+            self.forwarded[sender, receiver] += 1
             try:
                 self.sockets[sender].sendto(data, self.listen_addresses[receiver])
-            except OSError:  # nobody listens there now
+            except OSError:  # no process listens there now
                 pass
--- a/limelatch/lab/membership/measure.py
+++ b/limelatch/lab/membership/measure.py
@@ -1,4 +1,4 @@
-"""Plays cells side by side and makes points of results from their outcomes."""
+"""Runs cells in parallel and turns their outcomes into points of results."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     "bytes_mean": "B/s",
     "processor": "of a core",
 }
-NOT_REACHED = -1.0
+NOT_REACHED = -1.0  # a duration that was not reached in time
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One cell that is wanted."""
+    """One cell to run."""
 
     cell: str
     way: str
@@ -34,11 +34,14 @@
 
 
 def play_plan(plan: Plan) -> Outcome:
+    """Run the cell of a plan. Raises InvariantError if an invariant does not hold."""
     return play(plan.cell, plan.way, plan.members, plan.seed)
 
 
 def play_plans(plans: list[Plan], processes: int, on_outcome: Callable[[Outcome], None]) -> list[Outcome]:
-    """All of them, in the order given; raises Broken for a run in which an invariant did not hold."""
+    """Run the plans in `processes` processes; outcomes in the order of the plans.
+
+    `on_outcome` is called with each outcome. Raises InvariantError if an invariant does not hold."""
     found = []
     with ProcessPoolExecutor(processes) as pool:
         for outcome in pool.map(play_plan, plans):
@@ -48,7 +51,7 @@
 
 
 def points(found: Iterable[Outcome]) -> list[Point]:
-    """A point for each cell, way, size and measure; its values are those of the seeds."""
+    """A point for each cell, way, size and measure, with one value for each seed."""
     groups: dict[tuple[str, str, int], list[Outcome]] = {}
     for outcome in found:
         groups.setdefault((outcome.way, outcome.cell, outcome.members), []).append(outcome)
@@ -68,18 +71,18 @@
 
 
 def merge_results(old: Results, new: Results) -> Results:
-    """The points of both, the new ones in place of old ones of the same series and size.
+    """Join the points of both results; new ones replace old ones of the same series and size.
 
-    Raises ValueError where they are of different commits."""
+    Raises ValueError if the results are of different commits."""
     if old.commit != new.commit:
-        raise ValueError(f"{old.commit} is not {new.commit}")
+        raise ValueError(f"{old.commit} is not the same commit as {new.commit}")
     replaced = {(each.scenario, each.measure, each.x) for each in new.points}
     kept = [each for each in old.points if (each.scenario, each.measure, each.x) not in replaced]
     return msgspec.structs.replace(new, command=f"{old.command}; {new.command}", points=kept + new.points)
 
 
 def memory_points(ways: Iterable[str], sizes: Iterable[int]) -> list[Point]:
-    """What one member holds that knows all others."""
+    """Points of the memory of one member that knows all others."""
     sizes = list(sizes)
     return [
         Point(f"{way}: rest", "memory", "B", AXIS, size, [memory_per_member(way, size)])
--- a/limelatch/membership/suspicion.py
+++ b/limelatch/membership/suspicion.py
@@ -37,9 +37,7 @@
     since: int
     own: bool  # this member's own probes had no answer
     next_probe: int
-    witnesses: set[int] = field(
-        default_factory=set
-    )  # other members whose probes had none; at most CONFIRMATIONS_REQUIRED
+    witnesses: set[int] = field(default_factory=set)  # others whose probes had none; bounded
     refused: bool = False  # its port is closed, so its process is gone
 
     def confirm(self, witness: int) -> None:
--- a/tests/test_membership_fleets.py
+++ b/tests/test_membership_fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of members on a virtual clock, short: the faults by seed, invariants checked at every step."""
+"""Short runs of fleets on a virtual clock: faults by seed, with invariants checked at each event."""
 
 import pytest
 
@@ -13,10 +13,11 @@
 SETTLED = 12 * SECOND
 EACH = pytest.mark.parametrize("seed", SEEDS)
 SIZES = pytest.mark.parametrize("count", [10, 40])
-BYTES_MOST = 3000
+MAX_BYTES_PER_SECOND = 3000  # of one member
 
 
 def fleet(count, seed, stored=True, all_know=False):
+    """A running fleet whose members know each other, with `all_know` from the start."""
     peers = [f"10.0.{number // 250}.{number % 250}:7946" for number in range(count)]
     made = Fleet(
         count,
@@ -32,195 +33,200 @@
     return made
 
 
-def wrong(one):
-    return [verdict for verdict in one.verdicts if verdict.wrong]
+def wrong(run):
+    """The wrong declarations as dead in a run."""
+    return [verdict for verdict in run.verdicts if verdict.wrong]
 
 
 @EACH
 @SIZES
-def test_a_process_that_is_gone_is_dead_in_every_view_in_time(count, seed):
-    one = fleet(count, seed)
-    one.kill(3)
-    assert one.run_until_agreed([3], State.DEAD, 5 * SECOND if count == 10 else 12 * SECOND)
-    one.kill(5, machine=True)  # nothing refuses then
-    assert one.run_until_agreed([5], State.DEAD, 12 * SECOND)
-    assert {verdict.on for verdict in one.verdicts} == {3, 5} and not wrong(one)
+def test_a_killed_process_is_dead_in_all_views_in_time(count, seed):
+    run = fleet(count, seed)
+    run.kill(3)
+    assert run.run_until_agreed([3], State.DEAD, 5 * SECOND if count == 10 else 12 * SECOND)
+    run.kill(5, machine=True)  # then no kernel refuses datagrams
+    assert run.run_until_agreed([5], State.DEAD, 12 * SECOND)
+    assert {verdict.on for verdict in run.verdicts} == {3, 5} and not wrong(run)
 
 
 @EACH
 @SIZES
-def test_pauses_that_are_to_be_borne_are_no_verdict(count, seed):
-    one = fleet(count, seed)
+def test_tolerated_pauses_declare_nobody_dead(count, seed):
+    run = fleet(count, seed)
     for number, span in enumerate((5, 10, 20, 50)):  # tenths of a second
-        one.pause(number, span * SECOND // 10)
-    one.run(one.now + 20 * SECOND)
-    assert one.verdicts == [] and one.all_hold(list(range(count)), State.ALIVE)
+        run.pause(number, span * SECOND // 10)
+    run.run(run.now + 20 * SECOND)
+    assert run.verdicts == [] and run.all_hold(list(range(count)), State.ALIVE)
 
 
 @EACH
 @pytest.mark.parametrize("seconds", [20, 60])
-def test_a_longer_pause_is_dead_and_refuted_soon_after_waking(seed, seconds):
-    one = fleet(20, seed)
-    one.pause(3, seconds * SECOND)
-    assert one.run_until_agreed([3], State.DEAD, seconds * SECOND, by=[n for n in range(20) if n != 3])
-    while one.processes[3].paused:
-        one.run(one.now + SECOND // 10)
-    assert one.run_until_agreed(list(range(20)), State.ALIVE, 5 * SECOND)
-    assert {verdict.on for verdict in one.verdicts} == {3} and not wrong(one)
+def test_a_member_paused_for_longer_is_dead_and_refutes_it_soon_after_resuming(seed, seconds):
+    run = fleet(20, seed)
+    run.pause(3, seconds * SECOND)
+    assert run.run_until_agreed([3], State.DEAD, seconds * SECOND, by=[n for n in range(20) if n != 3])
+    while run.processes[3].paused:
+        run.run(run.now + SECOND // 10)
+    assert run.run_until_agreed(list(range(20)), State.ALIVE, 5 * SECOND)
+    assert {verdict.on for verdict in run.verdicts} == {3} and not wrong(run)
 
 
 @EACH
 @SIZES
 @pytest.mark.parametrize("share", [0.05, 0.1])
-def test_lost_doubled_and_late_datagrams_are_no_verdict(count, seed, share):
-    one = fleet(count, seed)
-    one.network.conditions = Conditions(lost=share, duplicated=share, delayed=share)
-    one.run(one.now + 120 * SECOND)
-    assert one.verdicts == []
-    one.network.conditions = Conditions()
-    one.run(one.now + 15 * SECOND)
-    assert one.all_hold(list(range(count)), State.ALIVE)
+def test_lost_duplicated_and_delayed_datagrams_declare_nobody_dead(count, seed, share):
+    run = fleet(count, seed)
+    run.network.conditions = Conditions(lost=share, duplicated=share, delayed=share)
+    run.run(run.now + 120 * SECOND)
+    assert run.verdicts == []
+    run.network.conditions = Conditions()
+    run.run(run.now + 15 * SECOND)
+    assert run.all_hold(list(range(count)), State.ALIVE)
 
 
 @EACH
-def test_one_link_cut_in_one_direction_is_no_verdict(seed):
-    one = fleet(10, seed)
-    one.network.cuts.append(lambda sender, receiver: (sender, receiver) == (3, 4))
-    one.run(one.now + 60 * SECOND)
-    assert one.verdicts == [] and not any(each.isolated for each in one.processes)
+def test_one_link_cut_in_one_direction_declares_nobody_dead(seed):
+    run = fleet(10, seed)
+    run.network.cuts.append(lambda sender, receiver: (sender, receiver) == (3, 4))
+    run.run(run.now + 60 * SECOND)
+    assert run.verdicts == [] and not any(each.isolated for each in run.processes)
 
 
 @EACH
 @pytest.mark.parametrize("count", [4, 5, 8, 20])
 @pytest.mark.parametrize("mute, why", [(True, Isolation.UNANSWERED), (False, Isolation.DEAF)])
-def test_a_mute_or_deaf_member_is_dead_to_others_knows_it_and_judges_nobody(count, seed, mute, why):
-    one = fleet(count, seed)
-    told = []
-    check = one._check
-    one._check = lambda number, event: (told.append((number, event)), check(number, event))
-    one.network.cuts.append(lambda sender, receiver: (sender if mute else receiver) == 3)
+def test_a_mute_or_deaf_member_is_dead_in_other_views_and_isolated_and_declares_nobody_dead(
+    count, seed, mute, why
+):
+    run = fleet(count, seed)
+    events = []
+    check = run._check
+    run._check = lambda number, event: (events.append((number, event)), check(number, event))
+    run.network.cuts.append(lambda sender, receiver: (sender if mute else receiver) == 3)
     others = [number for number in range(count) if number != 3]
-    assert one.run_until_agreed([3], State.DEAD, 15 * SECOND, by=others)
-    one.run(one.now + 30 * SECOND)
-    reasons = [event.why for number, event in told if number == 3 and isinstance(event, IsolationChanged)]
-    assert reasons == [why] and {verdict.by for verdict in one.verdicts} <= set(others)
-    one.network.cuts.clear()
-    assert one.run_until_agreed(list(range(count)), State.ALIVE, 15 * SECOND)
-    one.run(one.now + SECOND)  # it looks at its next tick
-    assert not one.processes[3].isolated and not wrong(one)
+    assert run.run_until_agreed([3], State.DEAD, 15 * SECOND, by=others)
+    run.run(run.now + 30 * SECOND)
+    reasons = [event.why for number, event in events if number == 3 and isinstance(event, IsolationChanged)]
+    assert reasons == [why] and {verdict.by for verdict in run.verdicts} <= set(others)
+    run.network.cuts.clear()
+    assert run.run_until_agreed(list(range(count)), State.ALIVE, 15 * SECOND)
+    run.run(run.now + SECOND)  # it is checked at the next tick
+    assert not run.processes[3].isolated and not wrong(run)
 
 
 @EACH
 @pytest.mark.parametrize("parts", [2, 3])
-def test_each_side_of_a_cut_agrees_and_all_agree_after_it_without_a_storm(seed, parts):
+def test_each_side_of_a_partition_agrees_and_all_agree_after_it_within_the_byte_budget(seed, parts):
     count = 30
-    one = fleet(count, seed)
-    began = one.now
-    one.network.cuts.append(lambda sender, receiver: sender % parts != receiver % parts)
+    run = fleet(count, seed)
+    began = run.now
+    run.network.cuts.append(lambda sender, receiver: sender % parts != receiver % parts)
     sides = [[number for number in range(count) if number % parts == part] for part in range(parts)]
     others = [[number for number in range(count) if number % parts != part] for part in range(parts)]
-    one.run(one.now + 15 * SECOND)
-    assert all(one.all_hold(away, State.DEAD, by=side) for side, away in zip(sides, others, strict=True))
-    one.network.cuts.clear()
-    assert one.run_until_agreed(list(range(count)), State.ALIVE, 15 * SECOND)
-    one.run(one.now + 10 * SECOND)
-    assert max(one.bytes_per_second(began, one.now)) < BYTES_MOST and not wrong(one)
+    run.run(run.now + 15 * SECOND)
+    assert all(run.all_hold(away, State.DEAD, by=side) for side, away in zip(sides, others, strict=True))
+    run.network.cuts.clear()
+    assert run.run_until_agreed(list(range(count)), State.ALIVE, 15 * SECOND)
+    run.run(run.now + 10 * SECOND)
+    assert max(run.bytes_per_second(began, run.now)) < MAX_BYTES_PER_SECOND and not wrong(run)
 
 
 @EACH
-def test_a_third_that_goes_at_once_is_found_and_its_return_too(seed):
-    one = fleet(30, seed)
-    began, lost = one.now, list(range(10))
+def test_a_third_of_the_machines_failing_at_once_is_detected_and_so_is_its_return(seed):
+    run = fleet(30, seed)
+    began, lost = run.now, list(range(10))
     for number in lost:
-        one.kill(number, machine=True)
-    assert one.run_until_agreed(lost, State.DEAD, 15 * SECOND)
+        run.kill(number, machine=True)
+    assert run.run_until_agreed(lost, State.DEAD, 15 * SECOND)
     for number in lost:
-        one.start(number)
-    assert one.run_until_agreed(lost, State.ALIVE, 15 * SECOND)
-    one.run(one.now + 10 * SECOND)
-    assert max(one.bytes_per_second(began, one.now)) < BYTES_MOST and not wrong(one)
+        run.start(number)
+    assert run.run_until_agreed(lost, State.ALIVE, 15 * SECOND)
+    run.run(run.now + 10 * SECOND)
+    assert max(run.bytes_per_second(began, run.now)) < MAX_BYTES_PER_SECOND and not wrong(run)
 
 
 @EACH
 @pytest.mark.parametrize("stored", [True, False])
-def test_a_restarted_process_is_told_apart_from_its_earlier_one(seed, stored):
-    one = fleet(10, seed, stored=stored)
-    before = one.processes[3].member.incarnation
-    one.kill(3)
-    one.run(one.now + SECOND)
-    one.start(3)
-    one.run(one.now + 10 * SECOND)
-    after = one.processes[3].member.incarnation
-    assert after > before and one.all_hold(list(range(10)), State.ALIVE)
-    assert all(one.processes[number].member.view.incarnations[3] == after for number in range(10))
+def test_a_restarted_process_gets_a_higher_incarnation(seed, stored):
+    run = fleet(10, seed, stored=stored)
+    before = run.processes[3].member.incarnation
+    run.kill(3)
+    run.run(run.now + SECOND)
+    run.start(3)
+    run.run(run.now + 10 * SECOND)
+    after = run.processes[3].member.incarnation
+    assert after > before and run.all_hold(list(range(10)), State.ALIVE)
+    assert all(run.processes[number].member.view.incarnations[3] == after for number in range(10))
 
 
 @EACH
-def test_a_member_just_started_knows_all_others_soon_though_there_is_news(seed):
-    """It asked for pages once in ten seconds as soon as it knew half: 220 others took it over 20 s."""
+def test_a_newly_started_member_soon_knows_all_others_while_facts_are_queued(seed):
+    """Guards against page requests that become rare once half of the members are known: with a request each
+    10 s, learning 220 members took over 20 s."""
     count = 220
-    one = fleet(count, seed, all_know=True)
-    one.kill(3)
-    one.run(one.now + 5 * SECOND)
-    one.start(3)
-    assert one.run_until_agreed(
+    run = fleet(count, seed, all_know=True)
+    run.kill(3)
+    run.run(run.now + 5 * SECOND)
+    run.start(3)
+    assert run.run_until_agreed(
         [number for number in range(count) if number != 3], State.ALIVE, 10 * SECOND, [3]
     )
 
 
 @EACH
-def test_a_clean_end_is_taken_at_once_with_no_suspicion(seed):
-    one = fleet(40, seed)
-    one.end(3)
-    assert one.run_until_agreed([3], State.LEFT, 3 * SECOND) and one.verdicts == []
-    assert (3, 1) not in one.suspected
+def test_a_clean_end_is_known_at_once_without_a_suspicion(seed):
+    run = fleet(40, seed)
+    run.end(3)
+    assert run.run_until_agreed([3], State.LEFT, 3 * SECOND) and run.verdicts == []
+    assert (3, 1) not in run.suspected
 
 
 @EACH
-def test_members_that_do_not_speak_are_unknown_and_the_others_work(seed):
+def test_members_that_never_start_stay_unknown_and_the_others_work(seed):
     peers = [f"10.0.0.{number}:7946" for number in range(20)]
-    one = Fleet(
+    run = Fleet(
         20, seed, lambda number, incarnation, random, now: Member(peers, number, incarnation, random, now)
     )
     for number in range(0, 20, 2):
-        one.at(number, one.start, number)
-    one.run(60 * SECOND)
-    speaking, silent = list(range(0, 20, 2)), list(range(1, 20, 2))
-    assert one.all_hold(speaking, State.ALIVE) and one.all_hold(silent, None) and one.verdicts == []
-    one.kill(4, machine=True)
-    assert one.run_until_agreed([4], State.DEAD, 15 * SECOND)
+        run.at(number, run.start, number)
+    run.run(60 * SECOND)
+    running, absent = list(range(0, 20, 2)), list(range(1, 20, 2))
+    assert run.all_hold(running, State.ALIVE) and run.all_hold(absent, None) and run.verdicts == []
+    run.kill(4, machine=True)
+    assert run.run_until_agreed([4], State.DEAD, 15 * SECOND)
 
 
 def test_the_same_seed_gives_the_same_run():
     runs = []
     for _ in range(2):
-        one = fleet(10, 5)
-        one.network.conditions = Conditions(lost=0.3, duplicated=0.1, delayed=0.2)
-        one.kill(3)
-        one.run(one.now + 30 * SECOND)
-        runs.append((list(one.trace), one.verdicts, [each.bytes_by_window for each in one.processes]))
+        run = fleet(10, 5)
+        run.network.conditions = Conditions(lost=0.3, duplicated=0.1, delayed=0.2)
+        run.kill(3)
+        run.run(run.now + 30 * SECOND)
+        runs.append((list(run.trace), run.verdicts, [each.bytes_by_window for each in run.processes]))
     assert runs[0] == runs[1]
 
 
-def test_a_broken_invariant_ends_the_run_with_its_last_events():
-    one = fleet(10, 1)
+def test_a_violated_invariant_ends_the_run_with_its_latest_events():
+    run = fleet(10, 1)
     with pytest.raises(InvariantError) as error:
-        one._check(2, MemberChanged(3, State.DEAD, 1, "unanswered"))
-    assert "member 3 is dead to 2 and was suspect to nobody" in str(error.value)
-    one.suspected.add((3, 1))
-    one._check(2, IsolationChanged(Isolation.DEAF))
-    with pytest.raises(InvariantError, match="gives a verdict while it is isolated"):
-        one._check(2, MemberChanged(3, State.DEAD, 1, "unanswered"))
+        run._check(2, MemberChanged(3, State.DEAD, 1, "unanswered"))
+    assert "member 3 is dead at member 2 but was never suspected" in str(error.value)
+    run.suspected.add((3, 1))
+    run._check(2, IsolationChanged(Isolation.DEAF))
+    with pytest.raises(InvariantError, match="declares a member dead while it is isolated"):
+        run._check(2, MemberChanged(3, State.DEAD, 1, "unanswered"))
 
 
 @EACH
-def test_one_that_is_dead_is_tried_by_turns_and_its_address_is_not_flooded(seed):
-    """Every member tried the only dead one each second: 27 kB/s at the address of one of 700."""
-    one = fleet(40, seed)
-    one.kill(3, machine=True)
-    assert one.run_until_agreed([3], State.DEAD, 15 * SECOND)
-    one.run((one.now // WINDOW + 1) * WINDOW)
-    window = one.now // WINDOW
-    one.run(one.now + WINDOW)
-    tries_a_second = one.processes[3].bytes_by_window.get(window, 0) * SECOND / WINDOW / 60
-    assert 0.5 < tries_a_second < 6
+def test_a_dead_member_is_probed_in_turns_so_that_its_address_is_not_flooded(seed):
+    """Guards against every member probing the same dead one each second: 27 kB/s at its address with 700
+    members."""
+    run = fleet(40, seed)
+    run.kill(3, machine=True)
+    assert run.run_until_agreed([3], State.DEAD, 15 * SECOND)
+    run.run((run.now // WINDOW + 1) * WINDOW)
+    window = run.now // WINDOW
+    run.run(run.now + WINDOW)
+    probes_per_second = run.processes[3].bytes_by_window.get(window, 0) * SECOND / WINDOW / 60
+    assert 0.5 < probes_per_second < 6
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,6 +1,6 @@
-"""Relays as processes that watch each other through a faulty network of datagrams, while texts flow.
+"""Relay processes that detect each other's failures over a faulty datagram network, while texts flow.
 
-Spans are shorter than the defaults (a pause of 2 s is to be borne), so that the tests take seconds."""
+Timeouts are shorter than the defaults (a pause of 2 s is tolerated), so that the tests take seconds."""
 
 import json
 import os
@@ -17,31 +17,33 @@
 from limelatch.lab.membership.forwarder import DatagramNetwork
 
 COUNT = 5
-PAUSE_MS, PERIOD_MS = 2000, 250
-AGREED = 15  # seconds for all verdicts here; 2 s of pause and the rest of the suspicion make 3.25 to 6.5
+PAUSE_MS = 2000
+PERIOD_MS = 250
+AGREED = 15  # seconds; a suspicion lasts 3.25 to 6.5 s here, the tolerated pause of 2 s included
 FIELDS = ("alive", "suspect", "dead", "left", "unknown", "incarnation")
 
 
 def address_of(host, kind):
+    """A free address of the host for this kind of socket."""
     with socket.socket(socket.AF_INET, kind) as spare:
         spare.bind((host, 0))
         return spare.getsockname()
 
 
-def poll(holds, seconds=AGREED, told=lambda: ""):
-    """Until it holds; how long that took, in seconds."""
+def poll(condition, seconds=AGREED, details=lambda: ""):
+    """Wait until the condition holds; return how long that took, in seconds. Fails after `seconds`."""
     began = time.monotonic()
-    while not holds():
-        assert time.monotonic() < began + seconds, told()
+    while not condition():
+        assert time.monotonic() < began + seconds, details()
         threading.Event().wait(0.05)
     return time.monotonic() - began
 
 
 class Relay(Program):
-    """One member: its process and what its operators' interface says of the others."""
+    """The process of one member, with its view as reported to operators."""
 
     def view(self):
-        """MEMBERS as a dict, numbers as numbers."""
+        """The reply to MEMBERS as a dict, with counts as numbers."""
         answer = OperatorClient(self.operator_address).call("MEMBERS")
         assert answer.startswith("+OK "), answer
         words = dict(word.split("=", 1) for word in answer[4:].split())
@@ -54,7 +56,7 @@
 
 
 class Fleet:
-    """The relays, the network between them, and a client that hands in texts to each."""
+    """The relays, the network between them, and a client that submits texts to each."""
 
     def __init__(self, folder, agent):
         host = "127.{}.{}.{}".format(*(1 + number % 254 for number in os.urandom(3)))
@@ -85,34 +87,36 @@
         self.peers = peers
 
     def start(self):
+        """Start all relays and wait until they are alive in all views."""
         for relay in self.relays:
             relay.launch()
         for relay in self.relays:
             relay.wait_for_log("event=serving")
         self.until(lambda: all(view["alive"] == COUNT for view in self.views()))
 
-    def views(self, *without):
-        return [relay.view() for number, relay in enumerate(self.relays) if number not in without]
+    def views(self, *excluded):
+        """The views of all relays but the excluded ones."""
+        return [relay.view() for number, relay in enumerate(self.relays) if number not in excluded]
 
-    def until(self, holds, seconds=AGREED):
-        """Until it holds, else all views are told."""
+    def until(self, condition, seconds=AGREED):
+        """Wait until the condition holds; a failure shows the views of all running relays."""
         running = [relay for relay in self.relays if relay.process.poll() is None]
-        return poll(holds, seconds, lambda: [relay.view() for relay in running])
+        return poll(condition, seconds, lambda: [relay.view() for relay in running])
 
     def lines(self, event, by, of=None):
-        """Log lines of an event at one relay, on one member."""
+        """Log lines of an event at the relay `by`, about the member `of` if given."""
         named = "" if of is None else f"member={self.peers[of]} "
         return [line for line in self.relays[by].lines if f"event={event} " in line and named in line]
 
     def submit(self, number):
-        """One text handed in at a relay, which takes it on."""
+        """Submit one text to a relay, which accepts it."""
         self.count += 1
         client = self.relays[number].client()
         assert client.submit(f"t{self.count}", body=f"t{self.count}".encode()) == "+OK"
         client.socket.close()
 
     def delivered(self, host):
-        """Every text has come to the host exactly once."""
+        """Assert that every text has arrived at the host exactly once."""
         bodies = [host.next().body.decode() for _ in range(self.count)]
         assert sorted(bodies) == sorted(f"t{number + 1}" for number in range(self.count))
         with pytest.raises(queue.Empty):
@@ -121,7 +125,7 @@
 
 @pytest.fixture
 def fleet(tmp_path, agent, make_host, faults):
-    """The machine of relay 1 has faults that a test may steer."""
+    """A started fleet; relay 1 runs with the machine faults that a test can control."""
     host = make_host()
     agent.list(host.address)
     fleet = Fleet(tmp_path, agent)
@@ -136,7 +140,7 @@
                 relay.kill()
 
 
-def test_a_killed_relay_is_dead_everywhere_and_back_at_a_higher_incarnation(fleet):
+def test_a_killed_relay_is_dead_in_all_views_and_returns_with_a_higher_incarnation(fleet):
     fleet.submit(0)
     before = fleet.relays[1].view()["incarnation"]
     fleet.relays[1].kill()
@@ -156,8 +160,8 @@
 
 
 @pytest.mark.parametrize("step", [-3600, 3600])
-def test_a_relay_whose_wall_clock_is_stepped_is_alive_to_all_and_judges_nobody(fleet, faults, step):
-    """For longer than a suspicion lasts; texts flow through it meanwhile."""
+def test_a_relay_whose_wall_clock_is_stepped_stays_alive_and_declares_nobody_dead(fleet, faults, step):
+    """Observed for longer than a suspicion lasts, while the relay delivers texts."""
     faults.step(step)
     until = time.monotonic() + 2 * PAUSE_MS / 1000 + 1
     while time.monotonic() < until:
@@ -167,8 +171,8 @@
     fleet.delivered(fleet.host)
 
 
-def test_a_process_that_is_gone_is_told_by_its_closed_port_within_5_s(tmp_path, agent, make_host):
-    """Without a network between them, and with the spans as they are by default."""
+def test_a_killed_process_is_detected_by_its_closed_port_within_5_s(tmp_path, agent, make_host):
+    """The relays are connected directly and use the default timeouts."""
     agent.list(make_host().address)
     relays, peers = [], []
     host = "127.{}.{}.{}".format(*(1 + number % 254 for number in os.urandom(3)))
@@ -212,7 +216,7 @@
             relay.kill()
 
 
-def test_a_relay_that_lost_its_folder_asks_the_others_for_its_incarnation(fleet):
+def test_a_relay_that_lost_its_stored_incarnation_queries_the_others(fleet):
     before = fleet.relays[2].view()["incarnation"]
     fleet.relays[2].kill()
     (fleet.relays[2].state / "incarnation").unlink()
@@ -224,24 +228,24 @@
     assert fleet.relays[2].view()["incarnation"] > before
 
 
-def test_a_paused_relay_is_no_verdict_and_a_long_pause_ends_in_its_refutation(fleet):
-    for pause, verdict in ((PAUSE_MS / 1000, False), (3 * PAUSE_MS / 1000 + 1, True)):
+def test_a_paused_relay_is_not_declared_dead_unless_the_pause_is_long_and_then_refutes_it(fleet):
+    for pause, is_dead in ((PAUSE_MS / 1000, False), (3 * PAUSE_MS / 1000 + 1, True)):
         fleet.relays[3].process.send_signal(signal.SIGSTOP)
         fleet.submit(0)
-        if verdict:
+        if is_dead:
             fleet.until(lambda: all(view["dead"] == 1 for view in fleet.views(3)))
         else:
             threading.Event().wait(pause)  # the pause itself, not a wait for something
         fleet.relays[3].process.send_signal(signal.SIGCONT)
         fleet.until(lambda: all(view["alive"] == COUNT for view in fleet.views()), 5)
         fleet.submit(3)
-        assert bool(fleet.lines("member-dead", 0, 3)) is verdict
+        assert bool(fleet.lines("member-dead", 0, 3)) is is_dead
     others = (0, 1, 2, 4)
     assert not [line for by in range(COUNT) for of in others for line in fleet.lines("member-dead", by, of)]
     fleet.delivered(fleet.host)
 
 
-def test_a_clean_end_is_told_and_nobody_suspects(fleet):
+def test_a_clean_end_is_reported_and_causes_no_suspicion(fleet):
     fleet.submit(4)
     fleet.relays[4].terminate()
     fleet.until(lambda: all(view["left"] == 1 for view in fleet.views(4)))
@@ -250,17 +254,17 @@
     fleet.delivered(fleet.host)
 
 
-def test_one_link_cut_in_one_direction_is_no_verdict(fleet):
+def test_one_link_cut_in_one_direction_declares_nobody_dead(fleet):
     fleet.network.cut({0}, {1})
-    passed = fleet.network.passed[1, 0]
-    fleet.until(lambda: fleet.network.passed[1, 0] > passed + 12, 30)  # the other direction works
+    forwarded = fleet.network.forwarded[1, 0]
+    fleet.until(lambda: fleet.network.forwarded[1, 0] > forwarded + 12, 30)  # the other direction works
     fleet.submit(0)
     assert not any(fleet.lines("member-dead", number) for number in range(COUNT))
     fleet.delivered(fleet.host)
 
 
 @pytest.mark.parametrize("mute, why", [(True, "unanswered"), (False, "deaf")])
-def test_a_mute_or_deaf_relay_is_dead_to_others_and_knows_that_it_is_isolated(fleet, mute, why):
+def test_a_mute_or_deaf_relay_is_dead_in_other_views_and_reports_its_isolation(fleet, mute, why):
     others = set(range(COUNT)) - {2}
     fleet.network.cut({2} if mute else others, others if mute else {2})
     fleet.until(lambda: all(view["dead"] == 1 for view in fleet.views(2)))
@@ -272,7 +276,7 @@
     fleet.delivered(fleet.host)
 
 
-def test_both_sides_of_a_cut_agree_and_all_agree_after_it(fleet):
+def test_both_sides_of_a_partition_agree_and_all_agree_after_it(fleet):
     fleet.network.partition({0, 1})
     fleet.until(lambda: [view["dead"] for view in fleet.views()] == [3, 3, 2, 2, 2])
     for number in range(COUNT):
@@ -282,22 +286,22 @@
     fleet.delivered(fleet.host)
 
 
-def test_lost_doubled_and_late_datagrams_are_no_verdict(fleet):
+def test_lost_duplicated_and_delayed_datagrams_declare_nobody_dead(fleet):
     fleet.network.set_conditions(lost=0.1, duplicated=0.1, delayed=0.1)
-    passed = fleet.network.passed.total()
+    forwarded = fleet.network.forwarded.total()
     for number in range(10):
         fleet.submit(number % COUNT)
-    fleet.until(lambda: fleet.network.passed.total() > passed + 400, 60)
+    fleet.until(lambda: fleet.network.forwarded.total() > forwarded + 400, 60)
     assert not any(fleet.lines("member-dead", number) for number in range(COUNT))
     fleet.delivered(fleet.host)
 
 
-def test_a_flood_and_nonsense_are_dropped_and_hurt_no_text(fleet):
+def test_a_flood_and_invalid_datagrams_are_dropped_and_affect_no_text(fleet):
     stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     listen = fleet.network.listen_addresses[0]
     for number in range(5000):
         stranger.sendto(bytes([number % 256]) * (number % 300), listen)
-    fleet.network.sockets[1].sendto(b"\x01" * 40, listen)  # nonsense from a member's address
+    fleet.network.sockets[1].sendto(b"\x01" * 40, listen)  # an invalid datagram from a member's address
     for _ in range(5):
         fleet.submit(0)
     fleet.until(lambda: bool(fleet.lines("datagram-dropped", 0)))
@@ -306,7 +310,7 @@
     fleet.delivered(fleet.host)
 
 
-def test_without_membership_the_call_says_so(make_program, agent):
+def test_members_replies_with_an_error_while_membership_is_off(make_program, agent):
     program = make_program()
     host, port = address_of(program.address, socket.SOCK_STREAM)
     program.file.write_text(
