--- a/limelatch/lab/membership/cells.py
+++ b/limelatch/lab/membership/cells.py
@@ -50,10 +50,10 @@
 
 def settled_fleet(way: str, members: int, seed: int) -> Fleet:
     """A fleet whose members all know each other, as after running for hours."""
-    peers, form = addresses(members), WAYS[way]
+    peers, member_type = addresses(members), WAYS[way]
 
     def make(number: int, incarnation: int, random: Random, now: int) -> SimulatedMember:
-        return form(peers, number, incarnation, random, now)
+        return member_type(peers, number, incarnation, random, now)
 
     fleet = Fleet(members, seed, make)
     fleet.start_all(SECOND).run(SECOND)
--- a/limelatch/lab/membership/fleet.py
+++ b/limelatch/lab/membership/fleet.py
@@ -73,9 +73,8 @@
     wrong: bool  # from own probes, though the member ran or paused only briefly, and no cut was between
 
 
-MemberFactory = Callable[
-    [int, int, Random, int], SimulatedMember
-]  # (number, incarnation, random source, now) -> member
+# (number, incarnation, random source, now) -> member
+MemberFactory = Callable[[int, int, Random, int], SimulatedMember]
 
 
 class Fleet:
--- a/limelatch/membership/member.py
+++ b/limelatch/membership/member.py
@@ -126,7 +126,7 @@
         return drop
 
     def refused(self, now: int, member: int) -> None:
-        """A datagram to this member was refused by a closed port, as its process may be gone."""
+        """A datagram to this member was refused by a closed port: its process is gone."""
         self.now = max(now, self.now)
         usable = not self.has_left and self.reachability.isolation is None
         if usable and member != self.me and self.view.is_present(member):
--- a/limelatch/membership/prober.py
+++ b/limelatch/membership/prober.py
@@ -39,9 +39,8 @@
         self.rounds, self.probes = Rounds(me, self.view, random), Probes(random)
         self.reachability = Reachability(start)
         self.probe_at = self.absent_at = self._suspect_probe_at = start
-        self._relayed: dict[
-            int, tuple[int, int, int]
-        ] = {}  # own sequence -> (requester, its sequence, expiry)
+        # own sequence -> (requester, its sequence, expiry)
+        self._relayed: dict[int, tuple[int, int, int]] = {}
 
     def expire(self, now: int) -> list[Probe]:
         """Request indirect probes where direct answers are late; return the round's probes that timed out."""
@@ -132,9 +131,8 @@
     def _ping(self, now: int, target: int, sequence: int) -> None:
         """Send a ping. If the target is not known as alive, the first fact is its state, for it to refute."""
         first = self.registry.non_alive_fact(now, target)
-        only_first = self.probes.many_failed or not self.view.is_alive(
-            target
-        )  # facts would be lost on a target that may be gone
+        # no queued facts: they would be lost on a target that may be gone
+        only_first = self.probes.many_failed or not self.view.is_alive(target)
         self.outbox.send(target, Ping, self.header(target, sequence), first=first, only_first=only_first)
 
     def probe_on_behalf(self, now: int, header: Header, target: int) -> None:
--- a/limelatch/membership/registry.py
+++ b/limelatch/membership/registry.py
@@ -138,9 +138,8 @@
         for member, suspicion in list(self.suspicions.items()):
             if suspicion.ends_at(self.timing) <= now:
                 fact = Fact(member, self.view.incarnations[member], State.DEAD)
-                self._change(
-                    now, fact, suspicion.why(), gossip=suspicion.own
-                )  # else each member declares it by itself
+                # a reported suspicion needs no gossip: each member declares the death by itself
+                self._change(now, fact, suspicion.why(), gossip=suspicion.own)
 
     def extend_suspicions(self, now: int, span: int) -> None:
         """Prolong each suspicion by the time for which this process did not run."""
--- a/limelatch/membership/suspicion.py
+++ b/limelatch/membership/suspicion.py
@@ -37,7 +37,7 @@
     since: int
     own: bool  # this member's own probes had no answer
     next_probe: int
-    witnesses: set[int] = field(default_factory=set)  # others whose probes had none; bounded
+    witnesses: set[int] = field(default_factory=set)  # at most CONFIRMATIONS_REQUIRED others
     refused: bool = False  # its port is closed, so its process is gone
 
     def confirm(self, witness: int) -> None:
