--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -461,8 +461,8 @@
     assert lab("sweep", path, "--set", "clients.rate=x")[0] == 2
 
 
-def test_the_load_tool_steps_up_until_answers_are_late(plan, agent, make_host):
-    program = plan()
+def test_the_load_tool_steps_up_until_answers_are_late(make_program, agent, make_host):
+    program = make_program()
     agent.list(make_host().address)
     program.start()
     code, out, err = lab(
