--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -142,7 +142,7 @@
     def __init__(self, host: Host, sent_at: int) -> None:
         self.host, self.sent_at, self.text_count = host, sent_at, 0
         gap = 0 if host.calls else min(sent_at - host.last_used_at, host.max_call_gap)
-        # how long the connection had been idle
+        # How long the connection had been idle, and the smoothed time between calls.
         self.idle_time, host.call_gap = gap if host.has_idle_connection else 0, (host.call_gap + gap) // 2
 
 
@@ -355,13 +355,13 @@
         # Processes of this relay: 2 in an upgrade, when both send to a host in its warm-up.
         self.process_count = 1
         self.key_order = KeyOrder()
-        self.expiries: list[tuple[int, TextId]] = []
+        self.expiries: list[tuple[int, TextId]] = []  # a heap: when texts can no longer be sent in time
         self.slots_used, self.wake_at, self.stop_at = 0, now, NEVER
         # Destinations are forgotten only where their hosts are listed again on demand.
         self.destination_idle_time = DESTINATION_IDLE_TIME if settings.hosts_on_demand else NEVER
         # When to ask for the host list, and how many calls for it have failed in a row.
         self.watch_at, self.failed_watch_count = NEVER, 0
-        self.list_failed(now, calls=0)
+        self.list_failed(now, failed_calls=0)
         # How long connections may be idle; by kind of host, where full tables or resets have lowered it.
         self.max_idle_time = int(settings.connection_idle_limit * IDLE_LIMIT_RATIO)
         self.max_idle_by_kind = [
@@ -373,7 +373,7 @@
         # Smoothed share of calls on kept connections that were reset.
         self.stale_share = [0.0] * len(settings.kinds)
         self.products_by_kind: list[set[int]] = [set() for _ in settings.kinds]  # products sent to each kind
-        # What the next `_emit` turns into actions.
+        # The next `_emit` turns these into actions.
         self.changed_texts, self.hosts_to_close, self.log_lines = [], [], []
         # Destinations of which a text has finished, and when to check whether they can be forgotten.
         self.idle_destinations: dict[int, int] = {}
@@ -396,20 +396,20 @@
         ):
             self._update_host_groups(self.destinations[number])
 
-    def list_failed(self, now: int, heard_at: int = NEVER, calls: int = 1) -> None:
-        """A call for the host list failed, or its watch ended; the last data came at `heard_at`.
+    def list_failed(self, now: int, last_data_at: int = NEVER, failed_calls: int = 1) -> None:
+        """A call for the host list failed, or its watch ended; the last data came at `last_data_at`.
 
         Schedules the next call at random, so that the relays of a fleet don't all ask at once, and early
         enough for the limit `ask_within`."""
         if self.settings.list_asked:
-            self.failed_watch_count += calls
+            self.failed_watch_count += failed_calls
             max_delay = (
                 self.settings.ask_within
                 // WATCH_RETRY_DIVISOR
                 * min(self.failed_watch_count + 1, MAX_WATCH_RETRY_STEPS)
             )
             self.watch_at = now + self.random_source.next_below(
-                min(max_delay, max(0, heard_at + WATCH_RETRY_DEADLINE - now))
+                min(max_delay, max(0, last_data_at + WATCH_RETRY_DEADLINE - now))
             )
 
     def _update_host_groups(self, destination: Destination) -> None:
@@ -654,7 +654,7 @@
                 report.limit_left,
                 SPARE_LIMIT_GROWTH if self.settings.relays > SMALL_FLEET_SIZE else 1.0,
             )
-            # by what the other relays leave of the limit
+            # By what the other relays leave of the limit.
             growth = PACE_GROWTH_PER_DELIVERY if limit_left is None else growth_ratio * max(0.0, limit_left)
             route.grow_pace(growth if route.limit else LEARNED_PACE_GROWTH)
             route.window = min(route.window + 1, self._max_window(host))
@@ -761,7 +761,7 @@
                     if has_room and now - host.last_success_at > RECENT_SUCCESS_TIME
                     else weighted_rate,
                 )
-                # Repeated cuts go deeper; in a small fleet refusals come less often.
+                # In a large fleet repeated cuts go deeper; a small one overloads the route less.
                 depth = route.cut_count * weight if self.settings.relays > SMALL_FLEET_SIZE else 0.0
                 route.pace = max(PACE_CUT_RATIO * fair_rate / (1 + depth), MIN_PACE_RATIO * even_share)
             else:  # the first refusal may be chance; few relays have texts for the route at one time
@@ -936,6 +936,7 @@
             destination.call_count + 1,
             self.slots_used + 1,
         )
+        # Spend one call of the credits, and count it in the fading number of recent calls.
         route.credit, host.warm_up_credit = route.credit - bool(route.pace), host.warm_up_credit - 1.0
         route.recent_calls, route.recent_calls_at = (
             route.recent_calls * max(0.0, 1 - (now - route.recent_calls_at) / CALL_RATE_SPAN) + 1.0,
@@ -950,6 +951,7 @@
             for each in destination.hosts
             if self._available_at(now, each) <= now and self._is_send_allowed(now, pending, each)
         ]
+        # Hosts that fail this product come only where no other is available.
         available = [
             each for each in available if pending.text.product not in self._failing_products(now, each)
         ] or available
@@ -1027,9 +1029,8 @@
 
         In the warm-up the host gets what it bears if all relays that know of its outage send."""
         settings, route = self.settings, host.route
-        route.update_pace(
-            now, settings.relays
-        )  # also with no pace, so that the time without one fills no later one
+        # Also while there is no pace, so that this time does not count as credit for a later one.
+        route.update_pace(now, settings.relays)
         if host.recovered_at is None:
             return
         warm_up_time, elapsed, informed = (
@@ -1040,6 +1041,7 @@
         if warm_up_time >= settings.cold_time:
             host.recovered_at = None
             return self.log_lines.append(LogLine(f"warm after {warm_up_time // SECOND} s", host.id))
+        # In a large fleet the host may have been back for half of the time since the last trial.
         recovery_estimate = (
             max(0, host.recovered_at - max(route.trial_base_at, route.outage_since))
             / 2
@@ -1139,7 +1141,7 @@
         """Timeout of the call of a text, before its deadline is counted.
 
         A referenced text keeps time for a repeat in its window. While slots are scarce a call waits for no
-        more than its expected duration, so that lost answers don't hold slots."""
+        more than its expected duration, so that lost answers don't occupy slots."""
         is_scarce = self.slots_used > min(SCARCE_SLOTS_SHARE * self.settings.slots, self.settings.slots - 1.5)
         expected = (
             pending.call.host.overdue_after()
@@ -1153,7 +1155,7 @@
         return expected if is_scarce and pending.product.effect is not Effect.ONCE_ONLY else timeout
 
     def _host_for(self, entry: HostEntry) -> Host:
-        """The host of a list entry; a new one where it has moved, its calls in flight stay at the old one."""
+        """The host of a list entry; a new one where it has moved: its calls in flight stay at the old one."""
         destination = self.destinations[entry.destination]
         if (host := self.hosts.get(entry.host)) and host.destination is destination:
             return host
@@ -1164,7 +1166,7 @@
             Route(window) if routes_apart else destination.shared_route or Route(window)
         )
         host = self.hosts[entry.host] = Host(entry, destination, route, self.max_idle_time)
-        # listed during an outage
+        # A host that is listed during an outage of its route is in the outage too.
         host.in_outage = route.trial_count > 0 and all(each.in_outage for each in route.hosts)
         destination.hosts.append(host)
         return host
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -51,13 +51,13 @@
     def __init__(self, policy):
         self.policy, self.next_id = policy, 100
 
-    def take(self, product=NOTICE, now=NOW, key=0, valid=24 * S, dest=1, customer=0):
+    def accept_text(self, product=NOTICE, now=NOW, key=0, valid=24 * S, dest=1, customer=0):
         """Have a client submit a text; return its id."""
         self.next_id += 1
         self.policy.text_accepted(now, Text(self.next_id, dest, product, now + valid, customer, key))
         return self.next_id
 
-    def end(self, text, result, now=NOW, host=HOST, took=1000, **more):
+    def end_submit(self, text, result, now=NOW, host=HOST, took=1000, **more):
         """End the text's submit with this result."""
         self.policy.submit_ended(now, SubmitReport(text, host, result, took, **more))
 
@@ -66,20 +66,22 @@
         actions = self.policy.decide(now)
         return [action for action in actions if kind is None or isinstance(action, kind)]
 
-    def sent(self, now=NOW):
+    def sent_texts(self, now=NOW):
         """The texts that a decision sends, each with its host."""
         return {action.text: action.host for action in self.decide(Submit, now)}
 
-    def list(self, *hosts, dest=1, now=NOW, listing=Listing.READY, zone=0, kind=0, rate=0.0, whole=False):
+    def list_hosts(
+        self, *hosts, dest=1, now=NOW, listing=Listing.READY, zone=0, kind=0, rate=0.0, whole=False
+    ):
         """Pass these hosts as lines of the host list."""
         entries = [HostEntry(host, dest, zone, kind, rate, listing) for host in hosts]
         self.policy.hosts_listed(now, entries, whole)
 
-    def out(self, text, result=None, now=NOW, **more):
+    def send_text(self, text, result=None, now=NOW, **more):
         """Send the text, end its submit if a result is given, and return the host."""
-        host = self.sent(now)[text]
+        host = self.sent_texts(now)[text]
         if result is not None:
-            self.end(text, result, now, host=host, **more)
+            self.end_submit(text, result, now, host=host, **more)
         return host
 
     def host(self, name=HOST):
@@ -117,7 +119,7 @@
 @pytest.fixture
 def relay(policy_settings):
     harness = PolicyHarness(Policy(policy_settings, NOW))
-    harness.list(HOST)
+    harness.list_hosts(HOST)
     return harness
 
 
@@ -127,7 +129,7 @@
     harness = PolicyHarness(
         Policy(replace(policy_settings, relays=200, list_asked=True, ask_within=10 * S), NOW)
     )
-    harness.list(HOST)
+    harness.list_hosts(HOST)
     return harness
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -97,12 +97,12 @@
 
 def test_texts_near_their_end_take_none_with_more_time_into_their_call(relay):
     """A call is given up whole when the first of its texts is out of time."""
-    relay.list(b"batch1", dest=2, kind=1)
-    relay.out(relay.take(dest=2), Result.DELIVERED)
-    near = [relay.take(dest=2, valid=valid) for valid in (S // 2, S // 3)]
-    others = [relay.take(dest=2, valid=9 * S) for _ in range(2)]
+    relay.list_hosts(b"batch1", dest=2, kind=1)
+    relay.send_text(relay.accept_text(dest=2), Result.DELIVERED)
+    near = [relay.accept_text(dest=2, valid=valid) for valid in (S // 2, S // 3)]
+    others = [relay.accept_text(dest=2, valid=9 * S) for _ in range(2)]
     calls = {}
-    for text in relay.sent():
+    for text in relay.sent_texts():
         calls.setdefault(id(relay.pending(text).call), []).append(text)
     assert sorted(sorted(call) for call in calls.values()) == [near, others]
 
@@ -440,42 +440,44 @@
 def test_what_a_restart_finds_untried_is_tried_in_its_time(policy_settings, relays, rate, late_list):
     """At the even part of a limit a fifth once ended with no call: 641 of 3,364 on a day with mass kills."""
     policy_settings = replace(policy_settings, relays=relays, rates_listed=True)
-    bench = PolicyHarness(Policy(policy_settings, NOW))
+    harness = PolicyHarness(Policy(policy_settings, NOW))
     if not late_list:
-        bench.list(HOST, OTHER_HOST, rate=rate)
+        harness.list_hosts(HOST, OTHER_HOST, rate=rate)
     texts = set()
     for number in range(8):
         texts.add(text := 500 + number)
-        bench.policy.text_accepted(NOW, Text(text, 1, REPORT, NOW + 8 * S), TextHistory())
+        harness.policy.text_accepted(NOW, Text(text, 1, REPORT, NOW + 8 * S), TextHistory())
     if late_list:
-        bench.list(HOST, OTHER_HOST, rate=rate)
+        harness.list_hosts(HOST, OTHER_HOST, rate=rate)
     tried = set()
     for passed in range(0, 8 * S, 200):
-        for text, host in bench.sent(NOW + passed).items():
+        for text, host in harness.sent_texts(NOW + passed).items():
             tried.add(text)
-            bench.end(text, Result.FULL, NOW + passed + 100, host=host)
+            harness.end_submit(text, Result.FULL, NOW + passed + 100, host=host)
     assert tried == texts
 
 
 def test_what_a_restart_finds_untried_heeds_told_waits_and_outages(policy_settings):
-    bench = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
-    bench.list(HOST, rate=2.0)
+    harness = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
+    harness.list_hosts(HOST, rate=2.0)
     for number in range(3):
-        bench.policy.text_accepted(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), TextHistory())
-    out = bench.sent()  # what is saved up
+        harness.policy.text_accepted(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), TextHistory())
+    out = harness.sent_texts()  # what is saved up
     assert len(out) == 2
     for text, host in out.items():
-        bench.end(text, Result.FULL, host=host, retry_after=9 * S)
-    assert {end.text for end in bench.decide(Nack)} == {500, 501, 502} and bench.sent(NOW + 5 * S) == {}
+        harness.end_submit(text, Result.FULL, host=host, retry_after=9 * S)
+    assert {end.text for end in harness.decide(Nack)} == {500, 501, 502} and harness.sent_texts(
+        NOW + 5 * S
+    ) == {}
 
 
 def test_a_new_text_that_can_t_be_sent_in_its_time_is_still_given_up_at_once(policy_settings):
-    bench = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
-    bench.list(HOST, rate=2.0)
-    bench.take(REPORT), bench.take(REPORT)
-    assert len(bench.sent()) == 2  # what is saved up
-    text = bench.take(REPORT, valid=S // 2)
-    assert [end.text for end in bench.decide(Nack)] == [text]
+    harness = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
+    harness.list_hosts(HOST, rate=2.0)
+    harness.accept_text(REPORT), harness.accept_text(REPORT)
+    assert len(harness.sent_texts()) == 2  # what is saved up
+    text = harness.accept_text(REPORT, valid=S // 2)
+    assert [end.text for end in harness.decide(Nack)] == [text]
 
 
 # Signals and settings.
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -581,24 +581,24 @@
 
 def test_an_idle_destination_is_forgotten_by_a_timer(on_demand):
     relay = on_demand
-    relay.list(HOST)
-    relay.out(relay.take(), Result.DELIVERED, finished=True)
+    relay.list_hosts(HOST)
+    relay.send_text(relay.accept_text(), Result.DELIVERED, finished=True)
     wakes = [action.after for action in relay.policy.decide(NOW) if isinstance(action, Wake)]
     assert wakes and min(wakes) <= DESTINATION_IDLE_TIME
     assert forgotten_destinations(relay, NOW + DESTINATION_IDLE_TIME - 1) == []
     keep = relay.policy.max_idle_time  # it is kept while a connection may stay idle
     assert forgotten_destinations(relay, NOW + max(DESTINATION_IDLE_TIME, keep) + 1) == [1]
     assert not relay.policy.destinations and not relay.policy.hosts and not relay.policy.idle_destinations
-    relay.list(HOST, now=NOW + 99 * S)
-    assert relay.out(relay.take(now=NOW + 99 * S), now=NOW + 99 * S) == HOST
+    relay.list_hosts(HOST, now=NOW + 99 * S)
+    assert relay.send_text(relay.accept_text(now=NOW + 99 * S), now=NOW + 99 * S) == HOST
 
 
 def test_ten_thousand_destinations_used_once_are_all_forgotten(on_demand):
     relay, now = on_demand, NOW
     for number in range(10_000):
         now += S // 100
-        relay.list(b"s-%d" % number, dest=number, now=now)
-        relay.out(relay.take(dest=number, now=now), Result.DELIVERED, now=now, finished=True)
+        relay.list_hosts(b"s-%d" % number, dest=number, now=now)
+        relay.send_text(relay.accept_text(dest=number, now=now), Result.DELIVERED, now=now, finished=True)
     assert (
         len(relay.policy.destinations)
         < 2 * (DESTINATION_IDLE_TIME + relay.policy.max_idle_time) // (S // 100) + 100
@@ -631,9 +631,9 @@
 )  # a token is spent: kept until that is too old to matter
 def test_a_destination_with_learned_state_is_kept(on_demand, result, more, until):
     relay, now = on_demand, NOW
-    relay.list(HOST)
-    text = relay.take(valid=2 * S)
-    relay.out(text, result, **more)
+    relay.list_hosts(HOST)
+    text = relay.accept_text(valid=2 * S)
+    relay.send_text(text, result, **more)
     while now < NOW + until:
         now += 5 * S
         assert not [number for number in forgotten_destinations(relay, now) if now < NOW + until]
@@ -642,21 +642,21 @@
 
 def test_a_destination_in_an_outage_is_kept_until_it_has_delivered_again(on_demand):
     relay, now = on_demand, NOW
-    relay.list(HOST)
+    relay.list_hosts(HOST)
     for _ in range(6):
-        text = relay.take(now=now, valid=4 * S)
+        text = relay.accept_text(now=now, valid=4 * S)
         relay.decide(now=now)
         if relay.pending(text).call:
-            relay.end(text, Result.ERROR, now)
+            relay.end_submit(text, Result.ERROR, now)
         now += 9 * S
         relay.decide(now=now)
     assert relay.host().in_outage
     for _ in range(100):
         now += 60 * S
         assert forgotten_destinations(relay, now) == []
-    text = relay.take(now=now)
-    assert relay.sent(now) == {text: HOST}  # one trial submit, and it is counted as one
-    relay.end(text, Result.DELIVERED, now, finished=True)
+    text = relay.accept_text(now=now)
+    assert relay.sent_texts(now) == {text: HOST}  # one trial submit, and it is counted as one
+    relay.end_submit(text, Result.DELIVERED, now, finished=True)
     relay.policy.destinations[1].tokens = TOKEN_BUCKET_SIZE
     for _ in range(20):
         now += 60 * S
@@ -667,16 +667,16 @@
 
 def test_a_text_that_arrives_as_its_destination_is_due_to_be_forgotten_keeps_it(on_demand):
     relay = on_demand
-    relay.list(HOST)
-    relay.out(relay.take(), Result.DELIVERED, finished=True)
+    relay.list_hosts(HOST)
+    relay.send_text(relay.accept_text(), Result.DELIVERED, finished=True)
     later = NOW + 99 * S
-    text = relay.take(now=later)
+    text = relay.accept_text(now=later)
     assert forgotten_destinations(relay, later) == [] and relay.pending(text).call.host is relay.host()
 
 
 def test_a_notice_acknowledged_after_its_destination_was_forgotten_restores_nothing(on_demand):
     relay = on_demand
-    text = relay.take(valid=S // 2)
+    text = relay.accept_text(valid=S // 2)
     relay.decide(now=NOW + S)  # ended, and its notice is not acknowledged yet
     assert forgotten_destinations(relay, NOW + LEARNED_STATE_LIFETIME) in ([], [1])
     relay.policy.destinations.pop(1, None)
@@ -685,14 +685,14 @@
 
 
 def test_a_moved_host_finishes_the_submits_of_its_old_destination(relay):
-    relay.list(HOST)
-    text = relay.take()
-    relay.sent()
-    relay.list(HOST, dest=2)
-    other = relay.take(dest=2)
-    assert relay.sent(NOW + S)[other] == HOST
-    relay.end(text, Result.DELIVERED, NOW + S, finished=True)
-    relay.end(other, Result.DELIVERED, NOW + S, finished=True)
+    relay.list_hosts(HOST)
+    text = relay.accept_text()
+    relay.sent_texts()
+    relay.list_hosts(HOST, dest=2)
+    other = relay.accept_text(dest=2)
+    assert relay.sent_texts(NOW + S)[other] == HOST
+    relay.end_submit(text, Result.DELIVERED, NOW + S, finished=True)
+    relay.end_submit(other, Result.DELIVERED, NOW + S, finished=True)
     assert relay.policy.slots_used == 0 and not relay.policy.texts
     assert relay.policy.hosts[HOST] in relay.policy.destinations[2].hosts
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -7,24 +7,24 @@
 
 
 def test_a_repeat_takes_a_token_and_a_delivery_gives_a_tenth(relay):
-    destination, text = relay.host().destination, relay.take(REPORT)
-    relay.out(text, Result.FULL)
+    destination, text = relay.host().destination, relay.accept_text(REPORT)
+    relay.send_text(text, Result.FULL)
     assert destination.tokens == TOKEN_BUCKET_SIZE - TOKEN_PRICE
-    relay.out(text, Result.DELIVERED, NOW + 15 * S, finished=True)
+    relay.send_text(text, Result.DELIVERED, NOW + 15 * S, finished=True)
     assert destination.tokens == TOKEN_BUCKET_SIZE - TOKEN_PRICE + 1
 
 
 def test_without_a_token_the_final_answer_comes_at_once(relay):
     relay.host().destination.tokens = TOKEN_PRICE - 1
-    text = relay.take(REPORT)
-    relay.out(text, Result.FULL)
+    text = relay.accept_text(REPORT)
+    relay.send_text(text, Result.FULL)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
 
 
 def test_submits_stop_at_the_configured_maximum(relay):
-    text = relay.take(REPORT)
+    text = relay.accept_text(REPORT)
     relay.pending(text).submit_count = 3
-    relay.out(text, Result.CONNECT)
+    relay.send_text(text, Result.CONNECT)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
 
 
@@ -38,20 +38,20 @@
 
 
 def test_a_backoff_that_ends_after_the_deadline_is_not_waited_for(relay):
-    text = relay.take(REPORT, valid=3000)
-    relay.out(text, Result.CONNECT)
+    text = relay.accept_text(REPORT, valid=3000)
+    relay.send_text(text, Result.CONNECT)
     assert relay.decide(Nack) == [Nack(text, 2 * S)]
 
 
 def test_the_window_grows_by_one_and_halves_once_for_calls_in_flight_together(relay):
     route = relay.host().route
     assert route.window == 4
-    texts = [relay.take(REPORT) for _ in range(3)]
+    texts = [relay.accept_text(REPORT) for _ in range(3)]
     relay.decide()
-    relay.end(texts[0], Result.DELIVERED, finished=True)
+    relay.end_submit(texts[0], Result.DELIVERED, finished=True)
     assert route.window == 5
-    relay.end(texts[1], Result.TIMEOUT)
-    relay.end(texts[2], Result.TIMEOUT)
+    relay.end_submit(texts[1], Result.TIMEOUT)
+    relay.end_submit(texts[2], Result.TIMEOUT)
     assert route.window == 2
 
 
@@ -76,16 +76,16 @@
 
 
 def test_no_more_calls_than_slots_are_in_flight(relay):
-    relay.list(OTHER_HOST, dest=2)
+    relay.list_hosts(OTHER_HOST, dest=2)
     for dest in (1, 2):
         relay.host(HOST if dest == 1 else OTHER_HOST).route.window = 6
         for _ in range(10):
-            relay.take(REPORT, dest=dest)
+            relay.accept_text(REPORT, dest=dest)
     assert len(relay.decide(Submit)) == 8
 
 
 def test_a_call_carries_as_many_texts_as_its_kind_of_host_takes(relay):
-    relay.list(OTHER_HOST, dest=3, kind=1)
+    relay.list_hosts(OTHER_HOST, dest=3, kind=1)
     for _ in range(7):
-        relay.take(REPORT, dest=3)
+        relay.accept_text(REPORT, dest=3)
     assert len(relay.decide(Submit)) == 7 and relay.policy.slots_used == 2
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -254,15 +254,17 @@
     """Calls in each second by one relay of a large fleet at a limit of 40 calls a second, with enough texts.
 
     `reported`: the limit comes with each answer, else with the host list."""
-    bench = PolicyHarness(Policy(policy_settings, start))
-    bench.list(HOST, rate=0.0 if reported else 40.0, now=start)
+    harness = PolicyHarness(Policy(policy_settings, start))
+    harness.list_hosts(HOST, rate=0.0 if reported else 40.0, now=start)
     counts = [0] * seconds
     for step in range(50 * seconds):
         now = start + step * S // 50
-        bench.take(REPORT, now=now, valid=4 * S)
-        for text in bench.sent(now):
+        harness.accept_text(REPORT, now=now, valid=4 * S)
+        for text in harness.sent_texts(now):
             counts[step // 50] += 1
-            bench.end(text, Result.DELIVERED, now, finished=True, limit_rate=40.0 if reported else None)
+            harness.end_submit(
+                text, Result.DELIVERED, now, finished=True, limit_rate=40.0 if reported else None
+            )
     return counts
 
 
@@ -283,21 +285,23 @@
 
 def test_a_limit_reported_after_many_calls_starts_without_a_debt_of_credit(policy_settings):
     """Guards against counting calls from the time without a limit, which stops the next ones for minutes."""
-    bench = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
-    bench.list(HOST, now=WALL)
+    harness = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
+    harness.list_hosts(HOST, now=WALL)
     for _ in range(30):
-        bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True)
-    bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True, limit_rate=40.0)
+        harness.send_text(harness.accept_text(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True)
+    harness.send_text(
+        harness.accept_text(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True, limit_rate=40.0
+    )
     now = WALL + S // 2
-    assert bench.sent(now) == {} and bench.sent(now) == {}
-    text = bench.take(REPORT, now=now)
-    assert bench.sent(now) == {text: HOST}
+    assert harness.sent_texts(now) == {} and harness.sent_texts(now) == {}
+    text = harness.accept_text(REPORT, now=now)
+    assert harness.sent_texts(now) == {text: HOST}
 
 
 def test_a_newly_learned_pace_does_not_grow_for_the_time_without_one(policy_settings):
-    bench = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
-    bench.list(HOST, now=WALL)
-    route = bench.host().route
+    harness = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
+    harness.list_hosts(HOST, now=WALL)
+    route = harness.host().route
     route.limit, route.pace, route.credit, route.credit_updated_at = (
         0.0,
         0.0,
@@ -305,8 +309,10 @@
         WALL,
     )  # had a limit, long ago
     now = WALL + 600 * S
-    bench.out(bench.take(REPORT, now=now), Result.DELIVERED, now, finished=True, limit_rate=40.0)
-    bench.decide(now=now)
-    bench.take(REPORT, now=now)
-    bench.decide(now=now)
+    harness.send_text(
+        harness.accept_text(REPORT, now=now), Result.DELIVERED, now, finished=True, limit_rate=40.0
+    )
+    harness.decide(now=now)
+    harness.accept_text(REPORT, now=now)
+    harness.decide(now=now)
     assert 40 / 20 <= route.pace < 1.1 * 40 / 20 and route.credit <= 1.0
