--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -1,10 +1,10 @@
-"""The lasting folder: what became of each text that was taken on, so that a restarted relay still owes it.
+"""The ledger: a write-ahead log of accepted texts, so that a restarted relay still finishes each of them.
 
-One file of records (`records`). Written bytes outlast the process without a sync. When the file has grown,
-the records of texts that are over are left out of a new file, which then takes its place. The folder is one
-relay's: it is locked while its process lives. During an upgrade the new process, which finds it locked,
-writes a ledger of its own in the seat `next` inside it, and takes the folder over, with what the old one
-left, once that has ended.
+It is one file of records (`records`) in the relay's state directory. Written bytes survive the end of the
+process without a sync. When the file has grown it is compacted: a new file without the records of finished
+texts replaces it. A process locks its state directory for as long as it runs. During an upgrade the new
+process finds it locked, so it writes a ledger of its own in the standby directory `next` inside it. Once the
+old process has ended, the new one takes the state directory over with the texts that are left in it.
 """
 
 from __future__ import annotations
@@ -29,31 +29,31 @@
     split_records,
 )
 
-FILE, NEW_FILE, STANDBY_DIR = "ledger", "ledger.new", "next"
-BLOCK = 512  # files count in whole blocks
-DEAD_TIMES = 2  # the file's size in what is still needed of it, from which a new one is worth its writing
-LIVE_SHARE = 0.4  # of the disk, for records of texts that are not over; the rest: growth, the new file
-BESIDE_SHARE = 0.125  # of the disk at the most, for the copy of the list and the new one beside it
-MEMORY_SHARE = 0.1  # of the memory, for the same records, which are kept there too
-STANDBY_LOCK_TRIES, STANDBY_LOCK_PAUSE = (
-    20,
-    0.01,
-)  # seconds: the old process takes the seat's lock for a look at times
-OTHER_FILES = 4  # in blocks: the hosts out, the clock, and a new one of either
-NO_LOCKS = (errno.ENOLCK, errno.EOPNOTSUPP, errno.ENOSYS)  # a file system without locks
+FILE = "ledger"
+NEW_FILE = "ledger.new"  # written by a compaction, then renamed to FILE
+STANDBY_DIR = "next"  # inside the state directory
+BLOCK = 512  # bytes; the disk limit counts files in whole blocks
+MIN_DEAD_RATIO = 2  # compact once the file is this many times the size of what it still needs
+LIVE_SHARE = 0.4  # of the disk limit, for records of unfinished texts; the rest is for growth and compaction
+MAX_OTHER_FILE_SHARE = 0.125  # of the disk limit, for the copy of the host list and its replacement
+MEMORY_SHARE = 0.1  # of the memory limit, for the same records, which are held in memory too
+STANDBY_LOCK_TRIES = 20  # the old process holds the standby directory's lock briefly at each of its checks
+STANDBY_LOCK_PAUSE = 0.01  # seconds between two tries
+OTHER_FILE_BLOCKS = 4  # blocks kept for the files of suspended hosts and of the clock, and a new one of each
+NO_LOCKS = (errno.ENOLCK, errno.EOPNOTSUPP, errno.ENOSYS)  # errors of a file system without locks
 
 
 class FolderInUse(OSError):
-    """Another relay writes the ledger of this folder."""
+    """Another process has locked this directory."""
 
 
 class ForeignLedger(OSError):
-    """The file holds whole records that this version can't read; it is left as it is."""
+    """The file has complete records that this version can't read; it is left as it is."""
 
 
 @contextmanager
 def named(call: str, path: str) -> Iterator[None]:
-    """An OSError inside is raised on with the call and the path, whatever it had of them."""
+    """Re-raises an OSError from inside with the name of the call and the path; FileNotFoundError as it is."""
     try:
         yield
     except FileNotFoundError:
@@ -63,9 +63,10 @@
 
 
 def lock(folder: str) -> int:
-    """Hold the folder until this process ends, however it ends; FolderInUse where another does, OSError.
+    """Lock a directory until its descriptor, which is returned, is closed or this process ends.
 
-    The lock is the open folder's own, so it needs no file, and one that was killed leaves none behind."""
+    The lock is on the open directory itself: there is no lock file that a killed process could leave behind.
+    Raises FolderInUse where another process has it locked, OSError where it can't be opened or locked."""
     with named("open", folder):
         held = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -82,27 +83,28 @@
 
 
 def close_quietly(file: int) -> None:
-    """Close a descriptor, which is gone whatever close(2) reports."""
+    """Close a descriptor; errors are ignored, since it is released whatever close(2) reports."""
     with suppress(OSError):
         os.close(file)
 
 
 def read_whole(path: str) -> bytes:
-    """All bytes of a file; OSError names the call and the path."""
+    """All bytes of a file. Raises OSError with the call and the path."""
     with named("read", path), open(path, "rb") as file:
         return file.read()
 
 
 def append(file: int, raw: bytes) -> None:
-    """Write all of it: a disk that is nearly full may take a part."""
+    """Write all of `raw`, in several calls if need be: a disk that is nearly full may accept a part."""
     while raw:
         raw = raw[os.write(file, raw) :]
 
 
 def lock_standby(standby: str) -> int:
-    """Hold the seat; FolderInUse where a third process does.
+    """Lock the standby directory. Raises FolderInUse where a third process has it locked.
 
-    Guards against a new process that is refused because the old one looks just then whether it waits."""
+    Tries repeatedly: guards against refusing a new process because the old one holds the lock for the moment
+    in which it checks for a successor."""
     for _ in range(STANDBY_LOCK_TRIES):
         try:
             return lock(standby)
@@ -112,35 +114,39 @@
 
 
 class Ledger:
-    """The ledger of one relay: `entries` are the texts that it owes their end.
+    """The ledger of one relay process; `entries` are its unfinished texts.
 
-    What can't be written, as on a full disk, waits in `behind` for the next record; until it is written no
-    text is taken on and no submit goes out, since a restart would know nothing of them. `told` hears of each
-    write: the error, or None where it has worked."""
+    Records that can't be written, as on a full disk, wait in `unwritten` for the next write. Until then no
+    text is accepted and no submit is sent, since a restart would know nothing of them. `on_write_result` is
+    called with the error of a failed call, and with None once writes succeed again. `size`, `cut_bytes` (an
+    incomplete record found at the end of the file), `disk_limit` and `max_live_bytes` are in bytes."""
 
     def __init__(
         self,
         folder: str,
         disk_bytes: int,
         memory_bytes: int,
-        told: Callable[[OSError | None], None] = lambda error: None,
+        on_write_result: Callable[[OSError | None], None] = lambda error: None,
     ) -> None:
-        self.folder, self.directory, self._told = folder, folder, told
-        self._whole, self._memory = disk_bytes // BLOCK * BLOCK - OTHER_FILES * BLOCK, memory_bytes
+        self.state_dir, self.directory, self._on_write_result = folder, folder, on_write_result
+        self._disk_budget, self._memory_limit = (
+            disk_bytes // BLOCK * BLOCK - OTHER_FILE_BLOCKS * BLOCK,
+            memory_bytes,
+        )
         self.reserve_disk(0, at_once=True)
         self.state, self.size, self.cut_bytes, self.unwritten = LedgerState(), 0, 0, b""
-        self._torn = False  # a record written in part stands at the file's end
-        self._failing = False  # since a call that failed, until a write works
-        self.sibling_bytes = 0  # bytes of the disk that the other process of an upgrade holds or will write
-        self._emptied_later: list[str] = []  # files taken in that could not be removed
+        self._torn = False  # whether the file ends in a record that was written in part
+        self._failing = False  # from a failed call until a write succeeds
+        self.sibling_bytes = 0  # of the disk, used or still needed by the other process of an upgrade
+        self._files_to_remove: list[str] = []  # adopted files that could not be removed yet
         try:
             self._lock = lock(folder)
-        except FolderInUse:  # an upgrade: the process before still holds it; a third one is refused
+        except FolderInUse:  # an upgrade: the old process still has it locked; a third process is refused
             self.directory = os.path.join(folder, STANDBY_DIR)
             with named("mkdir", self.directory):
                 os.makedirs(self.directory, exist_ok=True)
             self._lock = lock_standby(self.directory)
-        # The other process's ledger in an upgrade: the folder's, seen from the seat, and the other way.
+        # The other process's ledger in an upgrade: the standby's, or for the standby the one it waits for.
         self.sibling_path = (
             os.path.join(folder, FILE) if self.is_standby else os.path.join(folder, STANDBY_DIR, FILE)
         )
@@ -148,94 +154,100 @@
             self._open()
             self._replay()
         except OSError:
-            close_quietly(self._lock)  # else a further try would find the folder in use
+            close_quietly(self._lock)  # else a further try would find the directory in use
             raise
         if self.has_abandoned_standby:
             self.adopt_standby()
 
     def _open(self) -> None:
+        """Open the ledger's file for appending, creating it if need be."""
         self.path, self._new = os.path.join(self.directory, FILE), os.path.join(self.directory, NEW_FILE)
-        with suppress(OSError):  # a compaction that the end of the process cut short; the next one empties it
+        with suppress(OSError):  # of an interrupted compaction; the next compaction truncates it
             os.remove(self._new)
         with named("open", self.path):
             self._file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
     @property
     def is_standby(self) -> bool:
-        """Whether this process waits in the seat for the one before it to end."""
-        return self.directory != self.folder
+        """Whether this process is in the standby directory, until the old process ends."""
+        return self.directory != self.state_dir
 
     def has_successor(self) -> bool:
-        """Whether a new process waits in the seat: the old one then hands clients over to it."""
+        """Whether a new process is in the standby directory; the old one then hands its clients over."""
         try:
-            os.close(lock(os.path.join(self.folder, STANDBY_DIR)))
+            os.close(lock(os.path.join(self.state_dir, STANDBY_DIR)))
         except FolderInUse:
             return True
-        except OSError:  # no seat: nobody waits
+        except OSError:  # no standby directory, so no new process
             return False
         return False
 
     def take_over(self) -> list[Entry] | None:
-        """In the seat: once the process before has ended, its folder and all it still owes; else None.
+        """For the standby: take the state directory over, and return the texts that the old process left.
 
-        Where the folder can't be read or written it stays in the seat, whole, and tries again at the next
-        look."""
+        None while the old process runs, and where the state directory can't be read or written; then this
+        ledger stays complete in the standby directory, and the next call tries again."""
         try:
-            held = lock(self.folder)
+            held = lock(self.state_dir)
         except FolderInUse:
             return None
         except OSError as error:
-            self._failed(error)
+            self._write_failed(error)
             return None
         standby_file, standby_lock, paths = self.path, self._lock, (self.path, self._new)
-        self.path, self._new = os.path.join(self.folder, FILE), os.path.join(self.folder, NEW_FILE)
+        self.path, self._new = os.path.join(self.state_dir, FILE), os.path.join(self.state_dir, NEW_FILE)
         adopted = self._adopt(self.path)
         if adopted is None:
             self.path, self._new = paths
             close_quietly(held)
             return None
-        self._lock, self.directory, self.sibling_path = held, self.folder, standby_file
-        self._empty(standby_file)
+        self._lock, self.directory, self.sibling_path = held, self.state_dir, standby_file
+        self._remove_adopted(standby_file)
         close_quietly(standby_lock)
         return adopted
 
     @property
     def has_abandoned_standby(self) -> bool:
-        """Whether a successor that ended before it took over has left texts in its seat."""
+        """Whether the standby directory has a ledger: of a successor, or left by one that has ended."""
         return not self.is_standby and os.path.exists(self.sibling_path)
 
     def adopt_standby(self) -> list[Entry] | None:
-        """The texts that a successor left in its seat are this process's now; None where that has to be tried
-        again, and none where the successor lives: it takes this folder over itself."""
+        """Take over the texts of a successor that has ended, and return them.
+
+        None where that has to be tried again; an empty list while the successor runs, since it will take this
+        directory over itself."""
         path = self.sibling_path
         try:
-            held = lock(os.path.join(self.folder, STANDBY_DIR))
+            held = lock(os.path.join(self.state_dir, STANDBY_DIR))
         except FolderInUse:
             return []
         except OSError as error:
-            self._failed(error)
+            self._write_failed(error)
             return None
         adopted = self._adopt(path, first=False)
         if adopted is not None:
-            self._empty(path)
+            self._remove_adopted(path)
         close_quietly(held)
         return adopted
 
     def _adopt(self, path: str, first: bool = True) -> list[Entry] | None:
-        """Take in another file's texts and write them to this ledger's; None where either fails, and then
-        they stay with the other file."""
+        """Add another ledger's texts to this one, and write them to its file.
+
+        None where reading or writing fails; the texts then stay in the other file alone."""
         try:
             adopted = self._absorb(path, first)
         except OSError as error:
-            self._failed(error)
+            self._write_failed(error)
             return None
         if not self.compact():
-            self._leave(adopted)
+            self._undo_adoption(adopted)
             return None
         return adopted
 
-    def _empty(self, path: str) -> None:
-        """A file that was taken in must not be read again: it would bring back texts that have ended."""
+    def _remove_adopted(self, path: str) -> None:
+        """Remove or truncate an adopted file: if it were read again, finished texts would come back.
+
+        Where neither works it is tried again once writes succeed."""
         try:
             os.remove(path)
         except FileNotFoundError:
@@ -244,134 +256,146 @@
             try:
                 os.truncate(path, 0)
             except OSError as error:
-                self._failed(error)
-                self._emptied_later.append(path)
+                self._write_failed(error)
+                self._files_to_remove.append(path)
 
     def _absorb(self, path: str, first: bool = True) -> list[Entry]:
-        """Take in the texts of another file, `first` before those held; a torn tail is left out."""
-        raw, theirs = read_whole(path), LedgerState()
-        for one in split_records(raw):
+        """Add another file's state to this one, its texts before this ledger's if `first`; an incomplete last
+        record is left out. Raises OSError."""
+        raw, other_state = read_whole(path), LedgerState()
+        for encoded in split_records(raw):
             try:
-                theirs.apply(one)
-            except BadRecord:  # of another version: left out rather than take a text that can't be read
+                other_state.apply(encoded)
+            except BadRecord:  # of another version: skipped rather than adopt a text that can't be read
                 continue
-        adopted = [entry for text, entry in theirs.entries.items() if text not in self.entries]
+        adopted = [entry for text, entry in other_state.entries.items() if text not in self.entries]
         fresh = {entry.id: entry for entry in adopted}
         self.state.entries = fresh | self.state.entries if first else self.state.entries | fresh
         self.state.live_bytes += sum(len(entry.accepted_record) + STATE_RESERVE for entry in adopted)
-        for key, rest in theirs.cooldowns.items():
+        for key, rest in other_state.cooldowns.items():
             self.state.add_cooldown(key, rest, 0)
-        for host, until in theirs.host_waits.items():
+        for host, until in other_state.host_waits.items():
             self.state.add_wait(host, until, 0)
-        for host, health in theirs.host_health.items():
+        for host, health in other_state.host_health.items():
             self.state.add_health(host, health)
         return adopted
 
-    def _leave(self, adopted: list[Entry]) -> None:
-        """What was taken in stays with the other file, since it can't be written to this one."""
+    def _undo_adoption(self, adopted: list[Entry]) -> None:
+        """Undo an adoption that could not be written; the texts stay in the other file."""
         for entry in adopted:
             self.state.live_bytes -= len(entry.accepted_record) + STATE_RESERVE
             del self.entries[entry.id]
 
     @property
     def entries(self) -> dict[bytes, Entry]:
+        """The unfinished texts by id, in the order of their acceptance."""
         return self.state.entries
 
     def close(self) -> None:
-        """Give the folder back."""
+        """Close the file and unlock the directory."""
         close_quietly(self._file)
         close_quietly(self._lock)
 
     def _replay(self) -> None:
+        """Read the file at the start. Raises ForeignLedger for a complete record of another version."""
         raw, at = read_whole(self.path), 0
-        for one in split_records(raw):
+        for encoded in split_records(raw):
             try:
-                self.state.apply(one)
-            except BadRecord as error:  # whole, and yet not of this version: to cut it would lose texts
+                self.state.apply(encoded)
+            except BadRecord as error:  # complete, but of another version: to cut it off would lose texts
                 raise ForeignLedger(
                     errno.EINVAL, f"a record at byte {at} is not of this version: {error}", self.path
                 ) from None
-            at += len(one)
+            at += len(encoded)
         self.cut_bytes, self.size = len(raw) - at, at
-        self._torn = self.cut_bytes > 0  # by the end of the process: cut off, with whatever follows it
-        with suppress(OSError):  # else before the first write
+        self._torn = self.cut_bytes > 0  # the process ended in a write: cut off, with all that follows
+        with suppress(OSError):  # else it is done before the first write
             self._cut_tail()
 
     def reserve_disk(self, size: int, at_once: bool = False) -> bool:
-        """Leave so many bytes of the disk to another file of the folder; not where the ledger needs them."""
-        disk = self._whole - (-size // BLOCK * -BLOCK)
+        """Reserve bytes of the disk limit for another file; replaces an earlier reservation.
+
+        False, and no change, where the ledger needs them or they are too large a share; not checked with
+        `at_once`."""
+        disk = self._disk_budget - (-size // BLOCK * -BLOCK)
         if not at_once and (
-            size > self._whole * BESIDE_SHARE or self.size + self.state.live_bytes > disk - BLOCK
+            size > self._disk_budget * MAX_OTHER_FILE_SHARE
+            or self.size + self.state.live_bytes > disk - BLOCK
         ):
             return False
-        self.disk_limit, self.max_live_bytes = disk, min(disk * LIVE_SHARE, self._memory * MEMORY_SHARE)
+        self.disk_limit, self.max_live_bytes = disk, min(disk * LIVE_SHARE, self._memory_limit * MEMORY_SHARE)
         return True
 
     def has_room(self, body: int) -> bool:
-        """Whether one more text fits, with all that will be written of it and of the others."""
+        """Whether a text with a body of so many bytes fits, with all records still to come of all texts."""
         own_disk = max(0, self.disk_limit - self.sibling_bytes)
         return self.state.live_bytes + body + 2 * STATE_RESERVE <= min(
             self.max_live_bytes, own_disk * LIVE_SHARE
         )
 
-    def record_accepted(self, text: bytes, body: bytes, **pairs: object) -> bool:
-        """Whether the text is in the ledger; else it is not taken on."""
-        return self._flush() and self._write(RecordKind.TAKEN, text, pairs, body, must=True)
+    def record_accepted(self, text: bytes, body: bytes, **fields: object) -> bool:
+        """Record a text; False where that can't be written, and then the text must not be accepted."""
+        return self._flush() and self._write(RecordKind.TAKEN, text, fields, body, is_required=True)
 
     def record_submit(self, text: bytes, at: int, zone: int) -> bool:
-        """A submit is about to go: written before the call's last byte; where it can't be, none may go."""
-        return self._flush() and self._write(RecordKind.GOING, text, {"at": at, "zone": zone}, must=True)
+        """Record a submit before its call is sent; where that can't be written, False, and it must not be."""
+        return self._flush() and self._write(
+            RecordKind.GOING, text, {"at": at, "zone": zone}, is_required=True
+        )
 
     def record_submit_end(self, text: bytes, ran: bool, now: int = 0, rest: int | None = None) -> None:
-        """The submit has ended; `ran` unless it is proved never to have run. `rest`: until when its key
-        rests, where the call may still run."""
-        resting = {} if rest is None else {"at": now, "rest": rest}
-        self._write(RecordKind.ENDED, text, {"ran": ran} | resting)
+        """Record the end of a submit; `ran` unless it certainly did not run.
+
+        `rest`: the end of its ordering key's cooldown, where the call may still be running."""
+        cooldown = {} if rest is None else {"at": now, "rest": rest}
+        self._write(RecordKind.ENDED, text, {"ran": ran} | cooldown)
 
     def record_health(self, host: bytes, health: Health, now: int) -> None:
-        """The module has found a host sick or warming, for the other process of an upgrade."""
+        """Record a host's health, which the policy has found, for the other process of an upgrade."""
         self._write(RecordKind.HEALTH, host, {"health": health.value, "at": now})
 
     def record_retry_after(self, host: bytes, until: int, now: int) -> None:
-        """A host has told to wait; one record for the texts of a batch."""
+        """Record until when a host asked clients to wait; no record where a longer wait is known already."""
         if until > self.state.host_waits.get(host, 0):
             self._write(RecordKind.WAIT, host, {"at": now, "until": until})
 
     def record_notice(self, text: bytes, notice: dict) -> bool:
-        """The final answer is given; whether its record is in the folder."""
+        """Record a text's final answer and its notice; False where the record has to wait in memory."""
         return self._write(RecordKind.OWED, text, {"notice": notice})
 
     def record_finished(self, text: bytes) -> None:
+        """Record that a text is finished; one that is not in the ledger is ignored."""
         if text in self.entries:
             self._write(RecordKind.OVER, text, {})
 
     def _write(
-        self, kind: RecordKind, text: bytes, pairs: dict, body: bytes = b"", must: bool = False
+        self, kind: RecordKind, text: bytes, fields: dict, body: bytes = b"", is_required: bool = False
     ) -> bool:
-        """Add a record; False where it could not be written: it waits, or, if it `must`, it is dropped."""
-        one = encode_record(kind, text, pairs, body)
-        if self._needs_compaction(len(one)):
+        """Add a record. False where it could not be written: then it is kept in `unwritten`, or dropped if it
+        `must` be written at once."""
+        encoded = encode_record(kind, text, fields, body)
+        if self._needs_compaction(len(encoded)):
             self.compact()
-        self.unwritten += one
+        self.unwritten += encoded
         written = self._flush()
-        if not written and must:
-            self.unwritten = b""  # nothing else was behind
+        if not written and is_required:
+            self.unwritten = b""  # it was the only record in there
             return False
-        self.state.apply(one)
+        self.state.apply(encoded)
         return written
 
     def _needs_compaction(self, more: int) -> bool:
-        """Whether the file and a new one beside it outgrow the disk that is this process's.
+        """Whether the file, with `more` bytes, and its replacement outgrow this process's part of the disk.
 
-        At half of it already, unless most of the file is still needed: so there is room for the ledger of
-        a successor."""
+        Half of that is enough where most of the file is not needed any more, so that there is space for the
+        ledger of a successor."""
         size, room = self.size + more, self.disk_limit - self.sibling_bytes - BLOCK
         if size + self.state.live_bytes > room:
             return True
-        return size + self.state.live_bytes > room // 2 and size > DEAD_TIMES * self.state.live_bytes
+        return size + self.state.live_bytes > room // 2 and size > MIN_DEAD_RATIO * self.state.live_bytes
 
     def _flush(self) -> bool:
-        """Write what is behind; of a record written in part nothing stays before the next one."""
+        """Write what is in `unwritten`; whether that has worked. A record written in part is cut off."""
         if not self.unwritten:
             return True
         try:
@@ -380,44 +404,47 @@
                 append(self._file, self.unwritten)
         except OSError as error:
             self._torn = True
-            with suppress(OSError):  # else before the next write
+            with suppress(OSError):  # else it is done before the next write
                 self._cut_tail()
-            self._failed(error)
+            self._write_failed(error)
             return False
         self.size, self.unwritten = self.size + len(self.unwritten), b""
-        self._worked()
+        self._write_succeeded()
         return True
 
     def retry_write(self) -> bool:
-        """Write what has waited since a failure, or a record that tells nothing; whether that has worked."""
+        """Write what has waited since a failure, or else a BLANK record; whether that has worked."""
         if not self.unwritten:
             self.unwritten = encode_record(RecordKind.BLANK, b"", {})
         return self._flush()
 
-    def _failed(self, error: OSError) -> None:
+    def _write_failed(self, error: OSError) -> None:
+        """A call on the state directory has failed."""
         self._failing = True
-        self._told(error)
+        self._on_write_result(error)
 
-    def _worked(self) -> None:
+    def _write_succeeded(self) -> None:
+        """A write has succeeded: after a failure, remove adopted files, then report the recovery."""
         if not self._failing:
             return
         self._failing = False
-        waiting, self._emptied_later = self._emptied_later, []
+        waiting, self._files_to_remove = self._files_to_remove, []
         for path in waiting:
-            self._empty(path)
+            self._remove_adopted(path)
         if not self._failing:
-            self._told(None)
+            self._on_write_result(None)
 
     def _cut_tail(self) -> None:
+        """Cut off a record that was written in part. Raises OSError."""
         if self._torn:
             with named("ftruncate", self.path):
                 os.ftruncate(self._file, self.size)
             self._torn = False
 
     def compact(self) -> bool:
-        """Write what still matters to a new file, in the order of the texts; put it in place.
+        """Replace the file by one without the records of finished texts; whether that has worked.
 
-        Where it can't be written the old file stays."""
+        Where the new file can't be written the old one stays in use."""
         parts = [compacted_records(entry) for entry in self.entries.values()]
         records, new = b"".join([*parts, *records_besides_texts(self.state)]), None
         try:
@@ -429,19 +456,25 @@
         except OSError as error:
             if new is not None:
                 close_quietly(new)
-                with suppress(OSError):  # the next one empties it
+                with suppress(OSError):  # else the next compaction truncates it
                     os.remove(self._new)
-            self._failed(error)
+            self._write_failed(error)
             return False
         close_quietly(self._file)
-        self._file, self.size, self.unwritten, self._torn = new, len(records), b"", False  # the rest is in it
-        self._worked()
+        self._file, self.size, self.unwritten, self._torn = (
+            new,
+            len(records),
+            b"",
+            False,
+        )  # the new file has all of it
+        self._write_succeeded()
         return True
 
     def _put_in_place(self, new: int) -> None:
-        """Rename the new file; one that failed and was done all the same counts as done.
+        """Rename the new file over the old one. Raises OSError where it is not in place afterwards.
 
-        Guards against records that are written to a file which no folder has any more."""
+        A rename that reports an error may have been done all the same: guards against writing further records
+        to the old file, which then is in no directory any more."""
         try:
             with named("rename", self.path):
                 os.replace(self._new, self.path)
@@ -450,6 +483,7 @@
                 raise
 
     def _is_in_place(self, new: int) -> bool:
+        """Whether the ledger's path leads to the file of this descriptor."""
         try:
             return os.path.samestat(os.stat(self.path), os.fstat(new))
         except OSError:
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -1,7 +1,7 @@
-"""The ledger's records: their form on disk, and what a run of them says of each text.
+"""The ledger's records: their encoding on disk, and the state that a sequence of them adds up to.
 
-A record is its length, its CRC-32, its kind, its names and values as JSON, and a taken text's body. Records
-of one text follow each other in the order of what happened to it.
+A record consists of its length, its CRC-32, its kind, its fields as JSON, and the body if it accepts a text.
+The records of one text are in the order of the events that they describe.
 """
 
 from __future__ import annotations
@@ -17,115 +17,119 @@
 from limelatch.interface import Health
 from limelatch.key_order import Rest
 
-RECORD_HEADER = struct.Struct(">II")  # length and checksum of what follows
-PAYLOAD_HEADER = struct.Struct(">BH")  # kind of record and length of its pairs; a body follows these
-MAX_HOST_HEALTH = 256  # hosts of which a ledger's reader knows how they were
-STATE_RESERVE = (
-    384  # kept free for a text's state and its notice, which are all that a new file holds beside it
-)
+RECORD_HEADER = struct.Struct(">II")  # length and checksum of the payload that follows
+PAYLOAD_HEADER = struct.Struct(
+    ">BH"
+)  # kind of record, length of its JSON fields; then the fields and the body
+MAX_HOST_HEALTH = 256  # hosts whose health a ledger's reader keeps; bounds the compacted file
+STATE_RESERVE = 384  # bytes reserved a text for its STATE and OWED records in a compacted file
 
 
 class RecordKind(IntEnum):
-    """What a record tells."""
+    """The event that a record describes. The values are on disk; `ledger verify` shows the names."""
 
-    TAKEN = 1  # a text was taken on
-    GOING = 2  # a submit is about to go out
-    ENDED = 3  # it has an outcome
-    OWED = 4  # the text's final answer is given, its notice is owed
-    OVER = 5  # nothing more is owed
-    STATE = 6  # in a new file: what the left out records said
-    BLANK = 7  # nothing: written to see whether the folder takes writes again
-    REST = 8  # in a new file: a key that rests; `id` is the text whose call may still run
-    WAIT = 9  # a host has told to wait; `id` is the host
-    HEALTH = 10  # the module has found a host sick, or warming; `id` is the host
+    TAKEN = 1  # a text was accepted
+    GOING = 2  # a submit is about to be sent
+    ENDED = 3  # the submit ended with an outcome
+    OWED = 4  # the text has its final answer; the notice is still to be delivered
+    OVER = 5  # the text is finished
+    STATE = 6  # in a compacted file: summary of the records that were left out
+    BLANK = 7  # no content: written to test whether the state directory accepts writes again
+    REST = 8  # in a compacted file: an ordering key's cooldown; `id` is the text whose call may still run
+    WAIT = 9  # a host asked clients to wait (Retry-After); `id` is the host
+    HEALTH = 10  # a host is in an outage or warming up, by the policy; `id` is the host
 
 
 class BadRecord(Exception):
-    """A record that is whole, and can't be one of a ledger."""
+    """A record that is complete but not valid in this version of the ledger."""
 
 
 @dataclass
 class Entry:
-    """One text that is not over, as the ledger tells it."""
+    """One unfinished text, as its records describe it. Times are in units of the relay's clock."""
 
     id: bytes
     fields: dict
     submit_count: int = 0
-    in_flight: bool = False  # a submit has gone out and not ended
-    may_have_run: bool = False  # one that has ended may have run
-    first_run_at: int | None = None  # when and where the first went that may have run
+    in_flight: bool = False  # a submit was sent and has not ended
+    may_have_run: bool = False  # a submit that has ended may have run
+    first_run_at: int | None = None  # when, and in which zone, the first submit that may have run was sent
     first_run_zone: int | None = None
     notice: dict | None = None
-    accepted_record: bytes = b""  # its first record
+    accepted_record: bytes = b""  # the record that accepted the text, as written
 
     @property
     def body(self) -> bytes:
+        """The text's body, out of its first record."""
         return body_of_record(self.accepted_record)
 
     @property
     def key(self) -> bytes:
-        """Of its order; empty where it has none."""
+        """The ordering key; empty where the text has none."""
         return self.fields["key"].encode()
 
     @property
     def received_at(self) -> int:
-        """When, on the relay's timeline; 0 where an earlier version took it on."""
+        """When a client handed the text in, on the relay's timeline; 0 in a record of an earlier version."""
         return self.fields.get("at", 0)
 
     @property
     def in_order(self) -> bool | None:
-        """Whether its product was in order; None where an earlier version took it on."""
+        """Whether its product was delivered in order; None in a record of an earlier version."""
         return self.fields.get("ordered")
 
 
-def encode_record(kind: RecordKind, text: bytes, pairs: dict, body: bytes = b"") -> bytes:
-    words = msgspec.json.encode({"id": text.decode()} | pairs)
-    payload = PAYLOAD_HEADER.pack(kind, len(words)) + words + body
+def encode_record(kind: RecordKind, text: bytes, fields: dict, body: bytes = b"") -> bytes:
+    """One record as bytes; `text` is the id that it is about."""
+    encoded_fields = msgspec.json.encode({"id": text.decode()} | fields)
+    payload = PAYLOAD_HEADER.pack(kind, len(encoded_fields)) + encoded_fields + body
     return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def body_of_record(raw: bytes) -> bytes:
+    """The body of one encoded record; empty where it has none."""
     return raw[
         RECORD_HEADER.size + PAYLOAD_HEADER.size + PAYLOAD_HEADER.unpack_from(raw, RECORD_HEADER.size)[1] :
     ]
 
 
 def split_records(raw: bytes) -> Iterator[bytes]:
-    """The records at the head of `raw`, up to the first that is not whole or does not fit its checksum."""
-    at = 0
-    while at + RECORD_HEADER.size <= len(raw):
-        length, checksum = RECORD_HEADER.unpack_from(raw, at)
-        payload = raw[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
+    """Yields the encoded records at the start of `raw`, to the first incomplete or corrupt one."""
+    offset = 0
+    while offset + RECORD_HEADER.size <= len(raw):
+        length, checksum = RECORD_HEADER.unpack_from(raw, offset)
+        payload = raw[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + length]
         if len(payload) < max(length, PAYLOAD_HEADER.size) or zlib.crc32(payload) != checksum:
             return
-        yield raw[at : at + RECORD_HEADER.size + length]
-        at += RECORD_HEADER.size + length
+        yield raw[offset : offset + RECORD_HEADER.size + length]
+        offset += RECORD_HEADER.size + length
 
 
 def decode_record(raw: bytes) -> tuple[int, bytes, dict]:
-    """Kind, text and pairs of one record; BadRecord where it has none."""
+    """Kind, id and fields of one encoded record. Raises BadRecord where its JSON can't be read."""
     kind, length = PAYLOAD_HEADER.unpack_from(raw, RECORD_HEADER.size)
-    at = RECORD_HEADER.size + PAYLOAD_HEADER.size
+    offset = RECORD_HEADER.size + PAYLOAD_HEADER.size
     try:
-        pairs = msgspec.json.decode(raw[at : at + length])
-        return kind, pairs["id"].encode(), pairs
+        fields = msgspec.json.decode(raw[offset : offset + length])
+        return kind, fields["id"].encode(), fields
     except (msgspec.DecodeError, KeyError, TypeError, AttributeError, UnicodeEncodeError) as error:
         raise BadRecord(f"{type(error).__name__}: {error}") from None
 
 
 @dataclass(frozen=True, slots=True)
 class HostHealth:
-    """What a process found of a host, and when."""
+    """A host's health as a process found it, and when (units of the clock)."""
 
     health: Health
     at: int
 
 
 class LedgerState:
-    """The texts that are not over, in the order they were taken, and the bytes that their records need.
+    """The sum of a ledger's records: the unfinished texts, in the order of their acceptance.
 
-    `rests`, `waits` and `healths` outlast their texts: keys that rest, until when hosts have asked to wait,
-    and how hosts were. Rests and waits that are over go when a later one is added."""
+    `live_bytes` is the size of a compacted file with all of it. `cooldowns` of ordering keys, `host_waits`
+    (until when a host asked clients to wait) and `host_health` outlast their texts; expired cooldowns and
+    waits are dropped when a later one is added."""
 
     def __init__(self) -> None:
         self.entries: dict[bytes, Entry] = {}
@@ -134,22 +138,22 @@
         self.host_health: dict[bytes, HostHealth] = {}
         self.live_bytes = 0
 
-    def add_cooldown(self, key: bytes, rest: Rest, now: int) -> None:
-        """The longest rest of the key holds."""
+    def add_cooldown(self, key: bytes, cooldown: Rest, now: int) -> None:
+        """Keep the cooldown of the key that ends last; drop those that have expired at `now`."""
         for each in [known for known, old in self.cooldowns.items() if old.until <= now]:
             self._drop_cooldown(each)
-        if key in self.cooldowns and self.cooldowns[key].until >= rest.until:
+        if key in self.cooldowns and self.cooldowns[key].until >= cooldown.until:
             return
         self._drop_cooldown(key)
-        self.cooldowns[key] = rest
-        self.live_bytes += len(cooldown_record(key, rest))
+        self.cooldowns[key] = cooldown
+        self.live_bytes += len(cooldown_record(key, cooldown))
 
     def _drop_cooldown(self, key: bytes) -> None:
-        if (rest := self.cooldowns.pop(key, None)) is not None:
-            self.live_bytes -= len(cooldown_record(key, rest))
+        if (cooldown := self.cooldowns.pop(key, None)) is not None:
+            self.live_bytes -= len(cooldown_record(key, cooldown))
 
     def add_health(self, host: bytes, health: HostHealth) -> None:
-        """The last news of a host holds; of too many hosts the oldest goes."""
+        """Keep a host's latest health; above MAX_HOST_HEALTH hosts the one updated longest ago is dropped."""
         self._drop_health(host)
         self.host_health[host] = health
         self.live_bytes += len(health_record(host, health))
@@ -161,7 +165,7 @@
             self.live_bytes -= len(health_record(host, health))
 
     def add_wait(self, host: bytes, until: int, now: int) -> None:
-        """The longest wait of the host holds."""
+        """Keep the wait of the host that ends last; drop those that have expired at `now`."""
         longest = max(until, self.host_waits.get(host, 0))
         for each in [known for known, end in self.host_waits.items() if end <= now or known == host]:
             self.live_bytes -= len(wait_record(each, self.host_waits.pop(each)))
@@ -169,61 +173,62 @@
         self.live_bytes += len(wait_record(host, longest))
 
     def apply(self, raw: bytes) -> str | None:
-        """Take in the next record; in words, what is wrong with it in this place, else None.
+        """Apply the next record. Returns what is wrong with it in this place, as a message, else None.
 
-        Raises BadRecord where it lacks what a record of its kind tells."""
-        kind, text, pairs = decode_record(raw)
+        Raises BadRecord where it lacks a field of its kind or has a wrong value."""
+        kind, text, fields = decode_record(raw)
         try:
-            return self._apply(kind, text, pairs, raw)
+            return self._apply(kind, text, fields, raw)
         except KeyError as error:
             raise BadRecord(f"a record of kind {kind} without {error}") from None
         except ValueError as error:
             raise BadRecord(f"a record of kind {kind}: {error}") from None
 
-    def _apply(self, kind: int, text: bytes, pairs: dict, raw: bytes) -> str | None:
+    def _apply(self, kind: int, text: bytes, fields: dict, raw: bytes) -> str | None:
         entry = self.entries.get(text)
         if kind == RecordKind.BLANK:
             return None
         if kind == RecordKind.REST:
-            self.add_cooldown(pairs["key"].encode(), Rest(pairs["until"], text), 0)
+            self.add_cooldown(fields["key"].encode(), Rest(fields["until"], text), 0)
             return None
         if kind == RecordKind.HEALTH:
-            self.add_health(text, HostHealth(Health(pairs["health"]), pairs["at"]))
+            self.add_health(text, HostHealth(Health(fields["health"]), fields["at"]))
             return None
         if kind == RecordKind.WAIT:
-            self.add_wait(text, pairs["until"], pairs["at"])
+            self.add_wait(text, fields["until"], fields["at"])
             return None
         if kind == RecordKind.TAKEN:
-            self.entries[text] = Entry(text, pairs, accepted_record=raw)
+            self.entries[text] = Entry(text, fields, accepted_record=raw)
             self.live_bytes += len(raw) + STATE_RESERVE
-            return None if entry is None else "taken a second time"
+            return None if entry is None else "accepted a second time"
         if entry is None:
-            return "nothing was taken on under this id"
+            return "no text was accepted under this id"
         match kind:
             case RecordKind.GOING:
-                # One still out here was out when its process was killed: it may have run for good. Guards
-                # against a later submit's refusal, after a second kill, that passes for the proof of both.
+                # A submit still in flight here was so when its process was killed, so it may have run, and
+                # that stays. Guards against a refusal of a later submit that counts, after a second kill, as
+                # proof that neither ran.
                 entry.may_have_run = entry.may_have_run or entry.in_flight
                 entry.submit_count, entry.in_flight = entry.submit_count + 1, True
                 if entry.first_run_at is None:
-                    entry.first_run_at, entry.first_run_zone = pairs["at"], pairs["zone"]
+                    entry.first_run_at, entry.first_run_zone = fields["at"], fields["zone"]
             case RecordKind.ENDED:
                 wrong = None if entry.in_flight else "an outcome without a submit"
-                entry.in_flight, entry.may_have_run = False, entry.may_have_run or pairs["ran"]
+                entry.in_flight, entry.may_have_run = False, entry.may_have_run or fields["ran"]
                 if not entry.may_have_run:
                     entry.first_run_at = entry.first_run_zone = None
-                if "rest" in pairs:
-                    self.add_cooldown(entry.key, Rest(pairs["rest"], text), pairs["at"])
+                if "rest" in fields:
+                    self.add_cooldown(entry.key, Rest(fields["rest"], text), fields["at"])
                 return wrong
             case RecordKind.STATE:
                 entry.submit_count, entry.in_flight, entry.may_have_run = (
-                    pairs["submits"],
-                    pairs["out"],
-                    pairs["ran"],
+                    fields["submits"],
+                    fields["out"],
+                    fields["ran"],
                 )
-                entry.first_run_at, entry.first_run_zone = pairs["at"], pairs["zone"]
+                entry.first_run_at, entry.first_run_zone = fields["at"], fields["zone"]
             case RecordKind.OWED:
-                entry.in_flight, entry.notice = False, pairs["notice"]
+                entry.in_flight, entry.notice = False, fields["notice"]
             case RecordKind.OVER:
                 self.live_bytes -= len(entry.accepted_record) + STATE_RESERVE
                 del self.entries[text]
@@ -232,32 +237,33 @@
         return None
 
 
-def cooldown_record(key: bytes, rest: Rest) -> bytes:
-    """A rest's own record."""
-    return encode_record(RecordKind.REST, rest.text, {"key": key.decode(), "until": rest.until})
+def cooldown_record(key: bytes, cooldown: Rest) -> bytes:
+    """The record of a key's cooldown in a compacted file."""
+    return encode_record(RecordKind.REST, cooldown.text, {"key": key.decode(), "until": cooldown.until})
 
 
 def wait_record(host: bytes, until: int) -> bytes:
-    """A wait's record, of no time of its own."""
+    """The record of a host's wait in a compacted file; its `at` is 0, so that it drops no other wait."""
     return encode_record(RecordKind.WAIT, host, {"at": 0, "until": until})
 
 
 def health_record(host: bytes, health: HostHealth) -> bytes:
-    """The record of how a host was."""
+    """The record of a host's health."""
     return encode_record(RecordKind.HEALTH, host, {"health": health.health.value, "at": health.at})
 
 
 def records_besides_texts(state: LedgerState) -> Iterator[bytes]:
-    """What a new file holds beside the texts: rests, waits, and how hosts were.
+    """Yields a compacted file's records that belong to no unfinished text: cooldowns, waits, host health.
 
-    Guards against a follower that finds a new file in the place of the one it has not read to its end."""
-    yield from (cooldown_record(key, rest) for key, rest in state.cooldowns.items())
+    Guards against losing them where the other process finds a compacted file in place of the one that it has
+    not yet read to its end."""
+    yield from (cooldown_record(key, cooldown) for key, cooldown in state.cooldowns.items())
     yield from (wait_record(host, until) for host, until in state.host_waits.items())
     yield from (health_record(host, health) for host, health in state.host_health.items())
 
 
 def compacted_records(entry: Entry) -> bytes:
-    """What still matters of a text: as it was taken, its state in one record, the notice it is owed."""
+    """A text's records in a compacted file: its acceptance, its state, its notice if it has one."""
     state = {
         "submits": entry.submit_count,
         "out": entry.in_flight,
--- a/limelatch/relay/sibling.py
+++ b/limelatch/relay/sibling.py
@@ -105,7 +105,7 @@
         for _ in range(CLAIM_TRIES):
             try:
                 if self._claims < 0:
-                    path = os.path.join(self._ledger.folder, CLAIMS)
+                    path = os.path.join(self._ledger.state_dir, CLAIMS)
                     self._claims = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
                 fcntl.flock(self._claims, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 return True
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -252,7 +252,7 @@
 def ledger_in_place_of(process):
     process.ledger.compact()
     process.ledger.close()
-    again = ledger_in(process.ledger.folder)
+    again = ledger_in(process.ledger.state_dir)
     process.ledger = again
     return again
 
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -47,7 +47,7 @@
         )
         if number % 8:
             one.ledger.record_finished(text)
-        assert folder_bytes(one.ledger.folder) <= DISK
+        assert folder_bytes(one.ledger.state_dir) <= DISK
 
 
 @pytest.mark.parametrize("texts", [5, 200, 10_000])
