--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -54,8 +54,8 @@
     Mutant(
         "the look at the sibling as a call is written",
         "relay/handover.py",
-        "if not self._sibling.has_ledger:\n            return self._go(key, text, going)",
-        "if True:\n            going()\n            return None",
+        "if not self._sibling.has_ledger:\n            return self._record_in_turn(key, text, record_submit)",
+        "if True:\n            record_submit()\n            return None",
     ),
     Mutant(
         "the record of a submit before it goes",
--- a/limelatch/relay/atomic_file.py
+++ b/limelatch/relay/atomic_file.py
@@ -1,4 +1,4 @@
-"""Small files of the folder that lasts: replaced whole, so that a process that ends meanwhile tears none."""
+"""Writes small files of the state directory atomically: an interrupted write leaves the old file in place."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 def replace_file(path: str, content: bytes) -> None:
-    """Put a file with this content in the place of the one there. Raises OSError; the old one stays then."""
-    passing = f"{path}.{os.getpid()}"
+    """Replace the file at `path` by one with this content. Raises OSError, and the old file stays."""
+    temporary = f"{path}.{os.getpid()}"
     try:
-        with open(passing, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(content)
-        os.replace(passing, path)
+        os.replace(temporary, path)
     except OSError:
-        with suppress(OSError):  # the same disk may refuse this too
-            os.remove(passing)
+        with suppress(OSError):  # may fail on the same disk
+            os.remove(temporary)
         raise
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -329,7 +329,7 @@
     def submission_received(self, handed: Handed, client: Client) -> None:
         """A client hands in a text; the answer comes with this turn."""
         names, now = self.plan.names, self.clock.now()
-        if self.handover.holds(handed.id):
+        if self.handover.sibling_has(handed.id):
             client.answer("+OK")  # this relay has taken it on, in its other process
             return
         product, customer = handed.product.decode(errors="replace"), handed.customer.decode(errors="replace")
@@ -461,7 +461,7 @@
         self.schedule_turn()
 
     def may_send(self, now: int, text: bytes, host: li.HostId) -> bool:
-        if self.handover.has_news:  # what it was told since this process decided binds too
+        if self.handover.has_host_data:  # what it was told since this process decided binds too
             self._poll_sibling()
         return self.policy.may_go(now, text, host)
 
@@ -473,7 +473,7 @@
             return self._record_submit(accepted, call)
         hold = self.handover.claim(accepted.key, parcel.text, lambda: self._record_submit(accepted, call))
         if hold is not None:
-            self.text_log.held(parcel.text, accepted.key, call.host, hold.value)
+            self.text_log.submit_blocked(parcel.text, accepted.key, call.host, hold.value)
         return accepted.submit_out
 
     def _record_submit(self, accepted: AcceptedText, call: Call) -> bool:
@@ -481,7 +481,9 @@
         zone = self.hosts[call.host].zone if call.host in self.hosts else -1
         accepted.submit_out = self.ledger.record_submit(text, call.sent, zone)
         if accepted.submit_out:
-            self.text_log.going(text, accepted.key, call.host, self.ledger.entries[text].submit_count)
+            self.text_log.submit_started(
+                text, accepted.key, call.host, self.ledger.entries[text].submit_count
+            )
         return accepted.submit_out
 
     def _rest_of(self, accepted: AcceptedText, now: int) -> int | None:
@@ -552,7 +554,7 @@
         self._turn_due = False
         if not self.ready:
             return  # what an earlier process took on waits for the list too
-        if self.handover.has_news:
+        if self.handover.has_host_data:
             self._poll_sibling()
             self.operations.hear()
         now = self.clock.now()
@@ -628,7 +630,7 @@
             at=row.handed_in_at,
             ordered=accepted.row.in_order,
         ):  # a number does not outlast them
-            self.text_log.taken(row, accepted.key)
+            self.text_log.accepted(row, accepted.key)
             client.answer("+OK")
         else:  # a disk that takes no more
             self.policy.text_over(self.clock.now(), text)
@@ -649,7 +651,7 @@
 
     def _finish_with_notice(self, accepted: AcceptedText, notice: dict) -> None:
         """The final answer of a text that was taken on is a notice, owed until it is answered."""
-        self.text_log.ended(accepted.text, notice["result"])
+        self.text_log.text_ended(accepted.text, notice["result"])
         text = accepted.text
         recorded = self.ledger.record_notice(text.id, notice)
         self.storage_monitor.send_notice(text.id, notice, text.valid_until, recorded)
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -1,7 +1,7 @@
-"""The two processes of an upgrade: what each learns of the other, and who takes over what one leaves.
+"""The two processes of an upgrade: what each reads of the other, and who takes over the other's texts.
 
-The new process waits in the seat for the end of the old one; the old one takes in what a successor that has
-ended left there. Meanwhile both tell `KeyOrder` what the other one holds.
+The new process waits in the standby directory for the end of the old one. The old one adopts what a successor
+that has ended left there. Meanwhile each tells its `KeyOrder` which ordered texts the other one has.
 """
 
 from __future__ import annotations
@@ -16,12 +16,11 @@
 from limelatch.relay.records import LedgerState, Entry, HostHealth
 from limelatch.relay.sibling import Sibling
 
-NEWS_KEPT = 20 * SECOND  # what the other process knew of hosts, for destinations met after its end
-SIBLING_POLL_INTERVAL = SECOND // 10  # between two looks at a sibling that is there
-STANDBY_POLL_INTERVAL = SECOND // 4  # between two looks whether one has come: a notice is overdue after 0.3 s
-SUCCESSOR_NOTICED_AFTER = (
-    STANDBY_POLL_INTERVAL + SIBLING_POLL_INTERVAL // 2
-)  # by then the old process has seen that it has a successor
+HOST_DATA_LIFETIME = 20 * SECOND  # after the sibling's end: for destinations that are first used after it
+SIBLING_POLL_INTERVAL = SECOND // 10  # between two reads of the ledger of a sibling that is there
+STANDBY_POLL_INTERVAL = SECOND // 4  # between two checks for a successor: a notice is overdue after 0.3 s
+# By then the old process has noticed that it has a successor.
+SUCCESSOR_NOTICED_AFTER = STANDBY_POLL_INTERVAL + SIBLING_POLL_INTERVAL // 2
 
 
 class Handover:
@@ -35,133 +34,142 @@
         order: KeyOrder,
         is_ordered: Callable[[str], bool],
         adopt: Callable[[list[Entry]], None],
-        soon: Callable[[], None],
-        share: Callable[[bool], None],
+        schedule_turn: Callable[[], None],
+        share_limits: Callable[[bool], None],
     ) -> None:
-        """`is_ordered`: whether a product is in order by this process's settings; `adopt` takes up texts of
-        another process; `soon` has the module decide; `share` is told whether there are two processes now."""
+        """`is_ordered`: whether a product is delivered in order, by this process's settings. `adopt` is
+        called with the texts of another process; `schedule_turn` has the policy decide; `share_limits` is
+        called with whether there are two processes now."""
         self._ledger, self._clock, self._deadlines, self._order = ledger, clock, deadlines, order
-        self._is_ordered, self._adopt, self._soon = is_ordered, adopt, soon
-        self._sibling, self._sibling_known, self._share = Sibling(ledger), ledger.is_standby, share
-        self.host_waits: dict[HostId, int] = {}  # told to the other process, until when
-        self.host_health: dict[HostId, HostHealth] = {}  # found by the other process
-        self.has_news = (
-            ledger.is_standby
-        )  # whether `look` may tell anything; a plain value, asked in each turn
+        self._is_ordered, self._adopt, self._schedule_turn = is_ordered, adopt, schedule_turn
+        self._sibling, self._sibling_known, self._share_limits = (
+            Sibling(ledger),
+            ledger.is_standby,
+            share_limits,
+        )
+        self.host_waits: dict[HostId, int] = {}  # until when hosts asked the other process to wait
+        self.host_health: dict[HostId, HostHealth] = {}  # as the other process found it
+        # Whether `poll` may find anything; a plain attribute, since it is read in each turn.
+        self.has_host_data = ledger.is_standby
 
     def start(self) -> None:
-        """Follow the sibling from now on, where there is one or one may come."""
-        self.learn(self._ledger.state)
+        """Start to poll for the sibling, or for a successor that may start."""
+        self.apply_cooldowns(self._ledger.state)
         if self._sibling_known:
-            self._share(True)
-        look = self._take_over if self._ledger.is_standby else self._adopt_standby
-        self._deadlines.after(SIBLING_POLL_INTERVAL, look)
+            self._share_limits(True)
+        poll = self._take_over if self._ledger.is_standby else self._adopt_standby
+        self._deadlines.after(SIBLING_POLL_INTERVAL, poll)
 
-    def learn(self, state: LedgerState) -> None:
-        """Rests that a ledger tells bind this process too."""
+    def apply_cooldowns(self, state: LedgerState) -> None:
+        """Apply the cooldowns of ordering keys in a ledger to this process too."""
         now = self._clock.now()
         for key, rest in state.cooldowns.items():
             if rest.until > now:
                 self._order.rest(key, rest.text, rest.until)
 
     def poll(self) -> None:
-        """Tell the order of keys, and the waits, what the sibling holds by now."""
+        """Read the sibling's ledger: places of its ordered texts, cooldowns, and what it knows of hosts."""
         if not self._sibling_known:
             return
         state = self._sibling.poll()
         self._ledger.sibling_bytes = self._sibling.bytes_needed
         if state is None:
             self._order.sibling_holds(())
-            self._forget_sibling()
+            self._sibling_ended()
             return
-        self.learn(state)
+        self.apply_cooldowns(state)
         self._order.sibling_holds(self._places(state))
-        self._hear(state)
+        self._update_host_data(state)
 
-    def _hear(self, state: LedgerState) -> None:
+    def _update_host_data(self, state: LedgerState) -> None:
+        """Take over what a ledger says of hosts; waits that are over are left out."""
         now = self._clock.now()
         self.host_waits = {host: until for host, until in state.host_waits.items() if until > now}
         self.host_health = state.host_health
 
     def _places(self, state: LedgerState) -> Iterator[tuple[Key, Place]]:
+        """Yields the ordering key and place of each ordered text in a ledger."""
         for entry in state.entries.values():
-            ordered = entry.in_order
-            if ordered is None:
-                ordered = self._is_ordered(entry.fields["product"])
-            if ordered and entry.key:
+            in_order = entry.in_order
+            if in_order is None:
+                in_order = self._is_ordered(entry.fields["product"])
+            if in_order and entry.key:
                 yield entry.key, Place(entry.id, entry.received_at, entry.submit_count > 0)
 
-    def holds(self, text: bytes) -> bool:
-        """Whether the other process has taken this text on: its client hands it in again, under the same id,
-        where the process that it was handed to has closed the connection or died."""
+    def sibling_has(self, text: bytes) -> bool:
+        """Whether the other process has accepted this text.
+
+        A client hands a text in again, under the same id, when the process that it handed it to has
+        closed the connection or died."""
         state = self._sibling.poll() if self._sibling_known else None
         return state is not None and text in state.entries
 
-    def claim(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
-        """Have the submit of a text in order recorded by `going`, if it still has its key's turn.
+    def claim(self, key: Key, text: bytes, record_submit: Callable[[], bool]) -> Hold | None:
+        """Record the submit of an ordered text with `record_submit`, if the text may still be sent.
 
-        None where it goes. Guards against the other process doing the same between look and record: see
-        docs/design/key-order.md."""
+        Returns None where it is sent, else why not. Guards against both processes doing this for texts of the
+        same key between the read of the other's ledger and the record: see docs/design/key-order.md."""
         if not self._sibling.has_ledger:
-            return self._go(key, text, going)
-        self._meet_sibling()
-        with self._sibling.claiming() as held:
-            if not held:
+            return self._record_in_turn(key, text, record_submit)
+        self._sibling_started()
+        with self._sibling.claiming() as is_locked:
+            if not is_locked:
                 return Hold.SIBLING
             self.poll()
-            return self._go(key, text, going)
+            return self._record_in_turn(key, text, record_submit)
 
-    def _go(self, key: Key, text: bytes, going: Callable[[], bool]) -> Hold | None:
+    def _record_in_turn(self, key: Key, text: bytes, record_submit: Callable[[], bool]) -> Hold | None:
+        """Record the submit unless the key's order blocks it; returns why it does, else None."""
         hold = self._order.hold_of(self._clock.now(), key, text)
-        if hold is None and going():
+        if hold is None and record_submit():
             self._order.begin(key, text)
         return hold
 
     def _take_over(self) -> None:
-        """In the seat: once the process before has ended, what it still owed is this one's."""
+        """For the standby: take over the texts of the old process once that has ended; poll until then."""
         adopted = self._ledger.take_over()
         if adopted is None:
-            self._soon()  # a key that the process before has freed meanwhile is taken up
+            self._schedule_turn()  # a key may have become free in the old process meanwhile
             self._deadlines.after(SIBLING_POLL_INTERVAL, self._take_over)
             return
-        self._hear(self._ledger.state)
+        self._update_host_data(self._ledger.state)
         self._order.sibling_holds(())
-        self.learn(self._ledger.state)
-        self._forget_sibling()
+        self.apply_cooldowns(self._ledger.state)
+        self._sibling_ended()
         self._adopt(adopted)
         self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)
 
-    def _meet_sibling(self) -> None:
-        """There are two processes from now on."""
+    def _sibling_started(self) -> None:
+        """There are two processes from now on: share the limits with the sibling."""
         if not self._sibling_known:
-            self._sibling_known = self.has_news = True
-            self._share(True)
+            self._sibling_known = self.has_host_data = True
+            self._share_limits(True)
 
-    def _forget_news(self) -> None:
-        """What the other process knew of hosts is old."""
+    def _drop_host_data(self) -> None:
+        """Drop what the other process knew of hosts, once it is out of date."""
         if not self._sibling_known:
-            self.host_waits, self.host_health, self.has_news = {}, {}, False
+            self.host_waits, self.host_health, self.has_host_data = {}, {}, False
 
-    def _forget_sibling(self) -> None:
-        """There is one process again."""
-        self._deadlines.after(NEWS_KEPT, self._forget_news)
+    def _sibling_ended(self) -> None:
+        """There is one process again: use the whole limits, and stop reading the sibling's ledger."""
+        self._deadlines.after(HOST_DATA_LIFETIME, self._drop_host_data)
         self._sibling_known = False
-        self._share(False)
+        self._share_limits(False)
         self._sibling.close()
         self._ledger.sibling_bytes = 0
 
     def _adopt_standby(self) -> None:
-        """In the folder: what a successor that has ended left in its seat is this process's."""
+        """For the process in the state directory: watch for a successor; adopt the texts of an ended one."""
         if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):
             self._order.sibling_holds(())
-            self.learn(self._ledger.state)
-            self._hear(self._ledger.state)
+            self.apply_cooldowns(self._ledger.state)
+            self._update_host_data(self._ledger.state)
             self._adopt(adopted)
         if self._ledger.has_abandoned_standby:
-            self._meet_sibling()
-            self._soon()
+            self._sibling_started()
+            self._schedule_turn()
         elif self._sibling_known:
-            self._forget_sibling()
+            self._sibling_ended()
         self._deadlines.after(
             SIBLING_POLL_INTERVAL if self._sibling_known else STANDBY_POLL_INTERVAL, self._adopt_standby
         )
--- a/limelatch/relay/inspection.py
+++ b/limelatch/relay/inspection.py
@@ -1,4 +1,4 @@
-"""Looks into a ledger without writing to it: of a relay at work, of one that was killed, of a torn file."""
+"""Reads a ledger without writing to it: of a running relay, of a killed one, or a damaged file."""
 
 from __future__ import annotations
 
@@ -10,47 +10,48 @@
 from limelatch.relay.ledger import FILE
 from limelatch.relay.records import BadRecord, LedgerState, Entry, RecordKind, decode_record, split_records
 
-LOOKS, PAUSE = 4, 0.05  # a tail that is being written just now is whole at the next look
+READ_TRIES = 4  # a record that is being written is complete at the next read
+READ_PAUSE = 0.05  # seconds between two reads
 
 
 class NoLedger(Exception):
-    """The folder holds no ledger; it says why."""
+    """There is no ledger in the directory; the message says why."""
 
 
 @dataclass
 class LedgerView:
-    """What one look at a ledger found; offsets and sizes in bytes."""
+    """What one read of a ledger found; offsets and sizes in bytes."""
 
     path: str
     size: int
     entries: dict[bytes, Entry]
     records: int
     kinds: Counter[str]
-    whole_bytes: int  # bytes of whole records from the start
-    problems: list[tuple[int, bytes, str]] = field(default_factory=list)  # offset, text, what is wrong
+    whole_bytes: int  # of complete records, from the start of the file
+    problems: list[tuple[int, bytes, str]] = field(default_factory=list)  # offset, text id, what is wrong
 
     @property
     def torn_bytes(self) -> int:
-        """Bytes at the end that are no whole record; a relay cuts them at its start."""
+        """Bytes at the end that are no complete record; a relay cuts them off when it starts."""
         return self.size - self.whole_bytes
 
 
 def inspect_ledger(folder: str) -> LedgerView:
-    """The ledger of a folder as it stands; NoLedger where there is none.
+    """Read the ledger of a state directory. Raises NoLedger where there is none.
 
-    A relay may write to it, or put a new file in its place, at any moment: the open file stays the same one,
-    and a torn tail is looked at again, since it may be a record on its way."""
+    A running relay may append to it or replace it at any moment: an open file stays the same one, and the
+    file is read again where its last record is incomplete, since that may be just being written."""
     path = os.path.join(folder, FILE)
-    for again in range(LOOKS):
+    for attempt in range(READ_TRIES):
         try:
             with open(path, "rb") as file:
                 raw = file.read()
         except NotADirectoryError:
-            raise NoLedger(f"{folder}: a folder is wanted") from None
+            raise NoLedger(f"{folder}: not a directory") from None
         except FileNotFoundError:
-            if again and again < LOOKS - 1:
+            if attempt and attempt < READ_TRIES - 1:
                 continue
-            what = "no ledger in this folder" if os.path.isdir(folder) else "no such folder"
+            what = "no ledger in this directory" if os.path.isdir(folder) else "no such directory"
             raise NoLedger(f"{folder}: {what}") from None
         except OSError as error:
             raise NoLedger(f"{path}: {error.strerror}") from None
@@ -58,30 +59,30 @@
         if not view.torn_bytes:
             return view
         if not view.records:
-            raise NoLedger(f"{path}: no ledger: it does not begin with a whole record")
-        time.sleep(PAUSE)
+            raise NoLedger(f"{path}: no ledger: it does not begin with a complete record")
+        time.sleep(READ_PAUSE)
     return view
 
 
 def view_of_bytes(path: str, raw: bytes) -> LedgerView:
-    """What these bytes of a ledger say."""
+    """What these bytes of a ledger contain."""
     state, kinds, problems, at, count = LedgerState(), Counter(), [], 0, 0
-    for one in split_records(raw):
+    for encoded in split_records(raw):
         text = b""
         try:
-            kind, text, _ = decode_record(one)
+            kind, text, _ = decode_record(encoded)
             kinds[RecordKind(kind).name.lower() if kind in list(RecordKind) else f"kind {kind}"] += 1
-            problem = state.apply(one)
+            problem = state.apply(encoded)
         except BadRecord as error:
             problem = f"not of this version: {error}"
         if problem:
             problems.append((at, text, problem))
-        at, count = at + len(one), count + 1
+        at, count = at + len(encoded), count + 1
     return LedgerView(path, len(raw), state.entries, count, kinds, at, problems)
 
 
 def text_state(entry: Entry) -> str:
-    """What a text waits for, in one word."""
+    """A text's state in one word: ended (it has its final answer), out (a submit is in flight) or held."""
     if entry.notice is not None:
         return "ended"
     if entry.in_flight:
@@ -90,5 +91,5 @@
 
 
 def may_have_run(entry: Entry) -> bool:
-    """Whether a submit of the text may have had its effect."""
+    """Whether a submit of the text may have run at a host."""
     return entry.in_flight or entry.may_have_run
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -62,5 +62,5 @@
 
     def hear(self) -> None:
         """What operators have told the other process of an upgrade binds this one."""
-        for host in self.out.refresh() if self._driver.handover.has_news else ():
+        for host in self.out.refresh() if self._driver.handover.has_host_data else ():
             self._driver.refresh_host(host)
--- a/limelatch/relay/sibling.py
+++ b/limelatch/relay/sibling.py
@@ -1,7 +1,6 @@
-"""The other process of this relay while there are two, in an upgrade: its ledger, followed, and the lock on
-claims of keys.
+"""The other process of this relay during an upgrade: reads its ledger, and locks claims of ordering keys.
 
-What follows from it for a key is decided in `limelatch.key_order`.
+What follows for a key is decided in `limelatch.key_order`.
 """
 
 from __future__ import annotations
@@ -16,22 +15,23 @@
 from limelatch.relay.ledger import NO_LOCKS, Ledger, close_quietly
 from limelatch.relay.records import BadRecord, LedgerState, split_records
 
-CLAIMS = "claims"  # the file that is locked; it stays empty
-CLAIM_TRIES, CLAIM_PAUSE = 5, 0.0005  # seconds; the sibling holds the lock for one look and one write
+CLAIMS_FILE = "claims"  # the lock file in the state directory; it stays empty
+CLAIM_TRIES = 5
+CLAIM_PAUSE = 0.0005  # seconds between tries; the sibling holds the lock for one read and one write
 
 
 class LedgerFollower:
-    """Reads what another process adds to its ledger, at any path that it has at the time."""
+    """Reads what another process appends to its ledger, also across compactions and a change of its path."""
 
     def __init__(self) -> None:
         self._path, self._file, self._read, self._state = "", -1, 0, LedgerState()
 
     def poll(self, path: str) -> LedgerState | None:
-        """What the ledger says by now, what it said last where it can't be read; None where there is none."""
+        """The ledger's state by now; as last read where it can't be read; None where there is none."""
         try:
             self._open(path)
             size = os.fstat(self._file).st_size
-            if size < self._read:  # emptied in place
+            if size < self._read:  # truncated in place
                 self._read, self._state = 0, LedgerState()
             raw = os.pread(self._file, size - self._read, self._read)
         except FileNotFoundError:
@@ -39,17 +39,17 @@
             return None
         except OSError:
             return self._state if self._file >= 0 else None
-        for one in split_records(raw):
-            self._read += len(one)
-            with suppress(BadRecord):  # of another version: it says nothing of keys
-                self._state.apply(one)
+        for encoded in split_records(raw):
+            self._read += len(encoded)
+            with suppress(BadRecord):  # of another version: skipped, since it says nothing of keys
+                self._state.apply(encoded)
         return self._state
 
     def _open(self, path: str) -> None:
-        """Open the file that stands at the path now.
+        """Open the file that is at the path now, unless it is the one that is open. Raises OSError.
 
-        Guards against a file that a compaction has put in its place: the one read so far is kept open, so its
-        inode's number can't be given to another file."""
+        A compaction replaces the file. The one read so far stays open: guards against a new file that gets
+        the same inode number and would pass for the old one."""
         stands = os.stat(path)
         if self._file >= 0 and path == self._path and os.path.samestat(stands, os.fstat(self._file)):
             return
@@ -59,67 +59,68 @@
 
     @property
     def bytes_needed(self) -> int:
-        """Of the disk, by the ledger that is followed: its file, and a new one with what is still open."""
+        """Disk space of the ledger that is followed: its file, and a compacted one."""
         return self._read + self._state.live_bytes
 
     def close(self) -> None:
-        """Forget the ledger that was followed."""
+        """Close the file and drop what was read."""
         if self._file >= 0:
             close_quietly(self._file)
         self._path, self._file, self._read, self._state = "", -1, 0, LedgerState()
 
 
 class Sibling:
-    """The other process, as its ledger tells of it."""
+    """The other process, as its ledger describes it."""
 
     def __init__(self, ledger: Ledger) -> None:
         self._ledger, self._follower = ledger, LedgerFollower()
-        self._claims = -1
+        self._claims_file = -1
 
     @property
     def has_ledger(self) -> bool:
-        """Whether another process serves beside this one, or has left texts behind."""
+        """Whether there is another process, or a ledger that one has left."""
         return os.path.exists(self._ledger.sibling_path)
 
     def poll(self) -> LedgerState | None:
-        """What it holds by now; None where there is no other process."""
+        """The state of its ledger by now; None where there is no other process."""
         return self._follower.poll(self._ledger.sibling_path)
 
     @property
     def bytes_needed(self) -> int:
-        """Of the disk, by the other process, as it was looked at last."""
+        """Disk space of the other process's ledger, as of the last poll."""
         return self._follower.bytes_needed
 
     @contextmanager
     def claiming(self) -> Iterator[bool]:
-        """Keeps the sibling from a claim meanwhile; False where it is at one, or the lock can't be had."""
-        held = self._lock()
+        """Locks out claims of the sibling for the time of the block; False where the lock can't be had."""
+        is_locked = self._lock()
         try:
-            yield held
+            yield is_locked
         finally:
-            if held:
+            if is_locked:
                 with suppress(OSError):
-                    fcntl.flock(self._claims, fcntl.LOCK_UN)
+                    fcntl.flock(self._claims_file, fcntl.LOCK_UN)
 
     def _lock(self) -> bool:
+        """Lock the claims file, with a few tries while the sibling has it locked; whether that has worked."""
         for _ in range(CLAIM_TRIES):
             try:
-                if self._claims < 0:
-                    path = os.path.join(self._ledger.state_dir, CLAIMS)
-                    self._claims = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
-                fcntl.flock(self._claims, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                if self._claims_file < 0:
+                    path = os.path.join(self._ledger.state_dir, CLAIMS_FILE)
+                    self._claims_file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
+                fcntl.flock(self._claims_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 return True
             except OSError as error:
                 if error.errno in NO_LOCKS:
-                    return True  # such a folder has no seat either: no two processes share it
+                    return True  # without locks there is no standby directory, so no other process
                 if error.errno not in (errno.EAGAIN, errno.EACCES, errno.EINTR):
                     return False
             time.sleep(CLAIM_PAUSE)
         return False
 
     def close(self) -> None:
-        """Give back what is open."""
+        """Close what is open."""
         self._follower.close()
-        if self._claims >= 0:
-            close_quietly(self._claims)
-            self._claims = -1
+        if self._claims_file >= 0:
+            close_quietly(self._claims_file)
+            self._claims_file = -1
--- a/limelatch/relay/slots.py
+++ b/limelatch/relay/slots.py
@@ -9,7 +9,7 @@
 
 
 class Slots(Generic[Row]):
-    """At most `size` rows; a row keeps its number until it is released, and numbers are used again."""
+    """A table of at most `size` rows; a row's number is reused once the row is released."""
 
     def __init__(self, size: int) -> None:
         self.size = size
@@ -24,10 +24,11 @@
 
     @property
     def full(self) -> bool:
+        """Whether no further row can be added."""
         return len(self) >= self.size
 
     def take(self, row: Row) -> int | None:
-        """Give the row a number; None if all are taken."""
+        """Add a row and return its number; None if the table is full."""
         if self.full:
             return None
         if self._free:
@@ -39,8 +40,8 @@
         return number
 
     def release(self, number: int) -> None:
-        """The number is free again."""
+        """Remove the row with this number. Raises KeyError where there is none."""
         if self._rows[number] is None:
-            raise KeyError(f"slot {number} is free already")
+            raise KeyError(f"slot {number} is not in use")
         self._rows[number] = None
         self._free.append(number)
--- a/limelatch/relay/storage_monitor.py
+++ b/limelatch/relay/storage_monitor.py
@@ -1,6 +1,6 @@
-"""Follows a folder that fails: asks it again, and holds the notices that wait for their records.
+"""Handles a state directory that can't be written: retries writes, delays notices until recorded.
 
-What waits and what goes on is decided in `limelatch.folder_gate`.
+What has to wait meanwhile, and what goes on, is decided in `limelatch.folder_gate`.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 
 class StorageMonitor:
-    """One relay's folder, as the ledger's writes tell of it."""
+    """Whether one relay's state directory can be written, by the results of the ledger's writes."""
 
     def __init__(
         self,
         clock: Clock,
         deadlines: Deadlines,
         notify: Callable[[bytes, dict], None],
-        mended: Callable[[], None],
+        recovered: Callable[[], None],
     ) -> None:
-        """`notify` sends a text's notice; `mended` is called when texts and submits go on."""
-        self._clock, self._deadlines, self._notify, self._mended = clock, deadlines, notify, mended
+        """`notify` sends a text's notice; `recovered` is called when a retry has succeeded."""
+        self._clock, self._deadlines, self._notify, self._recovered = clock, deadlines, notify, recovered
         self.gate = FolderGate()
-        self.ledger: Ledger | None = None  # whose writes are told here
-        self._unrecorded: dict[bytes, dict] = {}  # notices whose records are not in the folder yet
+        self.ledger: Ledger | None = None  # whose results are reported here; set by the driver
+        self._unrecorded: dict[bytes, dict] = {}  # notices whose records are not written yet, by text
         self._next_try: Deadline | None = None
         self.held_down = HeldDown(log, clock)
 
     def on_write_result(self, error: OSError | None) -> None:
-        """A call on the folder has failed, or a write worked again."""
+        """A call on the state directory has failed with `error`, or a write has succeeded again (None)."""
         now = self._clock.now()
         if error is not None:
             self.gate.failed(now)
@@ -50,7 +50,7 @@
                 self._send(text)
 
     def send_notice(self, text: bytes, notice: dict, valid_until: int, recorded: bool) -> None:
-        """A text's final answer: its notice goes when the gate lets it."""
+        """Send the notice of a text's final answer, at once or when the gate allows it."""
         now = self._clock.now()
         due = self.gate.notice_due(now, valid_until, recorded)
         if due <= now:
@@ -60,16 +60,17 @@
             self._deadlines.at(due, lambda: self._send(text))
 
     def retry_at_exit(self) -> None:
-        """The process ends: what waits in memory is written if it can be."""
+        """Try once more to write what waits in memory, before the process ends."""
         if not self.gate.may_submit:
             self.ledger.retry_write()
 
     def _try_again(self) -> None:
-        """What waits in memory is written before anything new."""
+        """Write what waits in memory, before anything new is recorded."""
         self._next_try = None
         if not self.gate.may_submit and self.ledger.retry_write():
-            self._mended()
+            self._recovered()
 
     def _send(self, text: bytes) -> None:
+        """Send a delayed notice, unless it has been sent already."""
         if (notice := self._unrecorded.pop(text, None)) is not None:
             self._notify(text, notice)
--- a/limelatch/relay/text_log.py
+++ b/limelatch/relay/text_log.py
@@ -1,4 +1,4 @@
-"""The log's lines of each text, by its id: from its handing in to its end. They are of level debug."""
+"""Log lines about single texts, from acceptance to the final answer. They are of level debug."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class TextLog:
-    """Writes a line for what happens to a text; times are those of the relay's clock."""
+    """Writes a line for each event of a text; arguments are in units of the clock, lines in milliseconds."""
 
     def __init__(self, clock) -> None:
         self._clock = clock
 
-    def taken(self, text: li.Text, key: bytes | None) -> None:
-        """The relay has taken it on."""
+    def accepted(self, text: li.Text, key: bytes | None) -> None:
+        """The relay has accepted the text."""
         if log.isEnabledFor(DEBUG):
             say(
                 log,
@@ -31,7 +31,7 @@
             )
 
     def adopted(self, entry: Entry, key: bytes | None, ran: bool, answered: bool) -> None:
-        """An earlier process had taken it on."""
+        """The text was accepted by an earlier process; `answered`: it has its final answer already."""
         if log.isEnabledFor(DEBUG):
             say(
                 log,
@@ -44,19 +44,19 @@
                 answered=answered,
             )
 
-    def going(self, text: bytes, key: bytes | None, host: li.HostId, submit: int) -> None:
-        """A submit of it is about to be written."""
+    def submit_started(self, text: bytes, key: bytes | None, host: li.HostId, submit: int) -> None:
+        """A submit of the text is about to be sent; `submit` is its number."""
         if log.isEnabledFor(DEBUG):
             say(log, "submit-going", text=text, key=key, host=host, submit=submit)
 
-    def held(self, text: bytes, key: bytes, host: li.HostId, why: str) -> None:
-        """A submit of it is not written: the turn is another text's."""
+    def submit_blocked(self, text: bytes, key: bytes, host: li.HostId, why: str) -> None:
+        """A submit is not sent, since the order of its key does not allow it."""
         say(log, "submit-held", text=text, key=key, host=host, why=why)
 
     def submit_ended(
         self, text: bytes, key: bytes | None, call: Call, outcome: Outcome, rest: int | None
     ) -> None:
-        """A submit of it has its outcome; `rest`: until when its key rests by it."""
+        """A submit has its outcome; `rest`: the end of the key's cooldown that follows from it."""
         if not log.isEnabledFor(DEBUG):
             return
         now = self._clock.now()
@@ -72,11 +72,11 @@
             rest_ms=(rest - now) // li.MS if rest is not None else None,
         )
 
-    def ended(self, text: li.Text, result: str) -> None:
-        """It ends undelivered."""
+    def text_ended(self, text: li.Text, result: str) -> None:
+        """The text ends undelivered."""
         if log.isEnabledFor(DEBUG):
             say(log, "text-ended", text=text.id, result=result, left_ms=self._left(text))
 
     def _left(self, text: li.Text) -> int:
-        """Milliseconds of its validity period."""
+        """Milliseconds left of the text's validity period."""
         return (text.valid_until - self._clock.now()) // li.MS
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -282,9 +282,9 @@
     """A client that lost its connection as the old process died hands the text in again, and hears +OK."""
     old, new = pair
     old.take(b"a", 5)
-    assert new.handover.holds(b"a") and not new.handover.holds(b"b")
+    assert new.handover.sibling_has(b"a") and not new.handover.sibling_has(b"b")
     old.ledger.record_finished(b"a")
-    assert not new.handover.holds(b"a")
+    assert not new.handover.sibling_has(b"a")
 
 
 def test_waits_rests_and_how_hosts_were_outlast_a_compaction(pair):
@@ -319,4 +319,4 @@
     new.clock.advance(0.2)
     assert not new.ledger.is_standby and new.handover.host_health == {b"h": HostHealth(Health.WARMING, 9)}
     new.clock.advance(30)
-    assert new.handover.host_health == {} and not new.handover.has_news
+    assert new.handover.host_health == {} and not new.handover.has_host_data
