--- a/limelatch/command/config.py
+++ b/limelatch/command/config.py
@@ -21,13 +21,13 @@
 def read(path: str, form: str | None = None):
     """The file as it was read; faults end the command with exit 2, a line each."""
     from limelatch.configuration import ConfigurationError, Form, load
-    from limelatch.configuration.files import fault_lines, form_of
+    from limelatch.configuration.files import error_lines, form_of
 
     chosen = Form(form) if form else form_of(path)
     try:
         return load(path, chosen)
     except ConfigurationError as error:
-        for line in fault_lines(error, path, chosen):
+        for line in error_lines(error, path, chosen):
             click.echo(line, err=True)
         raise SystemExit(BAD_USE) from None
 
@@ -43,7 +43,7 @@
     \b
     Example:  limelatch config check relay.toml
     """
-    from limelatch.configuration.files import fault_line
+    from limelatch.configuration.files import error_line
 
     bad = False
     for path in paths:
@@ -53,8 +53,8 @@
             bad = True
             continue
         for doubt in found.doubts():
-            click.echo(f"doubt: {fault_line(path, doubt)}", err=True)
-        click.echo(f"{path}: good ({found.form.value}, {len(found.told)} keys told)")
+            click.echo(f"doubt: {error_line(path, doubt)}", err=True)
+        click.echo(f"{path}: good ({found.form.value}, {len(found.given)} keys told)")
     if bad:
         raise SystemExit(BAD_USE)
 
@@ -70,14 +70,14 @@
     \b
     Example:  limelatch config show relay.toml | grep -v '# default'
     """
-    from limelatch.configuration.own import rows_of, write_own
+    from limelatch.configuration.toml_form import value_rows, write_toml
 
     found = read(path, form)
     if as_json:
-        for row in rows_of(found, secrets):
+        for row in value_rows(found, secrets):
             click.echo(json.dumps(row))
     else:
-        click.echo(write_own(found.installation, found.told, whole=True, secrets=secrets), nl=False)
+        click.echo(write_toml(found.installation, found.given, whole=True, secrets=secrets), nl=False)
 
 
 @config.command()
@@ -110,7 +110,7 @@
     Example:  limelatch config diff /etc/limelatch/relay.toml new.toml
     """
     from limelatch.configuration.changes import changes
-    from limelatch.configuration.own import describe
+    from limelatch.configuration.toml_form import describe
 
     found = changes(read(before).installation, read(after).installation)
     for change in found:
@@ -131,8 +131,8 @@
     \b
     Example:  limelatch config convert relay.json > relay.toml
     """
-    from limelatch.configuration.own import write_own
-    from limelatch.configuration.platform import write_platform
+    from limelatch.configuration.toml_form import write_toml
+    from limelatch.configuration.platform_form import write_platform
 
     found = read(path, form)
     to = to or ("json" if found.form.value == "toml" else "toml")
@@ -141,7 +141,7 @@
         return
     if found.installation.known:
         click.echo("left out: known (the platform's JSON alone has it)", err=True)
-    click.echo(write_own(found.installation, found.told), nl=False)
+    click.echo(write_toml(found.installation, found.given), nl=False)
 
 
 @config.command(hidden=True)
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -30,19 +30,19 @@
     Fate.FAILED: Result.ERROR,
     Fate.REFUSED: Result.FULL,
     Fate.RESET: Result.RESET,
-    Fate.GARBLED: Result.SPOILT,
-    Fate.OVER: Result.MOOT,
-    Fate.SPENT: Result.MOOT,
+    Fate.GARBLED: Result.MALFORMED,
+    Fate.OVER: Result.NOT_SENT,
+    Fate.SPENT: Result.NOT_SENT,
 }
-RAN = (Result.ERROR, Result.SPOILT, Result.TIMEOUT, Result.RESET, Result.CANCELLED)
-FAILED = (Result.ERROR, Result.SPOILT, Result.TIMEOUT, Result.RESET, Result.CONNECT, Result.FULL)
+RAN = (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+FAILED = (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET, Result.CONNECT, Result.FULL)
 PLATFORM = 2 * MS  # from a notice to its answer
 FRONT = 5 * MS  # until a client that found a relay dead asks another
 NOBODY = 200 * MS  # and if none serves
 STOP_LEAST, STOP_MOST = 500 * MS, 3300 * MS
 LISTED = {Listing.READY: 0, Listing.DRAINING: 1, Listing.GONE: 2}
 HANDED_ON = (500 * MS, 1800 * MS)  # until what a lost machine held is handed in again
-Subject = Callable[[li.Terms, int], Policy]
+Subject = Callable[[li.PolicySettings, int], Policy]
 
 
 @dataclass(slots=True, eq=False)
@@ -119,8 +119,10 @@
         self.starts, self.up, self.stopping, self.turn_due = self.starts + 1, True, False, False
         self.policy.hosts_listed(now, list(self.known.values()), True)
         for each in list(self.texts.values()):
-            past = li.Past(each.submits, each.ran_at, each.ran_zone, each.out, each.notice is not None)
-            self.policy.text_taken(now, each.text, past)
+            history = li.TextHistory(
+                each.submits, each.ran_at, each.ran_zone, each.out, each.notice is not None
+            )
+            self.policy.text_accepted(now, each.text, history)
             if each.notice is not None:
                 self.stage.clock.at(now + PLATFORM, self.stage.noticed, self, each)
             each.out = False
@@ -187,7 +189,7 @@
             self.stage.answered(text, Answer.BUSY, 0)
             return
         self.arrived[text.text.id] = text
-        self.policy.text_taken(self.stage.clock.now(), text.text)
+        self.policy.text_accepted(self.stage.clock.now(), text.text)
         self.touch()
 
     def touch(self) -> None:
@@ -211,7 +213,7 @@
                 text = arrived.pop(action.text)
                 nack = isinstance(action, li.Nack)
                 stage.answered(text, Answer.BUSY if nack else Answer.ERROR, action.advice if nack else 0)
-                self.policy.text_over(now, action.text)
+                self.policy.text_finished(now, action.text)
         for each in arrived.values():
             self.texts[each.text.id] = each
             stage.answered(each, Answer.TAKEN, 0)
@@ -245,11 +247,11 @@
     def _send(self, now: int, endpoint: Endpoint, submits: list[li.Submit]) -> None:
         stage = self.stage
         texts = [self.texts[each.text] for each in submits]
-        call = FleetCall(self, endpoint, texts, now, min(each.keep for each in submits))
+        call = FleetCall(self, endpoint, texts, now, min(each.idle_limit for each in submits))
         stage.count += 1
         call.number = stage.count
         self.calls[call.number] = call
-        stage.clock.at(now + min(each.time_out for each in submits), self._out_of_time, call)
+        stage.clock.at(now + min(each.timeout for each in submits), self._out_of_time, call)
         link = self._idle_link(now, endpoint)
         way = stage.way(self, endpoint)
         if link is not None:
@@ -289,11 +291,11 @@
             return
         stage, now = self.stage, self.stage.clock.now()
         host = call.endpoint.name.encode()
-        held = [each for each in call.texts if not self.policy.may_go(now, each.text.id, host)]
+        held = [each for each in call.texts if not self.policy.may_send(now, each.text.id, host)]
         if held:
             call.texts = [each for each in call.texts if each not in held]
             for each in held:
-                self._ended(now, call, each, Result.MOOT)
+                self._ended(now, call, each, Result.NOT_SENT)
             self.touch()
             if not call.texts:
                 self._finish(call, True)
@@ -557,7 +559,7 @@
         del relay.texts[text.text.id]
         self.note(rec.Noticed(now, relay.number, text.text.id, nack, wait))
         self.open -= 1
-        relay.policy.text_over(now, text.text.id)
+        relay.policy.text_finished(now, text.text.id)
         relay.touch()
         if nack:
             self._again(text, wait)
--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -14,9 +14,9 @@
 from twisted.internet.protocol import Protocol
 
 from limelatch import logs
-from limelatch.configuration import ConfigurationError, Form, RelayPlan, relay_plan, retuned_plan
-from limelatch.configuration.files import fault_lines, form_of
-from limelatch.configuration.plan import SOCKETS_LEAST, Shares
+from limelatch.configuration import ConfigurationError, Form, RelayPlan, relay_plan, reloaded_plan
+from limelatch.configuration.files import error_lines, form_of
+from limelatch.configuration.plan import MIN_SOCKETS, DescriptorShares
 from limelatch.interface import SECOND
 from limelatch.relay.anchor_file import AnchorFile
 from limelatch.relay.clock import monotonic_now
@@ -46,10 +46,10 @@
     Guards against clients that get half of a configured number, and with it all that there are."""
     if most == resource.RLIM_INFINITY or most >= plan.sockets:
         return plan
-    if most < SOCKETS_LEAST:
-        raise OSError(errno.EMFILE, f"{SOCKETS_LEAST} descriptors are needed, the process may hold {most}")
-    logs.say(logs.logger("main"), "descriptors-few", sockets=plan.sockets, limit=most)
-    return replace(plan, sockets=most, shares=Shares.of(most))
+    if most < MIN_SOCKETS:
+        raise OSError(errno.EMFILE, f"{MIN_SOCKETS} descriptors are needed, the process may hold {most}")
+    logs.log_event(logs.logger("main"), "descriptors-few", sockets=plan.sockets, limit=most)
+    return replace(plan, sockets=most, shares=DescriptorShares.of(most))
 
 
 def open_folder(plan: RelayPlan) -> Driver:
@@ -57,7 +57,7 @@
     until = monotonic_now() + FOLDER_WAIT
     while True:
         try:
-            return Driver(plan, reactor, AnchorFile(plan.state).clock())
+            return Driver(plan, reactor, AnchorFile(plan.state_dir).load_clock())
         except OSError as error:
             if error.errno not in PASSING or monotonic_now() >= until:
                 raise
@@ -79,7 +79,7 @@
         driver = open_folder(plan)
     except ConfigurationError as error:
         path = path or os.environ.get("RELAY_CONFIG") or "RELAY_CONFIG"
-        for line in fault_lines(error, path, form or form_of(path)):
+        for line in error_lines(error, path, form or form_of(path)):
             print(f"limelatch: {line}", file=sys.stderr)
         return BAD_USE
     except OSError as error:
@@ -89,9 +89,9 @@
 
     def configure() -> None:
         try:
-            driver.configured(retuned_plan(os.environ, path, form))
+            driver.configured(reloaded_plan(os.environ, path, form))
         except ConfigurationError as error:  # the one in force stays, whole
-            logs.say(log, "not-configured", why="; ".join(str(fault) for fault in error.faults))
+            logs.log_event(log, "not-configured", why="; ".join(str(fault) for fault in error.errors))
 
     def begin() -> None:
         signal.signal(signal.SIGHUP, lambda number, frame: reactor.callFromThread(configure))
@@ -107,7 +107,7 @@
                 configure()
         except Exception as error:  # a relay that can't start says why and ends
             faults.append(error)
-            logs.say(log, "not-started", trace=True)
+            logs.log_event(log, "not-started", trace=True)
             reactor.stop()
 
     reactor.callWhenRunning(begin)
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 
 from limelatch.interface import SECOND, HostId
-from limelatch.key_order import Hold, Key, KeyOrder, Place
+from limelatch.key_order import BlockReason, Key, KeyOrder, QueuedText
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadlines
 from limelatch.relay.ledger import Ledger
@@ -65,7 +65,7 @@
         now = self._clock.now()
         for key, rest in state.cooldowns.items():
             if rest.until > now:
-                self._order.rest(key, rest.text, rest.until)
+                self._order.start_cooldown(key, rest.text, rest.until)
 
     def poll(self) -> None:
         """Read the sibling's ledger: places of its ordered texts, cooldowns, and what it knows of hosts."""
@@ -74,11 +74,11 @@
         state = self._sibling.poll()
         self._ledger.sibling_bytes = self._sibling.bytes_needed
         if state is None:
-            self._order.sibling_holds(())
+            self._order.set_sibling_texts(())
             self._sibling_ended()
             return
         self.apply_cooldowns(state)
-        self._order.sibling_holds(self._places(state))
+        self._order.set_sibling_texts(self._places(state))
         self._update_host_data(state)
 
     def _update_host_data(self, state: LedgerState) -> None:
@@ -87,14 +87,14 @@
         self.host_waits = {host: until for host, until in state.host_waits.items() if until > now}
         self.host_health = state.host_health
 
-    def _places(self, state: LedgerState) -> Iterator[tuple[Key, Place]]:
+    def _places(self, state: LedgerState) -> Iterator[tuple[Key, QueuedText]]:
         """Yields the ordering key and place of each ordered text in a ledger."""
         for entry in state.entries.values():
             in_order = entry.in_order
             if in_order is None:
                 in_order = self._is_ordered(entry.fields["product"])
             if in_order and entry.key:
-                yield entry.key, Place(entry.id, entry.received_at, entry.submit_count > 0)
+                yield entry.key, QueuedText(entry.id, entry.received_at, entry.submit_count > 0)
 
     def sibling_has(self, text: bytes) -> bool:
         """Whether the other process has accepted this text.
@@ -104,7 +104,7 @@
         state = self._sibling.poll() if self._sibling_known else None
         return state is not None and text in state.entries
 
-    def claim(self, key: Key, text: bytes, record_submit: Callable[[], bool]) -> Hold | None:
+    def claim(self, key: Key, text: bytes, record_submit: Callable[[], bool]) -> BlockReason | None:
         """Record the submit of an ordered text with `record_submit`, if the text may still be sent.
 
         Returns None where it is sent, else why not. Guards against both processes doing this for texts of the
@@ -114,15 +114,15 @@
         self._sibling_started()
         with self._sibling.claiming() as is_locked:
             if not is_locked:
-                return Hold.SIBLING
+                return BlockReason.SIBLING
             self.poll()
             return self._record_in_turn(key, text, record_submit)
 
-    def _record_in_turn(self, key: Key, text: bytes, record_submit: Callable[[], bool]) -> Hold | None:
+    def _record_in_turn(self, key: Key, text: bytes, record_submit: Callable[[], bool]) -> BlockReason | None:
         """Record the submit unless the key's order blocks it; returns why it does, else None."""
-        hold = self._order.hold_of(self._clock.now(), key, text)
+        hold = self._order.block_reason(self._clock.now(), key, text)
         if hold is None and record_submit():
-            self._order.begin(key, text)
+            self._order.mark_started(key, text)
         return hold
 
     def _take_over(self) -> None:
@@ -133,7 +133,7 @@
             self._deadlines.after(SIBLING_POLL_INTERVAL, self._take_over)
             return
         self._update_host_data(self._ledger.state)
-        self._order.sibling_holds(())
+        self._order.set_sibling_texts(())
         self.apply_cooldowns(self._ledger.state)
         self._sibling_ended()
         self._adopt(adopted)
@@ -161,7 +161,7 @@
     def _adopt_standby(self) -> None:
         """For the process in the state directory: watch for a successor; adopt the texts of an ended one."""
         if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):
-            self._order.sibling_holds(())
+            self._order.set_sibling_texts(())
             self.apply_cooldowns(self._ledger.state)
             self._update_host_data(self._ledger.state)
             self._adopt(adopted)
--- a/limelatch/relay/reactor.py
+++ b/limelatch/relay/reactor.py
@@ -12,8 +12,8 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.main import installReactor
 
-from limelatch.relay.datagrams import PatientDatagramPort
-from limelatch.relay.transport import PatientConnector, PatientPort
+from limelatch.relay.datagrams import ResilientDatagramPort
+from limelatch.relay.transport import RetryingConnector, RetryingPort
 
 
 class RelayReactor(EPollReactor):
@@ -21,23 +21,23 @@
 
     seconds = staticmethod(time.monotonic)
 
-    def connectTCP(self, host, port, factory, timeout=None, bindAddress=None) -> PatientConnector:
-        connector = PatientConnector(host, port, factory, timeout, bindAddress, self)
+    def connectTCP(self, host, port, factory, timeout=None, bindAddress=None) -> RetryingConnector:
+        connector = RetryingConnector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
-    def listenTCP(self, port, factory, backlog=50, interface="") -> PatientPort:
-        listening = PatientPort(port, factory, backlog, interface, self)
+    def listenTCP(self, port, factory, backlog=50, interface="") -> RetryingPort:
+        listening = RetryingPort(port, factory, backlog, interface, self)
         listening.startListening()
         return listening
 
-    def listenUDP(self, port, protocol, interface="", maxPacketSize=8192) -> PatientDatagramPort:
-        listening = PatientDatagramPort(port, protocol, interface, maxPacketSize, self)
+    def listenUDP(self, port, protocol, interface="", maxPacketSize=8192) -> ResilientDatagramPort:
+        listening = ResilientDatagramPort(port, protocol, interface, maxPacketSize, self)
         listening.startListening()
         return listening
 
-    def adoptStreamPort(self, fileDescriptor, addressFamily, factory) -> PatientPort:
-        listening = PatientPort._fromListeningDescriptor(self, fileDescriptor, addressFamily, factory)
+    def adoptStreamPort(self, fileDescriptor, addressFamily, factory) -> RetryingPort:
+        listening = RetryingPort._fromListeningDescriptor(self, fileDescriptor, addressFamily, factory)
         listening.startListening()
         return listening
 
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from limelatch.interface import Health
-from limelatch.key_order import Rest
+from limelatch.key_order import KeyCooldown
 
 RECORD_HEADER = struct.Struct(">II")  # length and checksum of the payload that follows
 PAYLOAD_HEADER = struct.Struct(
@@ -133,12 +133,12 @@
 
     def __init__(self) -> None:
         self.entries: dict[bytes, Entry] = {}
-        self.cooldowns: dict[bytes, Rest] = {}
+        self.cooldowns: dict[bytes, KeyCooldown] = {}
         self.host_waits: dict[bytes, int] = {}
         self.host_health: dict[bytes, HostHealth] = {}
         self.live_bytes = 0
 
-    def add_cooldown(self, key: bytes, cooldown: Rest, now: int) -> None:
+    def add_cooldown(self, key: bytes, cooldown: KeyCooldown, now: int) -> None:
         """Keep the cooldown of the key that ends last; drop those that have expired at `now`."""
         for each in [known for known, old in self.cooldowns.items() if old.until <= now]:
             self._drop_cooldown(each)
@@ -189,7 +189,7 @@
         if kind == RecordKind.BLANK:
             return None
         if kind == RecordKind.REST:
-            self.add_cooldown(fields["key"].encode(), Rest(fields["until"], text), 0)
+            self.add_cooldown(fields["key"].encode(), KeyCooldown(fields["until"], text), 0)
             return None
         if kind == RecordKind.HEALTH:
             self.add_health(text, HostHealth(Health(fields["health"]), fields["at"]))
@@ -218,7 +218,7 @@
                 if not entry.may_have_run:
                     entry.first_run_at = entry.first_run_zone = None
                 if "rest" in fields:
-                    self.add_cooldown(entry.key, Rest(fields["rest"], text), fields["at"])
+                    self.add_cooldown(entry.key, KeyCooldown(fields["rest"], text), fields["at"])
                 return wrong
             case RecordKind.STATE:
                 entry.submit_count, entry.in_flight, entry.may_have_run = (
@@ -237,7 +237,7 @@
         return None
 
 
-def cooldown_record(key: bytes, cooldown: Rest) -> bytes:
+def cooldown_record(key: bytes, cooldown: KeyCooldown) -> bytes:
     """The record of a key's cooldown in a compacted file."""
     return encode_record(RecordKind.REST, cooldown.text, {"key": key.decode(), "until": cooldown.until})
 
--- a/limelatch/relay/storage_monitor.py
+++ b/limelatch/relay/storage_monitor.py
@@ -1,15 +1,15 @@
 """Handles a state directory that can't be written: retries writes, delays notices until recorded.
 
-What has to wait meanwhile, and what goes on, is decided in `limelatch.folder_gate`.
+What has to wait meanwhile, and what goes on, is decided in `limelatch.storage_gate`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from limelatch.folder_gate import RETRY_AFTER, FolderGate
+from limelatch.storage_gate import RETRY_AFTER, StorageGate
 from limelatch.interface import MS
-from limelatch.logs import HeldDown, logger, say
+from limelatch.logs import LimitedLog, logger, log_event
 from limelatch.relay.clock import Clock
 from limelatch.relay.deadlines import Deadline, Deadlines
 from limelatch.relay.ledger import Ledger
@@ -29,23 +29,23 @@
     ) -> None:
         """`notify` sends a text's notice; `recovered` is called when a retry has succeeded."""
         self._clock, self._deadlines, self._notify, self._recovered = clock, deadlines, notify, recovered
-        self.gate = FolderGate()
+        self.gate = StorageGate()
         self.ledger: Ledger | None = None  # whose results are reported here; set by the driver
         self._unrecorded: dict[bytes, dict] = {}  # notices whose records are not written yet, by text
         self._next_try: Deadline | None = None
-        self.held_down = HeldDown(log, clock)
+        self.limited_log = LimitedLog(log, clock)
 
     def on_write_result(self, error: OSError | None) -> None:
         """A call on the state directory has failed with `error`, or a write has succeeded again (None)."""
         now = self._clock.now()
         if error is not None:
-            self.gate.failed(now)
+            self.gate.write_failed(now)
             waiting = len(self.ledger.unwritten) if self.ledger is not None else 0
-            self.held_down("folder-failing", why=error, bytes=waiting)
+            self.limited_log("folder-failing", why=error, bytes=waiting)
             if self._next_try is None:
                 self._next_try = self._deadlines.after(RETRY_AFTER, self._try_again)
-        elif (span := self.gate.worked(now)) is not None:
-            say(log, "folder-mended", after_ms=span // MS)
+        elif (span := self.gate.write_succeeded(now)) is not None:
+            log_event(log, "folder-mended", after_ms=span // MS)
             for text in list(self._unrecorded):
                 self._send(text)
 
--- a/limelatch/relay/text_log.py
+++ b/limelatch/relay/text_log.py
@@ -5,7 +5,7 @@
 from logging import DEBUG
 
 from limelatch import interface as li
-from limelatch.logs import logger, say
+from limelatch.logs import logger, log_event
 from limelatch.relay.hosts import Call, Outcome
 from limelatch.relay.records import Entry
 
@@ -21,7 +21,7 @@
     def accepted(self, text: li.Text, key: bytes | None) -> None:
         """The relay has accepted the text."""
         if log.isEnabledFor(DEBUG):
-            say(
+            log_event(
                 log,
                 "text-taken",
                 text=text.id,
@@ -33,7 +33,7 @@
     def adopted(self, entry: Entry, key: bytes | None, ran: bool, answered: bool) -> None:
         """The text was accepted by an earlier process; `answered`: it has its final answer already."""
         if log.isEnabledFor(DEBUG):
-            say(
+            log_event(
                 log,
                 "text-adopted",
                 text=entry.id,
@@ -47,11 +47,11 @@
     def submit_started(self, text: bytes, key: bytes | None, host: li.HostId, submit: int) -> None:
         """A submit of the text is about to be sent; `submit` is its number."""
         if log.isEnabledFor(DEBUG):
-            say(log, "submit-going", text=text, key=key, host=host, submit=submit)
+            log_event(log, "submit-going", text=text, key=key, host=host, submit=submit)
 
     def submit_blocked(self, text: bytes, key: bytes, host: li.HostId, why: str) -> None:
         """A submit is not sent, since the order of its key does not allow it."""
-        say(log, "submit-held", text=text, key=key, host=host, why=why)
+        log_event(log, "submit-held", text=text, key=key, host=host, why=why)
 
     def submit_ended(
         self, text: bytes, key: bytes | None, call: Call, outcome: Outcome, rest: int | None
@@ -60,22 +60,22 @@
         if not log.isEnabledFor(DEBUG):
             return
         now = self._clock.now()
-        say(
+        log_event(
             log,
             "submit-ended",
             text=text,
             key=key,
             host=call.host,
             result=outcome.result.value,
-            took_ms=(now - call.sent) // li.MS,
-            wait_ms=outcome.told_wait // li.MS or None,
+            took_ms=(now - call.sent_at) // li.MS,
+            wait_ms=outcome.retry_after // li.MS or None,
             rest_ms=(rest - now) // li.MS if rest is not None else None,
         )
 
     def text_ended(self, text: li.Text, result: str) -> None:
         """The text ends undelivered."""
         if log.isEnabledFor(DEBUG):
-            say(log, "text-ended", text=text.id, result=result, left_ms=self._left(text))
+            log_event(log, "text-ended", text=text.id, result=result, left_ms=self._left(text))
 
     def _left(self, text: li.Text) -> int:
         """Milliseconds left of the text's validity period."""
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,46 +13,46 @@
 
 from limelatch.client.wire import HandedText
 from limelatch.configuration import bench_terms, plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import SECOND, Effect, Listing, Result
-from limelatch.logs import HeldDown
+from limelatch.logs import LimitedLog
 from limelatch.relay.catalog import BadList, Catalog
 from limelatch.relay.clients import BadCommand, read_submit
 from limelatch.relay.deadlines import Deadlines
-from limelatch.relay.ending import RESULT_OF_ENDING, Ending
+from limelatch.relay.end_reason import RESULT_BY_END_REASON, EndReason
 from limelatch.relay.hosts import (
     Call,
     Connection,
-    Outcome,
-    Parcel,
     HostPool,
+    Outcome,
+    OutgoingText,
     read_outcomes,
-    told_wait,
+    read_retry_after,
     write_call,
 )
-from limelatch.relay.http import Answer, HttpCaller
+from limelatch.relay.http import HttpClientProtocol, Response
 from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
 from limelatch.relay.records import STATE_RESERVE, RecordKind, encode_record
-from limelatch.relay.ring import Ring, RingFull
+from limelatch.relay.ring_buffer import Ring, RingFull
 from limelatch.relay.slots import Slots
 
 GOOD = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "s", "settings": SETTINGS}
 NAMES = plan_of(read_platform(GOOD)[0]).names
 
 
-class Caller(HttpCaller):
+class Caller(HttpClientProtocol):
     """Keeps what a peer's bytes became."""
 
     def __init__(self):
         super().__init__(1024, 256)
         self.got = []
         self.makeConnection(Wire())
-        self.ask(b"GET / HTTP/1.1\r\n\r\n")
+        self.send_request(b"GET / HTTP/1.1\r\n\r\n")
 
-    def answered(self, answer, body):
-        self.got.append((answer.status, body, answer.keeps))
+    def response_received(self, response, body):
+        self.got.append((response.status, body, response.keep_alive))
 
-    def ended(self, ending):
+    def connection_ended(self, ending):
         self.got.append(ending)
 
 
@@ -115,11 +115,11 @@
 
 
 def test_warnings_that_outsiders_cause_are_held_down_and_counted(deadlines, caplog):
-    held_down = HeldDown(logging.getLogger("x"), deadlines[1])
+    limited_log = LimitedLog(logging.getLogger("x"), deadlines[1])
     for _ in range(9):
-        held_down("command-bad")
+        limited_log("command-bad")
     deadlines[1].advance(1)
-    held_down("command-bad")
+    limited_log("command-bad")
     assert [each.pairs for each in caplog.records] == [{}] * 5 + [{"left_out": 4}]
 
 
@@ -288,9 +288,9 @@
 
 
 def test_every_ending_means_something_to_the_module():
-    assert set(RESULT_OF_ENDING) == set(Ending)
-    assert RESULT_OF_ENDING[Ending.CUT_SHORT] is Result.CONNECT
-    assert RESULT_OF_ENDING[Ending.BROKEN] is Result.RESET
+    assert set(RESULT_BY_END_REASON) == set(EndReason)
+    assert RESULT_BY_END_REASON[EndReason.REQUEST_INCOMPLETE] is Result.CONNECT
+    assert RESULT_BY_END_REASON[EndReason.CONNECTION_LOST] is Result.RESET
 
 
 @pytest.mark.parametrize(
@@ -334,7 +334,7 @@
     caller = Caller()
     for at in range(0, len(raw), 1000):
         caller.dataReceived(raw[at : at + 1000])
-    assert caller.ending is Ending.GARBLED and caller.transport.disconnecting
+    assert caller.end_reason is EndReason.MALFORMED and caller.transport.disconnecting
 
 
 def test_a_choked_transport_holds_back_ring_and_source():
@@ -348,10 +348,10 @@
 
 
 def outcomes(status, body=b"", texts=(b"a",), **headers):
-    call = Call(b"s-1", [Parcel(text, b"", b"", 0, 0) for text in texts], 0)
+    call = Call(b"s-1", [OutgoingText(text, b"", b"", 0, 0) for text in texts], 0)
     call.batched = len(texts) > 1
     told = {name.replace("_", "-").encode(): value for name, value in headers.items()}
-    return read_outcomes(call, Answer(status, told), body)
+    return read_outcomes(call, Response(status, told), body)
 
 
 @pytest.mark.parametrize(
@@ -361,9 +361,9 @@
         (500, {}, Outcome(Result.ERROR)),
         (429, {"retry_after": b"0.25"}, Outcome(Result.FULL, False, 2500)),
         (503, {}, Outcome(Result.FULL)),
-        (503, {"x_no_slot": b"1"}, Outcome(Result.MOOT)),
-        (504, {}, Outcome(Result.MOOT)),
-        (410, {}, Outcome(Result.MOOT, True)),
+        (503, {"x_no_slot": b"1"}, Outcome(Result.NOT_SENT)),
+        (504, {}, Outcome(Result.NOT_SENT)),
+        (410, {}, Outcome(Result.NOT_SENT, True)),
         (418, {}, Outcome(Result.ERROR)),
         (
             200,
@@ -389,8 +389,8 @@
 )
 def test_a_new_connection_that_is_turned_away_and_closed_met_a_full_table(idle, keeps, headers, result):
     """Full tables once passed for used-up limits: paces were cut where much of a limit was left."""
-    call = Call(b"s-1", [Parcel(b"a", b"", b"", 0, 0)], 0, idle=idle)
-    assert read_outcomes(call, Answer(503, headers, keeps), b"")[0].result is result
+    call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, idle_time=idle)
+    assert read_outcomes(call, Response(503, headers, keeps), b"")[0].result is result
 
 
 def test_a_batch_answer_says_how_each_text_fared():
@@ -399,16 +399,16 @@
         Outcome(Result.DELIVERED, True, SECOND),
         Outcome(Result.FULL, False, SECOND),
     ]
-    assert outcomes(413, b"", (b"a", b"b")) == [Outcome(Result.MOOT)] * 2
+    assert outcomes(413, b"", (b"a", b"b")) == [Outcome(Result.NOT_SENT)] * 2
     assert outcomes(410, b"", (b"a", b"b")) == [Outcome(Result.ERROR)] * 2  # this speaks of one text
     with pytest.raises(KeyError):
         outcomes(200, body, (b"a", b"c"))
 
 
 def test_a_batch_of_which_one_text_is_left_is_still_answered_as_a_batch():
-    call = Call(b"s-1", [Parcel(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other's validity ended
+    call = Call(b"s-1", [OutgoingText(b"a", b"", b"", 0, 0)], 0, batched=True)  # the other's validity ended
     body = b'[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]'
-    assert read_outcomes(call, Answer(200), body) == [Outcome(Result.FULL)]
+    assert read_outcomes(call, Response(200), body) == [Outcome(Result.FULL)]
 
 
 class Ears:
@@ -420,21 +420,21 @@
     def may_send(self, now, text, host):
         return self.goes
 
-    def start_submit(self, call, parcel):
+    def start_submit(self, call, outgoing):
         return True
 
-    def submit_ended(self, call, parcel, outcome):
-        self.ends.append((parcel.text, outcome.result))
-        self.over += [parcel.text] if outcome.over else []
+    def submit_ended(self, call, outgoing, outcome):
+        self.ends.append((outgoing.text, outcome.result))
+        self.over += [outgoing.text] if outcome.finished else []
 
 
-def call_out(deadlines, driver, *parcels):
+def call_out(deadlines, driver, *texts):
     """A connection that has just come up for a call with these texts."""
     deadlines, reactor = deadlines
     pool = HostPool(reactor, deadlines, reactor, driver, 4, SECOND, SECOND)
-    pool.addresses[b"s-1"], pool.calls_out = "127.0.0.1:80", 1
-    call = Call(b"s-1", list(parcels), 0)
-    call.deadline = deadlines.at(min(each.due for each in parcels), lambda: pool._out_of_time(call))
+    pool.addresses[b"s-1"], pool.calls_in_flight = "127.0.0.1:80", 1
+    call = Call(b"s-1", list(texts), 0)
+    call.deadline = deadlines.at(min(each.due_at for each in texts), lambda: pool._out_of_time(call))
     call.connection = Connection(pool, b"s-1", call)
     call.connection.number = pool.connections.take(call.connection)
     call.connection.deadline = deadlines.at(SECOND, None)
@@ -444,41 +444,49 @@
 
 def test_a_text_held_back_as_the_connection_comes_up_writes_nothing(deadlines):
     driver = Ears(goes=False)
-    pool, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", 9 * SECOND, SECOND))
-    assert driver.ends == [(b"a", Result.MOOT)] and connection.transport.value() == b""
-    assert pool.idle[b"s-1"] == [connection] and pool.calls_out == 0
+    pool, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
+    assert driver.ends == [(b"a", Result.NOT_SENT)] and connection.transport.value() == b""
+    assert pool.idle[b"s-1"] == [connection] and pool.calls_in_flight == 0
     deadlines[1].advance(1)
-    assert connection.ending is Ending.IDLE
+    assert connection.end_reason is EndReason.IDLE
 
 
 def test_a_batch_is_given_up_whole_when_the_time_of_one_text_is_over(deadlines):
     driver = Ears()
     pool, connection = call_out(
-        deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0), Parcel(b"b", b"", b"y", 3 * SECOND, 0)
+        deadlines,
+        driver,
+        OutgoingText(b"a", b"", b"x", SECOND, 0),
+        OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     assert connection.transport.value().startswith(b"POST /v1/messages:batch HTTP/1.1\r\n")
     deadlines[1].advance(1)
-    assert connection.ending is Ending.SILENT and driver.ends == []  # no text ends while its submit is out
+    assert (
+        connection.end_reason is EndReason.ANSWER_TIMEOUT and driver.ends == []
+    )  # no text ends while its submit is out
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_out == 0
+    assert driver.ends == [(b"a", Result.TIMEOUT), (b"b", Result.TIMEOUT)] and pool.calls_in_flight == 0
 
 
 def test_a_first_line_of_200_delivers_though_the_connection_breaks(deadlines):
     driver = Ears()
-    _, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0))
+    _, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Le")
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.SPOILT)] and driver.over == [b"a"]
+    assert driver.ends == [(b"a", Result.MALFORMED)] and driver.over == [b"a"]
 
 
 def test_a_text_in_order_never_ends_while_its_call_stays_out(deadlines):
     """The next text of its key would go out beside it."""
     driver = Ears()
     _, connection = call_out(
-        deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0), Parcel(b"b", b"", b"y", 3 * SECOND, 0)
+        deadlines,
+        driver,
+        OutgoingText(b"a", b"", b"x", SECOND, 0),
+        OutgoingText(b"b", b"", b"y", 3 * SECOND, 0),
     )
     deadlines[1].advance(1)
-    assert connection.ending is Ending.SILENT and driver.ends == []
+    assert connection.end_reason is EndReason.ANSWER_TIMEOUT and driver.ends == []
 
 
 @pytest.mark.parametrize(
@@ -486,16 +494,16 @@
 )
 def test_of_a_spoilt_answer_only_a_first_line_of_200_is_true(deadlines, line, over):
     driver = Ears()
-    _, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, 0))
+    _, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, 0))
     connection.dataReceived(b"HTTP/1.1 " + line + b"\r\nContent-Length: 3000000000\r\n\r\nxx")
     connection.connectionLost(None)
-    assert driver.ends == [(b"a", Result.SPOILT)] and driver.over == over
+    assert driver.ends == [(b"a", Result.MALFORMED)] and driver.over == over
 
 
 @pytest.mark.parametrize("raw, later", [(b"no more", b""), (b"", b"HTTP/1.1 200 OK\r\n\r\n"), (b"", b"")])
 def test_a_connection_with_more_than_its_answer_is_never_used_again(deadlines, raw, later):
     driver = Ears()
-    pool, connection = call_out(deadlines, driver, Parcel(b"a", b"", b"x", SECOND, SECOND))
+    pool, connection = call_out(deadlines, driver, OutgoingText(b"a", b"", b"x", SECOND, SECOND))
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" + raw)
     assert driver.ends == [(b"a", Result.DELIVERED)] and (connection in pool.idle[b"s-1"]) != bool(raw)
     connection.transport.peer.sendall(later)  # not read yet
@@ -504,10 +512,10 @@
 
 @pytest.mark.parametrize("address, kept", [("127.0.0.1:80", True), ("127.0.0.1:81", False), (None, False)])
 def test_a_connection_in_use_while_its_host_moves_is_not_kept_for_it(deadlines, address, kept):
-    pool, connection = call_out(deadlines, Ears(), Parcel(b"a", b"", b"x", 9 * SECOND, SECOND))
-    pool.reach(b"s-1", address)
+    pool, connection = call_out(deadlines, Ears(), OutgoingText(b"a", b"", b"x", 9 * SECOND, SECOND))
+    pool.set_address(b"s-1", address)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.ending is None) == kept
+    assert (pool.idle[b"s-1"] == [connection]) == kept and (connection.end_reason is None) == kept
 
 
 @pytest.mark.parametrize("valid_for", [7_200_000, 0.5, 24_000, 999_999.125])
@@ -523,16 +531,21 @@
 
 
 def test_a_told_wait_is_rounded_up_and_a_date_is_none():
-    assert told_wait({b"retry-after": b"0.00001"}) == 1
-    assert told_wait({b"retry-after": b"Tue, 01 Dec 2026 12:00:00 GMT"}) == 0
+    assert read_retry_after({b"retry-after": b"0.00001"}) == 1
+    assert read_retry_after({b"retry-after": b"Tue, 01 Dec 2026 12:00:00 GMT"}) == 0
 
 
 def test_submit_names_what_it_hands_in():
     names = b"c=notice,t=acme,d=80.5,k=5c,dest=7,r=1"
-    handed = read_submit([b"SUBMIT", b"0000", b"9b1f", names, b"\r\n\0"])
-    assert (handed.id, handed.order, handed.destination, handed.valid_for) == (b"9b1f", b"", 7, 805)
-    assert (handed.mark, handed.body) == (b"5c", b"\r\n\0")
-    assert (handed.product, handed.customer) == (b"notice", b"acme")
+    submission = read_submit([b"SUBMIT", b"0000", b"9b1f", names, b"\r\n\0"])
+    assert (submission.id, submission.key, submission.destination, submission.valid_for) == (
+        b"9b1f",
+        b"",
+        7,
+        805,
+    )
+    assert (submission.idempotency_key, submission.body) == (b"5c", b"\r\n\0")
+    assert (submission.product, submission.customer) == (b"notice", b"acme")
     with pytest.raises(BadCommand):
         read_submit([b"SUBMIT", b"0", b"a\r\nX-Evil: 1", b"d=1,dest=7", b""])
 
@@ -551,11 +564,16 @@
     deadlines, _ = deadlines
     rows, told = [ROW, ROW | {"name": "s-2", "type": "unheard of"}], []
     catalog = Catalog(None, deadlines, None, NAMES, 9, 9, lambda *news: told.append(news))
-    catalog.known({"index": 4, "snapshot": True, "endpoints": rows})
+    catalog.load_known_list({"index": 4, "snapshot": True, "endpoints": rows})
     ((entries, whole),) = told
-    assert (catalog.index, whole, len(entries), str(catalog.reached(b"s-1"))) == (4, True, 1, "127.0.0.1:80")
+    assert (catalog.index, whole, len(entries), str(catalog.host_address(b"s-1"))) == (
+        4,
+        True,
+        1,
+        "127.0.0.1:80",
+    )
     assert (entries[0].zone, entries[0].kind, entries[0].listing) == (1, 2, Listing.DRAINING)
-    assert catalog.entries(3) == entries and catalog.reached(b"s-2") is None
+    assert catalog.entries(3) == entries and catalog.host_address(b"s-2") is None
 
 
 @pytest.mark.parametrize(
@@ -571,13 +589,16 @@
     deadlines, _ = deadlines
     catalog = Catalog(None, deadlines, None, NAMES, 9, 9, lambda entries, whole: None)
     with pytest.raises(BadList):
-        catalog.known(raw)
-    assert catalog.index is None and not catalog.directory.rows(3) and not catalog.holds_a_list
+        catalog.load_known_list(raw)
+    assert catalog.index is None and not catalog.directory.rows(3) and not catalog.has_list
 
 
 def test_settings_get_defaults_and_unknown_effects_never_run_twice():
-    terms = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
-    assert terms.products[0].effect is Effect.ONCE_ONLY and (terms.slots, terms.max_texts) == (16, 500)
+    settings = bench_terms(1, {"classes": [{"effect": "new"}], "unknown": 1, "limits": None})
+    assert settings.products[0].effect is Effect.ONCE_ONLY and (settings.slots, settings.max_texts) == (
+        16,
+        500,
+    )
 
 
 @pytest.mark.parametrize(
@@ -616,6 +637,6 @@
 )
 def test_a_start_is_one_call_for_the_list_where_the_one_held_has_a_version(known, asked):
     catalog = Catalog(None, None, None, NAMES, 9, 9, lambda entries, whole: None)
-    catalog.known(known)
+    catalog.load_known_list(known)
     (watch := catalog.buildProtocol(None)).makeConnection(Wire())
     assert watch.transport.value().split(b"\r\n")[0] == asked
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -4,16 +4,16 @@
 from dataclasses import replace
 
 import pytest
-from conftest import HOST, REPORT, Bench, S
+from conftest import HOST, REPORT, PolicyHarness, S
 from test_crossings import Running
 from test_parts import GOOD, Wire
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.platform import read_platform
+from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import MS, SECOND, Result
 from limelatch.policy import Policy
 from limelatch.relay.driver import Driver
-from limelatch.relay.ending import Ending
+from limelatch.relay.end_reason import EndReason
 
 
 class Loop(Running):
@@ -68,7 +68,7 @@
         }
         for name, kind, group in (("s-1", "single", 1), ("s-5", "batching", 2))
     ]
-    driver.catalog.known({"index": 1, "snapshot": True, "endpoints": rows})
+    driver.catalog.load_known_list({"index": 1, "snapshot": True, "endpoints": rows})
     yield driver
     driver.ledger.close()
 
@@ -83,7 +83,7 @@
     """The connection on which these texts are out, and their call."""
     hand_in(driver, *texts, **more)
     loop.turn()
-    assert len(loop.lines) == 1 and len(loop.lines[0].call.parcels) == len(texts)
+    assert len(loop.lines) == 1 and len(loop.lines[0].call.texts) == len(texts)
     return loop.lines[0], loop.lines[0].call
 
 
@@ -116,7 +116,7 @@
     """At three-products a 200 read 0.8 ms after a text's end, before its time-out was called, passed for the
     delivery at the relay alone: the bench counted neither that nor any other end."""
     line, call = call_out(driver, loop, *texts, dest=dest, product=product)
-    end = min(each.due for each in call.parcels)
+    end = min(each.due_at for each in call.texts)
     if first == "answer in time":
         loop.pass_to(end - 1)
         line.dataReceived(answer(*texts))
@@ -136,8 +136,8 @@
     settle(line, loop)
     loop.pass_to(end + 200 * MS)
     loop.turn()
-    assert len(loop.lines) == 1 and driver.pool.calls_out == 0  # and none is sent a second time
-    notices = {text: words["result"] for text, words in driver.notifier.owed.items()}
+    assert len(loop.lines) == 1 and driver.pool.calls_in_flight == 0  # and none is sent a second time
+    notices = {text: words["result"] for text, words in driver.notifier.pending.items()}
     if first == "answer in time":
         assert not driver.accepted and not notices
     else:
@@ -161,7 +161,7 @@
 ):
     """None: the connection breaks instead."""
     line, call = call_out(driver, loop, *texts, dest=dest, product="charge")
-    end, raw = min(each.due for each in call.parcels), answer(*texts)
+    end, raw = min(each.due_at for each in call.texts), answer(*texts)
     loop.pass_to(end + line_at)
     line.dataReceived(raw[:17])
     if rest_at is None:
@@ -172,7 +172,7 @@
     settle(line, loop)
     assert (not driver.accepted) == delivered
     dead = {} if delivered else {text.encode(): {"result": "dead"} for text in texts}
-    assert driver.notifier.owed == dead
+    assert driver.notifier.pending == dead
 
 
 def test_an_interim_line_in_time_proves_no_delivery(driver, loop):
@@ -182,7 +182,7 @@
     loop.pass_to(call.deadline.when)
     line.dataReceived(answer("t1"))
     settle(line, loop)
-    assert driver.notifier.owed == {b"t1": {"result": "dead"}}
+    assert driver.notifier.pending == {b"t1": {"result": "dead"}}
 
 
 @pytest.mark.parametrize("texts, dest", [ALONE, BATCH])
@@ -196,10 +196,10 @@
     assert call.deadline.when < min(driver.accepted[text.encode()].text.valid_until for text in texts)
     line.dataReceived(answer(*texts))
     settle(line, loop)
-    assert set(driver.notifier.owed) == (set() if again else {text.encode() for text in texts})
+    assert set(driver.notifier.pending) == (set() if again else {text.encode() for text in texts})
     assert set(driver.accepted) == {text.encode() for text in texts}
     if again:
-        assert {held.ran_at for held in driver.policy.texts.values()} == {call.sent}
+        assert {held.ran_at for held in driver.policy.texts.values()} == {call.sent_at}
 
 
 def test_a_wait_that_is_told_too_late_for_the_text_is_heeded_all_the_same(driver, loop):
@@ -220,7 +220,7 @@
         answer(*texts, state=word) if word == "over" else b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"
     )
     settle(line, loop)
-    assert set(driver.notifier.owed) == {text.encode() for text in texts}
+    assert set(driver.notifier.pending) == {text.encode() for text in texts}
 
 
 @pytest.mark.parametrize("texts, dest", [ALONE, BATCH])
@@ -237,11 +237,11 @@
     monkeypatch.setattr(driver.ledger, "record_accepted", slowly)
     line, call = call_out(driver, loop, *texts, dest=dest)
     ends = [driver.accepted[text.encode()].text.valid_until for text in texts]
-    assert call.deadline.when == min(ends) and [each.due for each in call.parcels] == ends
-    assert line.ending is None
+    assert call.deadline.when == min(ends) and [each.due_at for each in call.texts] == ends
+    assert line.end_reason is None
     loop.pass_to(min(ends))
     loop.turn()
-    assert line.ending is Ending.SILENT
+    assert line.end_reason is EndReason.ANSWER_TIMEOUT
 
 
 # Paces on a wall's clock.
@@ -249,10 +249,10 @@
 WALL = 1_796_000_000 * S  # some moment of 2026
 
 
-def sends(terms, start, told, seconds=10):
+def sends(policy_settings, start, told, seconds=10):
     """How many calls one of many relays makes at a limit of 40 calls a second, in each second, with work
     enough; the limit is listed, or told by each answer."""
-    bench = Bench(Policy(terms, start))
+    bench = PolicyHarness(Policy(policy_settings, start))
     bench.list(HOST, rate=0.0 if told else 40.0, now=start)
     counts = [0] * seconds
     for step in range(50 * seconds):
@@ -260,41 +260,41 @@
         bench.take(REPORT, now=now, valid=4 * S)
         for text in bench.sent(now):
             counts[step // 50] += 1
-            bench.end(text, Result.DELIVERED, now, over=True, limit_rate=40.0 if told else None)
+            bench.end(text, Result.DELIVERED, now, finished=True, limit_rate=40.0 if told else None)
     return counts
 
 
 @pytest.mark.parametrize("told", [False, True])
 @pytest.mark.parametrize("relays", [20, 200])
-def test_a_relay_starts_at_its_even_part_of_a_limit_whatever_the_clock_says(terms, relays, told):
+def test_a_relay_starts_at_its_even_part_of_a_limit_whatever_the_clock_says(policy_settings, relays, told):
     """The first refill once counted from the clock's zero: on a wall's each relay began at the whole."""
-    terms = replace(terms, relays=relays, slots=8, rates_listed=not told)
-    first = sends(terms, 0, told)
-    assert sends(terms, WALL, told) == first
+    policy_settings = replace(policy_settings, relays=relays, slots=8, rates_listed=not told)
+    first = sends(policy_settings, 0, told)
+    assert sends(policy_settings, WALL, told) == first
     saved, even = 2, 40 / relays  # calls saved up at the start, its even part of the limit
     assert first[0] <= saved + told + 2 * even  # told: the call whose answer tells comes before
 
 
-def test_a_limit_told_after_many_calls_finds_no_debt_from_the_time_without_a_pace(terms):
+def test_a_limit_told_after_many_calls_finds_no_debt_from_the_time_without_a_pace(policy_settings):
     """Calls made while nothing was known would hold the next ones back for minutes."""
-    bench = Bench(Policy(replace(terms, relays=20), WALL))
+    bench = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
     bench.list(HOST, now=WALL)
     for _ in range(30):
-        bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, over=True)
-    bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, over=True, limit_rate=40.0)
+        bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True)
+    bench.out(bench.take(REPORT, now=WALL), Result.DELIVERED, WALL, finished=True, limit_rate=40.0)
     now = WALL + S // 2
     assert bench.sent(now) == {} and bench.sent(now) == {}
     text = bench.take(REPORT, now=now)
     assert bench.sent(now) == {text: HOST}
 
 
-def test_a_pace_learned_anew_does_not_grow_for_the_time_without_one(terms):
-    bench = Bench(Policy(replace(terms, relays=20), WALL))
+def test_a_pace_learned_anew_does_not_grow_for_the_time_without_one(policy_settings):
+    bench = PolicyHarness(Policy(replace(policy_settings, relays=20), WALL))
     bench.list(HOST, now=WALL)
     route = bench.host().route
     route.limit, route.pace, route.credit, route.credit_at = 0.0, 0.0, 0.0, WALL  # had one, long ago
     now = WALL + 600 * S
-    bench.out(bench.take(REPORT, now=now), Result.DELIVERED, now, over=True, limit_rate=40.0)
+    bench.out(bench.take(REPORT, now=now), Result.DELIVERED, now, finished=True, limit_rate=40.0)
     bench.decide(now=now)
     bench.take(REPORT, now=now)
     bench.decide(now=now)
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -9,13 +9,13 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import SETTINGS, WAIT, S
+from conftest import SETTINGS, WAIT_TIMEOUT, S
 from test_crossings import Running, until
 from test_parts import GOOD
 
 from limelatch.configuration import plan_of
-from limelatch.configuration.platform import read_platform
-from limelatch.folder_gate import RETRY_AFTER
+from limelatch.configuration.platform_form import read_platform
+from limelatch.storage_gate import RETRY_AFTER
 from limelatch.interface import MS, Result
 from limelatch.relay.driver import Driver
 from limelatch.relay.hosts import Call, Outcome
@@ -56,10 +56,10 @@
         self.driver = driver = Driver(plan, self.clock, self.clock)
         self.out, self.ended = [], {}
         driver.pool.send = self.send
-        driver.notifier.notice = lambda text, words: self.ended.setdefault(text, words["result"])
+        driver.notifier.add_notice = lambda text, words: self.ended.setdefault(text, words["result"])
         driver.start()
         driver.ready = True
-        driver.catalog.known(
+        driver.catalog.load_known_list(
             {
                 "index": 1,
                 "snapshot": True,
@@ -76,48 +76,48 @@
                 ],
             }
         )
-        driver.catalog.fresh = True
+        driver.catalog.is_fresh = True
         driver.turn()
         return self
 
-    def send(self, host, parcels):
+    def send(self, host, texts):
         """The host begins each text as it is sent."""
-        call = Call(host, parcels, self.clock.now())
+        call = Call(host, texts, self.clock.now())
         self.clock.rightNow += self.late / S
         now = self.clock.now()
-        for each in parcels:
+        for each in texts:
             if not self.driver.may_send(now, each.text, host):
-                self.driver.submit_ended(call, each, Outcome(Result.MOOT))
-        for each in [one for one in parcels if self.driver.may_send(now, one.text, host)]:
+                self.driver.submit_ended(call, each, Outcome(Result.NOT_SENT))
+        for each in [one for one in texts if self.driver.may_send(now, one.text, host)]:
             assert self.driver.start_submit(call, each)
             self.sent.append((now, each.text, host))
             self.out.append((call, each))
-            known = self.ran.get((each.mark, host))
-            if not known or not each.mark or now - known >= WINDOW:
-                self.ran[each.mark, host] = now
+            known = self.ran.get((each.idempotency_key, host))
+            if not known or not each.idempotency_key or now - known >= WINDOW:
+                self.ran[each.idempotency_key, host] = now
                 self.effects[each.text] += 1
 
     def hand_in(self, text, product):
         client = SimpleNamespace(answers=[])
         client.answer = client.answers.append
-        handed = SimpleNamespace(
+        submission = SimpleNamespace(
             id=text,
             destination=1,
             product=product,
             customer=b"acme",
             valid_for=8 * S,
-            order=b"",
-            mark=b"m-" + text,
+            key=b"",
+            idempotency_key=b"m-" + text,
             body=b"x",
         )
-        self.driver.submission_received(handed, client)
+        self.driver.submission_received(submission, client)
         self.driver.turn()
         assert client.answers == ["+OK"]
 
     def answered(self, result):
         """All calls that are out get this answer."""
-        for call, parcel in self.out:
-            self.driver.submit_ended(call, parcel, Outcome(result, result is Result.DELIVERED))
+        for call, outgoing in self.out:
+            self.driver.submit_ended(call, outgoing, Outcome(result, result is Result.DELIVERED))
         self.out = []
 
     def killed(self, restart, **more):
@@ -205,9 +205,9 @@
 
 
 @pytest.mark.parametrize("product", ["notice", "anywhere"])
-def test_a_process_killed_within_the_window_repeats_within_it_or_answers(plan, agent, party, product):
+def test_a_process_killed_within_the_window_repeats_within_it_or_answers(plan, agent, make_host, product):
     """On sockets: whether the start is quick enough is the machine's; one of both comes, and never both."""
-    host, program = party(lambda request: request.hang()), plan(settings=SHORT)
+    host, program = make_host(lambda request: request.hang()), plan(settings=SHORT)
     agent.list(host.address)
     program.start().submit("t1", product, d=20_000)
     first = host.next()
@@ -221,12 +221,12 @@
         assert host.next().headers["X-Txn"] == "t2" and agent.notices.empty()
     else:
         assert agent.notice()["result"] == ("dead" if product == "notice" else "bounced")
-        assert host.asked.empty()
+        assert host.requests.empty()
 
 
 @pytest.mark.parametrize("product", ["notice", "anywhere"])
-def test_a_process_back_after_the_window_answers_at_once(plan, agent, party, product):
-    host, program = party(lambda request: request.hang()), plan(settings=SHORT)
+def test_a_process_back_after_the_window_answers_at_once(plan, agent, make_host, product):
+    host, program = make_host(lambda request: request.hang()), plan(settings=SHORT)
     agent.list(host.address)
     program.start().submit("t1", product, d=20_000)
     first = host.next()
@@ -234,10 +234,10 @@
     until(lambda: time.monotonic() > first.at + 1.1 * WINDOW / S)
     host.reply = lambda request: (200,)
     client = program.start()
-    told = agent.notices.get(timeout=WAIT)
+    told = agent.notices.get(timeout=WAIT_TIMEOUT)
     assert told["ref"] == "t1" and told["result"] == ("dead" if product == "notice" else "bounced")
     client.submit("t2", "report")
-    assert host.next().headers["X-Txn"] == "t2" and host.asked.empty()
+    assert host.next().headers["X-Txn"] == "t2" and host.requests.empty()
 
 
 def end_early_unrecorded(life, monkeypatch):
@@ -247,7 +247,7 @@
         raise OSError(errno.EIO, "Input/output error")
 
     life.hand_in(b"r", b"report")
-    life.driver.policy.dests[1].tokens = 0
+    life.driver.policy.destinations[1].tokens = 0
     monkeypatch.setattr(os, "write", refuse)
     life.answered(Result.FULL)
     life.driver.turn()
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -11,10 +11,9 @@
 from test_crossings import Running, take
 from test_key_order import Process
 
-from limelatch.configuration.plan import OWN, Shares
+from limelatch.configuration.plan import RESERVED_DESCRIPTORS, DescriptorShares
 from limelatch.relay.directory import Directory
-from limelatch.relay.list_copy import FILE as LIST
-from limelatch.relay.list_copy import FORM, ListCopy
+from limelatch.relay.list_copy import COPY_FILE, COPY_FORM, ListCopy
 from limelatch.relay.ledger import BLOCK, FILE, NEW_FILE, STANDBY_DIR, Ledger
 
 DISK = 300_000
@@ -72,9 +71,11 @@
     clock = Running()
     old = process(tmp_path, clock)
     directory = Directory(10)
-    with open(tmp_path / LIST, "wb") as file:
+    with open(tmp_path / COPY_FILE, "wb") as file:
         rows = list(directory.lines())
-        head = json.dumps({"form": FORM, "catalog": "a:1", "index": 3, "more": "x" * 3000}).encode() + b"\n"
+        head = (
+            json.dumps({"form": COPY_FORM, "catalog": "a:1", "index": 3, "more": "x" * 3000}).encode() + b"\n"
+        )
         file.write(head + b"".join(rows) + json.dumps({"rows": 0, "crc": 0}).encode() + b"\n")
     new = process(tmp_path, clock)
     whole = new.ledger.disk_limit
@@ -137,28 +138,30 @@
     return made
 
 
-def test_two_processes_hold_no_more_descriptors_than_one_relay_may(plan, agent, party):
-    agent.list(party().address)
-    old = plan(limits={"disk_mb": 3, "sockets": SOCKETS})
+def test_two_processes_hold_no_more_descriptors_than_one_relay_may(make_program, agent, make_host):
+    agent.list(make_host().address)
+    old = make_program(limits={"disk_mb": 3, "sockets": SOCKETS})
     old.start()
     clients = crowd(old, SOCKETS)
     new = copy.copy(old)
     new.process = None
     try:
         new.launch()
-        new.says("event=serving")
+        new.wait_for_log("event=serving")
         most = 0
         for _ in range(6):
             clients += crowd(old, SOCKETS // 2)
             most = max(most, descriptors(old, new))
         assert most <= SOCKETS
         old.kill()
-        new.says("event=taken-over")
+        new.wait_for_log("event=taken-over")
         most = 0
         for _ in range(4):
             clients += crowd(new, SOCKETS // 4)
             most = max(most, descriptors(new))
-        assert most > OWN + Shares.of_two(SOCKETS).clients  # all of them are its own again
+        assert (
+            most > RESERVED_DESCRIPTORS + DescriptorShares.during_upgrade(SOCKETS).clients
+        )  # all of them are its own again
     finally:
         new.kill()
         for client in clients:
