--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -42,7 +42,7 @@
     Mutant(
         "the rest in the ledger",
         "relay/driver.py",
-        "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, rest)",
+        "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, cooldown_until)",
         "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN)",
     ),
     Mutant(
@@ -60,8 +60,8 @@
     Mutant(
         "the record of a submit before it goes",
         "relay/driver.py",
-        "accepted.submit_out = self.ledger.record_submit(text, call.sent_at, zone)",
-        "accepted.submit_out = True",
+        "accepted.submit_in_flight = self.ledger.record_submit(text, call.sent_at, zone)",
+        "accepted.submit_in_flight = True",
     ),
     Mutant(
         "the window for repeats",
--- a/limelatch/relay/__main__.py
+++ b/limelatch/relay/__main__.py
@@ -89,7 +89,7 @@
 
     def configure() -> None:
         try:
-            driver.configured(reloaded_plan(os.environ, path, form))
+            driver.reconfigure(reloaded_plan(os.environ, path, form))
         except ConfigurationError as error:  # the one in force stays, whole
             logs.log_event(log, "not-configured", why="; ".join(str(fault) for fault in error.errors))
 
--- a/limelatch/relay/anchor_file.py
+++ b/limelatch/relay/anchor_file.py
@@ -14,7 +14,7 @@
     resume_after_bad_anchor,
     resume_timeline,
 )
-from limelatch.relay.ledger import named
+from limelatch.relay.ledger import error_context
 from limelatch.relay.atomic_file import replace_file
 
 log = logger("deadlines")
@@ -32,7 +32,7 @@
         """The timeline that the folder's texts are on. Raises OSError where the file can't be read."""
         reading = ClockReading.read()
         try:
-            with named("read", self.path), open(self.path, "rb") as file:
+            with error_context("read", self.path), open(self.path, "rb") as file:
                 line = file.read(MAX_ANCHOR_BYTES)
             timeline = resume_timeline(Anchor.decode(line), reading)
         except FileNotFoundError:
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -1,4 +1,4 @@
-"""The driver: events in, `decide` once a turn, actions out."""
+"""The driver: passes events to the policy, has it decide once a turn, and carries out its actions."""
 
 from __future__ import annotations
 
@@ -34,50 +34,51 @@
 from limelatch.relay.wall_clock_monitor import WallClockMonitor
 
 log, policy_log = logger("driver"), logger("policy")
-NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.NOT_SENT)
-PORT_WAIT, PORT_LOOK = li.SECOND, li.SECOND // 20  # for a port that is in use at the start
-SHORTAGE_WAIT = 20 * li.SECOND  # for a machine without buffers or descriptors at the start
-LAST_LOOK = 20 * li.MS  # between two looks whether clients still ask, before an early end
+NEVER_RAN = (li.Result.FULL, li.Result.CONNECT, li.Result.NOT_SENT)  # the submit certainly did not run
+PORT_TIMEOUT = li.SECOND  # for a port that is in use at the start
+PORT_RETRY_INTERVAL = li.SECOND // 20
+RESOURCE_TIMEOUT = 20 * li.SECOND  # for a machine without buffers or descriptors at the start
+IDLE_CHECK_INTERVAL = 20 * li.MS  # between two checks for requests of clients, before an early end
 
 
 @dataclass(slots=True)
 class AcceptedText:
-    """One text of the relay, from its arrival to the end that its client or the platform has heard."""
+    """One text, from its arrival until the client or the platform has its final answer."""
 
     text: li.Text
-    mark: bytes
+    idempotency_key: bytes
     body: bytes
-    row: li.Product  # its product's rules as they were when it came, whatever a new configuration says
-    product: str  # and its name
-    client: Client | None = None  # that waits for the answer to its handing in
-    submit_out: bool = False  # written to a host, without an outcome
-    number: int = 0
+    product_settings: (
+        li.Product
+    )  # the product's settings at its arrival; a later configuration doesn't change them
+    product: str  # name of the product
+    client: Client | None = None  # while it waits for the answer to its submission
+    submit_in_flight: bool = False  # a submit was recorded and has no outcome yet
+    slot: int = 0  # in the driver's table of slots
 
     @property
     def key(self) -> bytes | None:
-        """The key of its order, None where its product has none."""
-        return self.text.key or None if self.row.in_order else None
+        """The ordering key; None where it has none or its product is not in order."""
+        return self.text.key or None if self.product_settings.in_order else None
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A text turned back: the reason in a word, and the client's answer."""
+    """Why a submission is refused: the reason for the log, in a word, and the answer to the client."""
 
     why: str
     answer: str
 
 
 class Driver:
-    """One relay: the module, the ledger and the parties around it."""
+    """One relay process: the policy, the ledger, and the connections to clients, hosts and platform."""
 
     def __init__(self, plan: RelayPlan, reactor, clock: Clock) -> None:
         self.plan, self.reactor, self.clock = plan, reactor, clock
-        self.started_with = plan.given
+        self.initial_values = plan.given
         self.deadlines = Deadlines(reactor, clock)
         self.policy = Policy(plan.settings, clock.now())
-        self.suspended_hosts = SuspendedHosts(
-            plan.state_dir
-        )  # by operators; read before the folder is locked
+        self.suspended_hosts = SuspendedHosts(plan.state_dir)  # read before the state directory is locked
         self.storage_monitor = StorageMonitor(clock, self.deadlines, self._notify, self.schedule_turn)
         self.ledger = Ledger(
             plan.state_dir, plan.max_disk_bytes, plan.max_memory_bytes, self.storage_monitor.on_write_result
@@ -97,14 +98,14 @@
             self._share_limits,
         )
         self._last_received_at = 0
-        self._serves_from = clock.now() + (SUCCESSOR_NOTICED_AFTER if self.ledger.is_standby else 0)
+        self._serve_at = clock.now() + (SUCCESSOR_NOTICED_AFTER if self.ledger.is_standby else 0)
         self.slots: Slots[AcceptedText] = Slots(max(plan.settings.max_texts, len(self.ledger.entries)))
         self.accepted: dict[bytes, AcceptedText] = {}
-        self.new_texts: dict[bytes, AcceptedText] = {}  # this turn, not taken on yet
-        self.hosts: dict[li.HostId, li.HostEntry] = {}  # of the destinations at work, as last told
+        self.new_texts: dict[bytes, AcceptedText] = {}  # of this turn, not accepted yet
+        self.hosts: dict[li.HostId, li.HostEntry] = {}  # of the destinations in use, as last listed
         self.limited_log, self.text_log = LimitedLog(log, clock), TextLog(clock)
-        self._turn_due, self.ready, self._stop_at, self._stop_least_at = False, False, None, 0
-        self.failed, self._ended, self._port_until = False, False, None
+        self._turn_due, self.ready, self._stop_deadline, self._earliest_stop_at = False, False, None, 0
+        self.failed, self._is_ending, self._port_deadline = False, False, None
         self.pool = HostPool(
             reactor, self.deadlines, clock, self, plan.shares.hosts, plan.connect_timeout, plan.probe_timeout
         )
@@ -132,7 +133,7 @@
         self.operations = Operations(self, self.suspended_hosts)
         self.operator_server = OperatorServer(self, self.operations, plan.shares.operators)
         self.peers = None
-        if plan.membership is not None:  # else nothing of it is loaded
+        if plan.membership is not None:  # otherwise the membership code is not loaded at all
             from limelatch.relay.peers import Peers
 
             self.peers = Peers(
@@ -140,12 +141,12 @@
             )
 
     def start(self) -> None:
-        """Take up what the ledger holds, then wait for the first list before serving."""
+        """Restore the texts of the ledger, then wait for the first host list before serving."""
         try:
             self.catalog.load_known_list(self.plan.known_hosts)
         except BadList as error:
             log_event(log, "known-list-not-read", why=error)
-        self.plan = replace(self.plan, known_hosts={})  # the directory has it
+        self.plan = replace(self.plan, known_hosts={})  # now in the catalog's directory
         self.catalog.load_copy()
         now = self.clock.now()
         if self.ledger.cut_bytes:
@@ -160,7 +161,7 @@
             hosts=len(self.catalog.directory),
             ledger_bytes=self.ledger.size,
         )
-        if self.plan.operator_address is not None:  # at once: STATUS says whether clients are served yet
+        if self.plan.operator_address is not None:  # before clients are served: STATUS reports that
             self.operator_server.listen(
                 self.reactor, self.plan.operator_address.host, self.plan.operator_address.port
             )
@@ -174,7 +175,7 @@
         self.schedule_turn()
 
     def _adopt(self, entries: list[Entry]) -> None:
-        """Texts that another process of this relay has left are this one's."""
+        """Take over the texts that another process of this relay has left."""
         self.slots.size = max(self.slots.size, len(self.accepted) + len(entries))
         now = self.clock.now()
         for entry in entries:
@@ -182,57 +183,59 @@
         log_event(log, "taken-over", owed=len(self.accepted), adopted=len(entries))
         self.schedule_turn()
 
-    def _share_limits(self, two: bool) -> None:
-        """The limits are one for both processes of an upgrade: each holds half of the descriptors, and sends
-        half of what a host back from an outage bears."""
-        self.policy.process_count = 2 if two else 1
-        shares = DescriptorShares.during_upgrade(self.plan.sockets) if two else self.plan.shares
+    def _share_limits(self, has_sibling: bool) -> None:
+        """Share the limits between the two processes of an upgrade, or use them whole again.
+
+        Each process gets half of the descriptors, and half of what a host may be sent after an outage."""
+        self.policy.process_count = 2 if has_sibling else 1
+        shares = DescriptorShares.during_upgrade(self.plan.sockets) if has_sibling else self.plan.shares
         self.listener.set_limits(shares.clients, shares.max_clients)
         self.pool.set_limit(shares.hosts)
 
     def _is_ordered(self, product: str) -> bool:
-        """Whether a product is in order by the settings; one that they don't know counts as one that is."""
+        """Whether a product is delivered in order, by the settings; an unknown product counts as such."""
         names = self.plan.names.products
         return product not in names or self.plan.settings.products[names.index(product)].in_order
 
     def _restore(self, now: int, entry: Entry) -> None:
-        """A text that an earlier process took on: an end it still owes, or the module decides anew."""
-        pairs, names, said = entry.fields, self.plan.names, entry.fields["customer"]
-        known = pairs["product"] in names.products
-        product = names.products.index(pairs["product"]) if known else 0
-        customer = names.customers.index(said) if said in names.customers else 0
-        text = li.Text(entry.id, pairs["dest"], product, pairs["until"], customer, entry.key)
+        """Restore a text of an earlier process: send its notice, or have the policy decide on it."""
+        fields, names, customer_name = entry.fields, self.plan.names, entry.fields["customer"]
+        is_known = fields["product"] in names.products
+        product = names.products.index(fields["product"]) if is_known else 0
+        customer = names.customers.index(customer_name) if customer_name in names.customers else 0
+        text = li.Text(entry.id, fields["dest"], product, fields["until"], customer, entry.key)
         text.received_at = entry.received_at
         self._last_received_at = max(self._last_received_at, entry.received_at)
-        in_order = self._is_ordered(pairs["product"]) if entry.in_order is None else entry.in_order
-        row = replace(self.plan.settings.products[product], in_order=in_order)
+        in_order = self._is_ordered(fields["product"]) if entry.in_order is None else entry.in_order
+        product_settings = replace(self.plan.settings.products[product], in_order=in_order)
         accepted = self._register(
-            AcceptedText(text, pairs["mark"].encode(), entry.body, row, pairs["product"])
+            AcceptedText(text, fields["mark"].encode(), entry.body, product_settings, fields["product"])
         )
-        answered = entry.notice is not None or not known
-        ran_at = entry.first_run_at
-        if ran_at is not None and ran_at < self.clock.certain_from:
-            ran_at = min(ran_at, now - row.retry_window)  # nobody knows how long ago: its window is over
+        answered = entry.notice is not None or not is_known
+        first_run_at = entry.first_run_at
+        if first_run_at is not None and first_run_at < self.clock.certain_from:
+            # Nobody knows how long ago it ran, so its retry window counts as over.
+            first_run_at = min(first_run_at, now - product_settings.retry_window)
         history = li.TextHistory(
-            entry.submit_count, ran_at, entry.first_run_zone, entry.in_flight, answered, in_order
+            entry.submit_count, first_run_at, entry.first_run_zone, entry.in_flight, answered, in_order
         )
-        self.text_log.adopted(entry, accepted.key, ran_at is not None, answered)
+        self.text_log.adopted(entry, accepted.key, first_run_at is not None, answered)
         self._list_hosts_of(now, text.destination)
         self.policy.text_accepted(now, text, history)
-        if entry.in_flight and accepted.key is not None:  # its rest has to outlast this process too
-            self.ledger.record_submit_end(entry.id, True, now, self._rest_of(accepted, now))
+        if entry.in_flight and accepted.key is not None:  # the cooldown has to outlast this process too
+            self.ledger.record_submit_end(entry.id, True, now, self._cooldown_until(accepted, now))
         if entry.notice is not None:
             self.notifier.add_notice(entry.id, entry.notice)
-        elif not known:
-            log_event(log, "product-unknown", product=pairs["product"])
+        elif not is_known:
+            log_event(log, "product-unknown", product=fields["product"])
             self._finish_with_notice(accepted, {"result": "dead"})
 
     def serve(self) -> None:
-        """Open for clients; PING is answered from here on."""
-        if self.clock.now() < self._serves_from:  # the old process has to make room first
-            self.deadlines.at(self._serves_from, self.serve)
+        """Listen for clients; PING is answered from now on."""
+        if self.clock.now() < self._serve_at:  # the old process has to give up its half of the limits first
+            self.deadlines.at(self._serve_at, self.serve)
             return
-        if not self.ready and self._stop_at is None and not self.failed:
+        if not self.ready and self._stop_deadline is None and not self.failed:
             listen = self.plan.listen
             try:
                 self.listener.listen(self.reactor, listen.host, listen.port, self.ledger.is_standby)
@@ -250,23 +253,26 @@
             self.schedule_turn()
 
     def _port_taken(self, error: CannotListenError) -> None:
-        """Guards against a process before that has given back the folder and, ending, not yet the port."""
+        """Try again for a while, then end the process.
+
+        Guards against an old process that is ending and has unlocked the state directory, but not yet closed
+        the port."""
         now, listen = self.clock.now(), self.plan.listen
-        if self._port_until is None:
-            short = error.socketError.errno in ACCEPT_RESOURCE_ERRORS
-            self._port_until = now + (SHORTAGE_WAIT if short else PORT_WAIT)
+        if self._port_deadline is None:
+            is_shortage = error.socketError.errno in ACCEPT_RESOURCE_ERRORS
+            self._port_deadline = now + (RESOURCE_TIMEOUT if is_shortage else PORT_TIMEOUT)
             log_event(log, "port-taken", listen=listen, why=error.socketError)
-        if now < self._port_until:
-            self.deadlines.after(PORT_LOOK, self.serve)
+        if now < self._port_deadline:
+            self.deadlines.after(PORT_RETRY_INTERVAL, self.serve)
         else:
             log_event(log, "not-serving", listen=listen, why=error.socketError)
             self.failed = True
             self.reactor.stop()
 
-    def configured(self, plan: RelayPlan) -> None:
-        """SIGHUP: take the keys that can change while texts are held; the others need a restart."""
-        later = [
-            each.path for each in changes(self.started_with, plan.given) if each.reload is Reload.RESTART
+    def reconfigure(self, plan: RelayPlan) -> None:
+        """SIGHUP: apply the settings that can change while texts are pending; the others need a restart."""
+        restart_keys = [
+            each.path for each in changes(self.initial_values, plan.given) if each.reload is Reload.RESTART
         ]
         settings = replace(
             self.plan.settings, products=plan.settings.products, max_submits=plan.settings.max_submits
@@ -281,7 +287,7 @@
             settings=settings,
             names=replace(self.plan.names, products=plan.names.products),
         )
-        self.policy.settings = settings  # what it holds keeps the rows it came with
+        self.policy.settings = settings  # pending texts keep the product settings of their arrival
         self.catalog.change_address(plan.catalog_address)
         self.notifier.move(plan.catalog_address)
         start_logs(plan.log)
@@ -292,18 +298,21 @@
             owed=len(self.accepted),
             products=len(settings.products),
             submits=settings.max_submits,
-            restart_for=",".join(later),
+            restart_for=",".join(restart_keys),
         )
         self.schedule_turn()
 
     def stop(self) -> None:
-        """SIGTERM: nothing new is taken, calls that are out finish, then the relay ends."""
-        if self._stop_at is not None:
+        """SIGTERM: accept nothing new, wait for calls in flight, then end the process."""
+        if self._stop_deadline is not None:
             return
         now = self.clock.now()
-        self._stop_at, self._stop_least_at = now + self.plan.max_stop_time, now + self.plan.min_stop_time
+        self._stop_deadline, self._earliest_stop_at = (
+            now + self.plan.max_stop_time,
+            now + self.plan.min_stop_time,
+        )
         handed_over = self.ready and self.ledger.has_successor()
-        self.policy.stopping(self._stop_at)
+        self.policy.stopping(self._stop_deadline)
         self.listener.stop(handed_over)
         log_event(
             log, "stopping", owed=len(self.accepted), calls=self.pool.calls_in_flight, handed_over=handed_over
@@ -312,25 +321,25 @@
         if not self.ready:
             self._exit()
         self.deadlines.after(self.plan.min_stop_time, self._exit_if_idle)
-        self.deadlines.at(self._stop_at, self._exit)
+        self.deadlines.at(self._stop_deadline, self._exit)
 
     def _exit_if_idle(self) -> None:
-        """End early, once clients have stopped coming, when nothing is owed and no call is out."""
-        if self.clock.now() >= self._stop_least_at and not self.accepted and not self.pool.calls_in_flight:
+        """End early: when no text is pending, no call is in flight and clients send no more requests."""
+        if self.clock.now() >= self._earliest_stop_at and not self.accepted and not self.pool.calls_in_flight:
             if (
                 self.listener.has_pending_requests()
-            ):  # it gets its answer first: at the latest when the stop's time is over
-                self.deadlines.after(LAST_LOOK, self._exit_if_idle)
+            ):  # they are answered first, until the stop's deadline at most
+                self.deadlines.after(IDLE_CHECK_INTERVAL, self._exit_if_idle)
             else:
                 self._exit()
 
     def _exit(self) -> None:
-        """End in the reactor's next turn, with no more read in between.
+        """End in the reactor's next turn, and read no more requests before it.
 
-        Guards against an answer that is still to be written as the reactor closes all connections: a request
-        that was read has to be answered, one that was not is sent again by its client."""
-        if not self._ended:
-            self._ended = True
+        Guards against an answer that is not yet written when the reactor closes all connections: a request
+        that was read has to be answered, while one that was not read is sent again by its client."""
+        if not self._is_ending:
+            self._is_ending = True
             self.storage_monitor.retry_at_exit()
             self.listener.stop_reading()
             if self.peers is not None:
@@ -338,54 +347,63 @@
             log_event(log, "stopped", owed=len(self.accepted), calls=self.pool.calls_in_flight)
             self.deadlines.after(0, self.reactor.stop)
 
-    # What the parties tell.
+    # Events from clients, the catalog, hosts and the platform.
 
     def submission_received(self, submission: Submission, client: Client) -> None:
-        """A client hands in a text; the answer comes with this turn."""
+        """A client hands in a text; it is answered in the next turn at the latest."""
         names, now = self.plan.names, self.clock.now()
         if self.handover.sibling_has(submission.id):
-            client.answer("+OK")  # this relay has taken it on, in its other process
+            client.answer("+OK")  # the other process of this relay has accepted it
             return
         product, customer = (
             submission.product.decode(errors="replace"),
             submission.customer.decode(errors="replace"),
         )
-        refusal = self._refusal(submission, product, customer)
+        refusal = self._refusal_of(submission, product, customer)
         if refusal is not None:
             log_event(log, "text-refused", text=submission.id, why=refusal.why)
             client.answer(refusal.answer)
         else:
-            number = names.customers.index(customer) if customer in names.customers else 0
-            row = names.products.index(product)
-            most = self.plan.settings.products[row].validity_period or submission.valid_for
-            until = now + min(submission.valid_for, most)
-            self._last_received_at = max(now, self._last_received_at + 1)  # each text has a time of its own
-            text = li.Text(submission.id, submission.destination, row, until, number, submission.key)
+            customer_index = names.customers.index(customer) if customer in names.customers else 0
+            product_index = names.products.index(product)
+            max_validity = self.plan.settings.products[product_index].validity_period or submission.valid_for
+            valid_until = now + min(submission.valid_for, max_validity)
+            self._last_received_at = max(now, self._last_received_at + 1)  # unique, since it orders texts
+            text = li.Text(
+                submission.id,
+                submission.destination,
+                product_index,
+                valid_until,
+                customer_index,
+                submission.key,
+            )
             text.received_at = self._last_received_at
-            rules = self.plan.settings.products[row]
+            product_settings = self.plan.settings.products[product_index]
             self.new_texts[submission.id] = self._register(
-                AcceptedText(text, submission.idempotency_key, submission.body, rules, product, client)
+                AcceptedText(
+                    text, submission.idempotency_key, submission.body, product_settings, product, client
+                )
             )
             self._list_hosts_of(now, text.destination)
             self.policy.text_accepted(now, text)
             self.schedule_turn()
 
-    def _refusal(self, submission: Submission, product: str, customer: str) -> Refusal | None:
-        """Why a text is turned back before the module hears of it; None where it is not."""
+    def _refusal_of(self, submission: Submission, product: str, customer: str) -> Refusal | None:
+        """Why a text is refused without asking the policy; None where it is not."""
         names = self.plan.names
         if product not in names.products:
             return Refusal("product", f"-ERR unknown class {product[:40]!r}")
         if names.customers and customer and customer not in names.customers:
             return Refusal("customer", f"-ERR unknown tenant {customer[:40]!r}")
         if self.catalog.is_fresh and not self._has_hosts(submission.destination):
-            # else it would be held until its validity ends
+            # else the text would be pending until its validity period ends
             return Refusal("destination", "-ERR unknown destination")
         if not self.catalog.has_list:
             self.limited_log("no-list", why="no list of hosts has been read yet")
             return Refusal("no-list", "-BUSY")
         if submission.id in self.accepted:
             return Refusal("id-known", "-ERR this id was handed in before")
-        if self._stop_at is not None:
+        if self._stop_deadline is not None:
             return Refusal("stopping", "-BUSY")
         if self.slots.full:
             return Refusal("texts-most", "-BUSY")
@@ -394,19 +412,20 @@
         return None
 
     def _has_hosts(self, destination: int) -> bool:
-        """Whether the list has the destination; one at work is not looked up for each text."""
+        """Whether the destination is listed; one in use is found without a search in the directory."""
         at_work = self.policy.destinations.get(destination)
         if at_work is not None and any(host.listing is not li.Listing.GONE for host in at_work.hosts):
             return True
         return self.catalog.directory.has_destination(destination)
 
     def _register(self, accepted: AcceptedText) -> AcceptedText:
-        accepted.number = self.slots.take(accepted)
+        """Add a text to the driver's tables."""
+        accepted.slot = self.slots.take(accepted)
         self.accepted[accepted.text.id] = accepted
         return accepted
 
     def client_disconnected(self, client: Client) -> None:
-        """A client left before its text was taken on: it hands it in again, under a new id."""
+        """A client left before its texts were accepted: drop them; it submits them again under new ids."""
         for accepted in [each for each in self.new_texts.values() if each.client is client]:
             del self.new_texts[accepted.text.id]
             self.policy.text_finished(self.clock.now(), accepted.text.id)
@@ -414,8 +433,10 @@
             self.schedule_turn()
 
     def hosts_listed(self, entries: list[li.HostEntry], whole: bool) -> None:
-        """News of the list: the module hears of the destinations at work alone, after a whole list of all
-        those. The others are told as they are met."""
+        """The host list has changed, or is new as a whole.
+
+        The policy gets only the hosts of destinations in use, all of them after a whole list. It gets the
+        hosts of other destinations with their first text."""
         if whole:
             entries = [
                 entry for number in list(self.policy.destinations) for entry in self.catalog.entries(number)
@@ -423,19 +444,20 @@
             for host in self.hosts.keys() - {entry.host for entry in entries}:
                 self._remove_host(host)
         self._apply_host_list(self.clock.now(), entries, whole)
-        if entries or whole:  # else nothing that is held has changed
+        if entries or whole:  # else no destination in use has changed
             self.schedule_turn()
         if self.catalog.is_fresh and not self.ready:
             self.deadlines.after(0, self.serve)
 
     def _list_hosts_of(self, now: int, destination: int) -> None:
-        """A text's destination: the module is told its hosts, unless it knows them."""
+        """Pass a destination's hosts to the policy, unless it has them."""
         if destination not in self.policy.destinations:
             self._apply_host_list(now, self.catalog.entries(destination), news=False)
 
     def _apply_host_list(
         self, now: int, entries: list[li.HostEntry], whole: bool = False, news: bool = True
     ) -> None:
+        """Pass hosts to the policy and the connection pool; `whole` and `news` are those of the policy."""
         for entry in entries:
             if entry.listing is li.Listing.GONE:
                 self._remove_host(entry.host)
@@ -448,12 +470,12 @@
         self._apply_sibling_news()
 
     def _poll_sibling(self) -> None:
-        """Take in what the other process of this relay holds and knows by now."""
+        """Read what the other process of this relay has recorded by now."""
         self.handover.poll()
         self._apply_sibling_news()
 
     def _apply_sibling_news(self) -> None:
-        """What hosts have told the other process of this relay, and how it found them."""
+        """Pass on to the policy the waits and the health of hosts that the other process has recorded."""
         for host, until in self.handover.host_waits.items():
             self.policy.wait_from_sibling(host, until)
         now = self.clock.now()
@@ -461,63 +483,73 @@
             self.policy.health_from_sibling(now, host, found.health, found.at)
 
     def _remove_host(self, host: li.HostId) -> None:
-        """The host is off the list, or its destination at rest."""
+        """Forget a host that is not listed any more, or whose destination is not in use."""
         self.hosts.pop(host, None)
         self.pool.set_address(host, None)
 
     @property
     def stopping(self) -> bool:
         """Whether SIGTERM has come."""
-        return self._stop_at is not None
+        return self._stop_deadline is not None
 
     def refresh_host(self, host: li.HostId) -> None:
-        """Tell the module a host's line again: an operator has changed what it is to see of it."""
+        """Pass a host to the policy again, after an operator has suspended or restored it."""
         if host in self.hosts:
             self._apply_host_list(self.clock.now(), [self.hosts[host]], news=False)
             self.schedule_turn()
 
     def list_failed(self) -> None:
-        """A watch that the module had asked for ended: it says when to ask again."""
+        """A watch that the policy had asked for has ended; the policy decides when to ask again."""
         self.policy.list_failed(self.clock.now(), self.catalog.last_activity_at)
         self.schedule_turn()
 
     def may_send(self, now: int, text: bytes, host: li.HostId) -> bool:
-        if self.handover.has_host_data:  # what it was told since this process decided binds too
+        """Whether a text may still be sent to a host, now that a connection is ready for it."""
+        if self.handover.has_host_data:  # the other process may have recorded a wait since the decision
             self._poll_sibling()
         return self.policy.may_send(now, text, host)
 
     def start_submit(self, call: Call, outgoing: OutgoingText) -> bool:
-        """A submit is about to be written; not where the ledger can't tell of it, nor out of turn."""
+        """Record a submit that is about to be written.
+
+        False, and it must not be written, where the ledger can't record it or its key's order blocks it."""
         if (accepted := self.accepted.get(outgoing.text)) is None:
             return False
         if accepted.key is None:
             return self._record_submit(accepted, call)
-        hold = self.handover.claim(accepted.key, outgoing.text, lambda: self._record_submit(accepted, call))
-        if hold is not None:
-            self.text_log.submit_blocked(outgoing.text, accepted.key, call.host, hold.value)
-        return accepted.submit_out
+        block_reason = self.handover.claim(
+            accepted.key, outgoing.text, lambda: self._record_submit(accepted, call)
+        )
+        if block_reason is not None:
+            self.text_log.submit_blocked(outgoing.text, accepted.key, call.host, block_reason.value)
+        return accepted.submit_in_flight
 
     def _record_submit(self, accepted: AcceptedText, call: Call) -> bool:
+        """Record a submit in the ledger; False where that can't be written."""
         text = accepted.text.id
         zone = self.hosts[call.host].zone if call.host in self.hosts else -1
-        accepted.submit_out = self.ledger.record_submit(text, call.sent_at, zone)
-        if accepted.submit_out:
+        accepted.submit_in_flight = self.ledger.record_submit(text, call.sent_at, zone)
+        if accepted.submit_in_flight:
             self.text_log.submit_started(
                 text, accepted.key, call.host, self.ledger.entries[text].submit_count
             )
-        return accepted.submit_out
-
-    def _rest_of(self, accepted: AcceptedText, now: int) -> int | None:
-        """Until when the text's key rests by a call of this text; None where it does not."""
-        rest = None if accepted.key is None else self.policy.key_order.cooldowns.get(accepted.key)
-        return rest.until if rest is not None and rest.text == accepted.text.id and rest.until > now else None
+        return accepted.submit_in_flight
+
+    def _cooldown_until(self, accepted: AcceptedText, now: int) -> int | None:
+        """The end of its key's cooldown, where a call of this text has caused it; else None."""
+        cooldown = None if accepted.key is None else self.policy.key_order.cooldowns.get(accepted.key)
+        return (
+            cooldown.until
+            if cooldown is not None and cooldown.text == accepted.text.id and cooldown.until > now
+            else None
+        )
 
     def submit_ended(self, call: Call, outgoing: OutgoingText, outcome: Outcome) -> None:
-        """A submit's outcome."""
+        """A submit has ended: tell the policy, and record what a restart has to know of it."""
         accepted, now = self.accepted.get(outgoing.text), self.clock.now()
         if accepted is None:
             return
-        left, rate = li.limit_from_report(outcome.report)
+        limit_left, limit_rate = li.limit_from_report(outcome.report)
         self.policy.submit_ended(
             now,
             li.SubmitReport(
@@ -527,31 +559,32 @@
                 now - call.sent_at,
                 outcome.finished,
                 outcome.retry_after,
-                left,
-                rate,
+                limit_left,
+                limit_rate,
                 call.idle_time,
                 outcome.unsent,
             ),
         )
-        rest = self._rest_of(accepted, now)
-        self.text_log.submit_ended(outgoing.text, accepted.key, call, outcome, rest)
+        cooldown_until = self._cooldown_until(accepted, now)
+        self.text_log.submit_ended(outgoing.text, accepted.key, call, outcome, cooldown_until)
         if outcome.retry_after:
             self.ledger.record_retry_after(call.host, now + outcome.retry_after, now)
-        if accepted.submit_out and (rest is not None or not outcome.finished):
-            self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, rest)
+        if accepted.submit_in_flight and (cooldown_until is not None or not outcome.finished):
+            self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, cooldown_until)
         if outcome.finished:
             self.ledger.record_finished(outgoing.text)
             self._release(accepted)
-        accepted.submit_out = False
+        accepted.submit_in_flight = False
         self.schedule_turn()
 
     def probe_ended(self, call: Call, result: li.Result, report: dict[str, float]) -> None:
+        """A probe of a host has ended; it is only logged."""
         log_event(
             log, "probe-ended", host=call.host, result=result.value, x0=report.get("x0"), x1=report.get("x1")
         )
 
     def notice_answered(self, text: bytes) -> None:
-        """The platform has answered the notice: only now is the text over."""
+        """The platform has confirmed the notice, and the text is finished."""
         if accepted := self.accepted.get(text):
             now = self.clock.now()
             if now > accepted.text.valid_until:
@@ -562,39 +595,39 @@
             self.schedule_turn()
 
     def _release(self, accepted: AcceptedText) -> None:
+        """Remove a text from the driver's tables."""
         del self.accepted[accepted.text.id]
-        self.slots.release(accepted.number)
+        self.slots.release(accepted.slot)
 
     # The turn.
 
     def schedule_turn(self) -> None:
-        """Decide once for all that happens until the reactor has gone round."""
+        """Have the policy decide in the reactor's next turn, once for all events until then."""
         if not self._turn_due:
             self._turn_due = True
             self.deadlines.after(0, self.turn)
 
     def turn(self) -> None:
+        """Have the policy decide, answer the new texts, and carry out the actions."""
         self._turn_due = False
         if not self.ready:
-            return  # what an earlier process took on waits for the list too
+            return  # restored texts wait for the host list too
         if self.handover.has_host_data:
             self._poll_sibling()
             self.operations.refresh_suspended()
         now = self.clock.now()
         actions = self.policy.decide(now, self.storage_monitor.gate.may_submit)
-        arrived, self.new_texts = (
-            self.new_texts,
-            {},
-        )  # an answer may bring a client's next text, for a later turn
+        # Answering a client may bring in its next text, which is for a later turn.
+        new_texts, self.new_texts = self.new_texts, {}
         for action in actions:
-            if isinstance(action, (li.Nack, li.Undeliverable)) and action.text in arrived:
-                self._reject(arrived.pop(action.text), action)
-        for text, accepted in arrived.items():
+            if isinstance(action, (li.Nack, li.Undeliverable)) and action.text in new_texts:
+                self._reject(new_texts.pop(action.text), action)
+        for text, accepted in new_texts.items():
             self._accept(text, accepted)
         calls: dict[li.HostId, list[OutgoingText]] = {}
         for action in actions:
             match action:
-                case li.Submit(text, host) if text not in self.accepted:  # it could not be taken on
+                case li.Submit(text, host) if text not in self.accepted:  # it could not be accepted
                     self.policy.submit_ended(
                         now, li.SubmitReport(text, host, li.Result.NOT_SENT, 0, finished=True)
                     )
@@ -623,11 +656,11 @@
                         self.ledger.record_health(host, action.health, now)
         for host, texts in calls.items():
             self.pool.send(host, texts)
-        if self._stop_at is not None:
+        if self._stop_deadline is not None:
             self._exit_if_idle()
 
     def _reject(self, accepted: AcceptedText, answer: li.Nack | li.Undeliverable) -> None:
-        """The final answer in the turn of its arrival: the text was never taken on."""
+        """Answer the client of a text that the policy refuses at once; it was never accepted."""
         self._release(accepted)
         if isinstance(answer, li.Nack):
             log_event(
@@ -639,47 +672,52 @@
             accepted.client.answer("-ERR undeliverable")
         self.policy.text_finished(self.clock.now(), accepted.text.id)
 
-    def _accept(self, text: bytes, accepted: AcceptedText) -> None:
-        """First the ledger, then the client's answer, and only then a call."""
-        row, client, names = accepted.text, accepted.client, self.plan.names.customers
+    def _accept(self, text_id: bytes, accepted: AcceptedText) -> None:
+        """Accept a new text: first the record, then the answer to the client, and only then a call."""
+        text, client, names = accepted.text, accepted.client, self.plan.names.customers
         accepted.client = None
         if self.ledger.record_accepted(
-            text,
+            text_id,
             accepted.body,
-            key=row.key.decode(),
-            mark=accepted.mark.decode(),
-            dest=row.destination,
+            key=text.key.decode(),
+            mark=accepted.idempotency_key.decode(),
+            dest=text.destination,
             product=accepted.product,
-            until=row.valid_until,
-            customer=names[row.customer] if names else "",
-            at=row.received_at,
-            ordered=accepted.row.in_order,
-        ):  # a number does not outlast them
-            self.text_log.accepted(row, accepted.key)
+            until=text.valid_until,
+            customer=names[text.customer] if names else "",
+            at=text.received_at,
+            ordered=accepted.product_settings.in_order,
+        ):  # names, since the numbers of products and customers change with the settings
+            self.text_log.accepted(text, accepted.key)
             client.answer("+OK")
-        else:  # a disk that takes no more
-            self.policy.text_finished(self.clock.now(), text)
+        else:  # the record could not be written
+            self.policy.text_finished(self.clock.now(), text_id)
             self._release(accepted)
-            log_event(log, "text-refused", text=text, why="folder")
+            log_event(log, "text-refused", text=text_id, why="folder")
             client.answer("-BUSY")
 
-    def _add_to_call(self, calls: dict, host: li.HostId, text: bytes, due: int, keep: int) -> None:
-        """Texts to one host in one turn share a call as far as its kind allows.
+    def _add_to_call(self, calls: dict, host: li.HostId, text: bytes, deadline: int, idle_limit: int) -> None:
+        """Add a text to the calls of this turn; texts to a host share a call as far as its kind allows.
 
-        `due` counts from the decision: guards against a submit that waits past its text's validity period by
-        the time that the ledger's writes have taken since."""
+        `deadline` is set at the decision: guards against a submit that is awaited past the end of its text's
+        validity period, by the time that the ledger's writes take in between."""
         accepted = self.accepted[text]
-        most = self.plan.settings.kinds[self.hosts[host].kind].texts_per_call if host in self.hosts else 1
-        if len(calls.get(host, [])) >= most:
+        max_texts = (
+            self.plan.settings.kinds[self.hosts[host].kind].texts_per_call if host in self.hosts else 1
+        )
+        if len(calls.get(host, [])) >= max_texts:
             self.pool.send(host, calls.pop(host))
-        calls.setdefault(host, []).append(OutgoingText(text, accepted.mark, accepted.body, due, keep))
+        calls.setdefault(host, []).append(
+            OutgoingText(text, accepted.idempotency_key, accepted.body, deadline, idle_limit)
+        )
 
     def _finish_with_notice(self, accepted: AcceptedText, notice: dict) -> None:
-        """The final answer of a text that was taken on is a notice, owed until it is answered."""
+        """Give an accepted text its final answer: a notice, repeated until the platform confirms it."""
         self.text_log.text_ended(accepted.text, notice["result"])
         text = accepted.text
         recorded = self.ledger.record_notice(text.id, notice)
         self.storage_monitor.send_notice(text.id, notice, text.valid_until, recorded)
 
     def _notify(self, text: bytes, notice: dict) -> None:
+        """Send a notice to the platform."""
         self.notifier.add_notice(text, notice)
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -52,7 +52,7 @@
 
 
 @contextmanager
-def named(call: str, path: str) -> Iterator[None]:
+def error_context(call: str, path: str) -> Iterator[None]:
     """Re-raises an OSError from inside with the name of the call and the path; FileNotFoundError as it is."""
     try:
         yield
@@ -67,10 +67,10 @@
 
     The lock is on the open directory itself: there is no lock file that a killed process could leave behind.
     Raises FolderInUse where another process has it locked, OSError where it can't be opened or locked."""
-    with named("open", folder):
+    with error_context("open", folder):
         held = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        with named("flock", folder):
+        with error_context("flock", folder):
             fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
         if error.errno in (errno.EAGAIN, errno.EACCES):
@@ -90,7 +90,7 @@
 
 def read_whole(path: str) -> bytes:
     """All bytes of a file. Raises OSError with the call and the path."""
-    with named("read", path), open(path, "rb") as file:
+    with error_context("read", path), open(path, "rb") as file:
         return file.read()
 
 
@@ -143,7 +143,7 @@
             self._lock = lock(folder)
         except FolderInUse:  # an upgrade: the old process still has it locked; a third process is refused
             self.directory = os.path.join(folder, STANDBY_DIR)
-            with named("mkdir", self.directory):
+            with error_context("mkdir", self.directory):
                 os.makedirs(self.directory, exist_ok=True)
             self._lock = lock_standby(self.directory)
         # The other process's ledger in an upgrade: the standby's, or for the standby the one it waits for.
@@ -164,7 +164,7 @@
         self.path, self._new = os.path.join(self.directory, FILE), os.path.join(self.directory, NEW_FILE)
         with suppress(OSError):  # of an interrupted compaction; the next compaction truncates it
             os.remove(self._new)
-        with named("open", self.path):
+        with error_context("open", self.path):
             self._file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
     @property
@@ -400,7 +400,7 @@
             return True
         try:
             self._cut_tail()
-            with named("write", self.path):
+            with error_context("write", self.path):
                 append(self._file, self.unwritten)
         except OSError as error:
             self._torn = True
@@ -437,7 +437,7 @@
     def _cut_tail(self) -> None:
         """Cut off a record that was written in part. Raises OSError."""
         if self._torn:
-            with named("ftruncate", self.path):
+            with error_context("ftruncate", self.path):
                 os.ftruncate(self._file, self.size)
             self._torn = False
 
@@ -448,9 +448,9 @@
         parts = [compacted_records(entry) for entry in self.entries.values()]
         records, new = b"".join([*parts, *records_besides_texts(self.state)]), None
         try:
-            with named("open", self._new):
+            with error_context("open", self._new):
                 new = os.open(self._new, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
-            with named("write", self._new):
+            with error_context("write", self._new):
                 append(new, records)
             self._put_in_place(new)
         except OSError as error:
@@ -476,7 +476,7 @@
         A rename that reports an error may have been done all the same: guards against writing further records
         to the old file, which then is in no directory any more."""
         try:
-            with named("rename", self.path):
+            with error_context("rename", self.path):
                 os.replace(self._new, self.path)
         except OSError:
             if not self._is_in_place(new):
--- a/limelatch/relay/operator_server.py
+++ b/limelatch/relay/operator_server.py
@@ -14,7 +14,7 @@
 
 from limelatch.interface import SECOND, HostEntry, HostId, Listing
 from limelatch.logs import LimitedLog, logger, log_event
-from limelatch.relay.ledger import named
+from limelatch.relay.ledger import error_context
 from limelatch.relay.slots import Slots
 from limelatch.relay.atomic_file import replace_file
 
@@ -49,7 +49,7 @@
 
     def _read(self) -> dict[HostId, int]:
         try:
-            with named("read", self.path), open(self.path, "rb") as file:
+            with error_context("read", self.path), open(self.path, "rb") as file:
                 raw = file.read(OUT_MOST * 300)
             told = json.loads(raw)
             return {
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -274,7 +274,7 @@
     clock.rightNow += 0.6
     client.dataReceived(b"SUBMIT 0 t1 c=report,d=9000,dest=1 x\r\n")
     driver._exit_if_idle()  # in the same turn of the reactor
-    assert not clock.stopped and driver._ended
+    assert not clock.stopped and driver._is_ending
     assert client.transport.value() == b"+PONG\r\n-BUSY\r\n"
     clock.advance(0)  # the reactor has gone round, and written
     assert clock.stopped and driver.pool.calls_in_flight == len(driver.accepted) == 0
@@ -316,7 +316,7 @@
     clock.advance(0.49)
     driver.listener.buildProtocol(None).makeConnection(Wire())
     clock.advance(0.02)
-    assert driver.clock.now() > driver._stop_least_at and not clock.stopped
+    assert driver.clock.now() > driver._earliest_stop_at and not clock.stopped
     clock.pump([0.02] * 9)
     assert clock.stopped
 
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -205,9 +205,11 @@
 
 
 @pytest.mark.parametrize("product", ["notice", "anywhere"])
-def test_a_process_killed_within_the_window_repeats_within_it_or_answers(plan, agent, make_host, product):
+def test_a_process_killed_within_the_window_repeats_within_it_or_answers(
+    make_program, agent, make_host, product
+):
     """On sockets: whether the start is quick enough is the machine's; one of both comes, and never both."""
-    host, program = make_host(lambda request: request.hang()), plan(settings=SHORT)
+    host, program = make_host(lambda request: request.hang()), make_program(settings=SHORT)
     agent.list(host.address)
     program.start().submit("t1", product, d=20_000)
     first = host.next()
@@ -225,8 +227,8 @@
 
 
 @pytest.mark.parametrize("product", ["notice", "anywhere"])
-def test_a_process_back_after_the_window_answers_at_once(plan, agent, make_host, product):
-    host, program = make_host(lambda request: request.hang()), plan(settings=SHORT)
+def test_a_process_back_after_the_window_answers_at_once(make_program, agent, make_host, product):
+    host, program = make_host(lambda request: request.hang()), make_program(settings=SHORT)
     agent.list(host.address)
     program.start().submit("t1", product, d=20_000)
     first = host.next()
