--- a/limelatch/lab/scale/ready.py
+++ b/limelatch/lab/scale/ready.py
@@ -86,7 +86,7 @@
         if count % 4:
             ledger.record_submit(text, now, 0)
         if count % 4 in (1, 3):
-            ledger.record_submit_end(text, ran=count % 4 == 3)
+            ledger.record_submit_end(text, may_have_run=count % 4 == 3)
         count += 1
     ledger.close()
     return held + count
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -84,7 +84,7 @@
     Mutant(
         "the lock of the folder",
         "relay/ledger.py",
-        "fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)",
+        "fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)",
         "pass",
     ),
     Mutant(
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -31,7 +31,7 @@
         ledger: Ledger,
         clock: Clock,
         deadlines: Deadlines,
-        order: KeyOrder,
+        key_order: KeyOrder,
         is_ordered: Callable[[str], bool],
         adopt: Callable[[list[Entry]], None],
         schedule_turn: Callable[[], None],
@@ -40,7 +40,7 @@
         """`is_ordered`: whether a product is delivered in order, by this process's settings. `adopt` is
         called with the texts of another process; `schedule_turn` has the policy decide; `share_limits` is
         called with whether there are two processes now."""
-        self._ledger, self._clock, self._deadlines, self._order = ledger, clock, deadlines, order
+        self._ledger, self._clock, self._deadlines, self._key_order = ledger, clock, deadlines, key_order
         self._is_ordered, self._adopt, self._schedule_turn = is_ordered, adopt, schedule_turn
         self._sibling, self._sibling_known, self._share_limits = (
             Sibling(ledger),
@@ -63,9 +63,9 @@
     def apply_cooldowns(self, state: LedgerState) -> None:
         """Apply the cooldowns of ordering keys in a ledger to this process too."""
         now = self._clock.now()
-        for key, rest in state.cooldowns.items():
-            if rest.until > now:
-                self._order.start_cooldown(key, rest.text, rest.until)
+        for key, cooldown in state.cooldowns.items():
+            if cooldown.until > now:
+                self._key_order.start_cooldown(key, cooldown.text, cooldown.until)
 
     def poll(self) -> None:
         """Read the sibling's ledger: places of its ordered texts, cooldowns, and what it knows of hosts."""
@@ -74,11 +74,11 @@
         state = self._sibling.poll()
         self._ledger.sibling_bytes = self._sibling.bytes_needed
         if state is None:
-            self._order.set_sibling_texts(())
+            self._key_order.set_sibling_texts(())
             self._sibling_ended()
             return
         self.apply_cooldowns(state)
-        self._order.set_sibling_texts(self._places(state))
+        self._key_order.set_sibling_texts(self._places(state))
         self._update_host_data(state)
 
     def _update_host_data(self, state: LedgerState) -> None:
@@ -120,10 +120,10 @@
 
     def _record_in_turn(self, key: Key, text: bytes, record_submit: Callable[[], bool]) -> BlockReason | None:
         """Record the submit unless the key's order blocks it; returns why it does, else None."""
-        hold = self._order.block_reason(self._clock.now(), key, text)
-        if hold is None and record_submit():
-            self._order.mark_started(key, text)
-        return hold
+        block_reason = self._key_order.block_reason(self._clock.now(), key, text)
+        if block_reason is None and record_submit():
+            self._key_order.mark_started(key, text)
+        return block_reason
 
     def _take_over(self) -> None:
         """For the standby: take over the texts of the old process once that has ended; poll until then."""
@@ -133,7 +133,7 @@
             self._deadlines.after(SIBLING_POLL_INTERVAL, self._take_over)
             return
         self._update_host_data(self._ledger.state)
-        self._order.set_sibling_texts(())
+        self._key_order.set_sibling_texts(())
         self.apply_cooldowns(self._ledger.state)
         self._sibling_ended()
         self._adopt(adopted)
@@ -161,7 +161,7 @@
     def _adopt_standby(self) -> None:
         """For the process in the state directory: watch for a successor; adopt the texts of an ended one."""
         if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):
-            self._order.set_sibling_texts(())
+            self._key_order.set_sibling_texts(())
             self.apply_cooldowns(self._ledger.state)
             self._update_host_data(self._ledger.state)
             self._adopt(adopted)
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -68,18 +68,18 @@
     The lock is on the open directory itself: there is no lock file that a killed process could leave behind.
     Raises FolderInUse where another process has it locked, OSError where it can't be opened or locked."""
     with error_context("open", folder):
-        held = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         with error_context("flock", folder):
-            fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
         if error.errno in (errno.EAGAIN, errno.EACCES):
-            close_quietly(held)
+            close_quietly(descriptor)
             raise FolderInUse(errno.EBUSY, "another relay uses this folder", folder) from None
         if error.errno not in NO_LOCKS:
-            close_quietly(held)
+            close_quietly(descriptor)
             raise
-    return held
+    return descriptor
 
 
 def close_quietly(file: int) -> None:
@@ -161,9 +161,9 @@
 
     def _open(self) -> None:
         """Open the ledger's file for appending, creating it if need be."""
-        self.path, self._new = os.path.join(self.directory, FILE), os.path.join(self.directory, NEW_FILE)
+        self.path, self._new_path = os.path.join(self.directory, FILE), os.path.join(self.directory, NEW_FILE)
         with suppress(OSError):  # of an interrupted compaction; the next compaction truncates it
-            os.remove(self._new)
+            os.remove(self._new_path)
         with error_context("open", self.path):
             self._file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
@@ -188,20 +188,20 @@
         None while the old process runs, and where the state directory can't be read or written; then this
         ledger stays complete in the standby directory, and the next call tries again."""
         try:
-            held = lock(self.state_dir)
+            descriptor = lock(self.state_dir)
         except FolderInUse:
             return None
         except OSError as error:
             self._write_failed(error)
             return None
-        standby_file, standby_lock, paths = self.path, self._lock, (self.path, self._new)
-        self.path, self._new = os.path.join(self.state_dir, FILE), os.path.join(self.state_dir, NEW_FILE)
+        standby_file, standby_lock, paths = self.path, self._lock, (self.path, self._new_path)
+        self.path, self._new_path = os.path.join(self.state_dir, FILE), os.path.join(self.state_dir, NEW_FILE)
         adopted = self._adopt(self.path)
         if adopted is None:
-            self.path, self._new = paths
-            close_quietly(held)
+            self.path, self._new_path = paths
+            close_quietly(descriptor)
             return None
-        self._lock, self.directory, self.sibling_path = held, self.state_dir, standby_file
+        self._lock, self.directory, self.sibling_path = descriptor, self.state_dir, standby_file
         self._remove_adopted(standby_file)
         close_quietly(standby_lock)
         return adopted
@@ -218,24 +218,24 @@
         directory over itself."""
         path = self.sibling_path
         try:
-            held = lock(os.path.join(self.state_dir, STANDBY_DIR))
+            descriptor = lock(os.path.join(self.state_dir, STANDBY_DIR))
         except FolderInUse:
             return []
         except OSError as error:
             self._write_failed(error)
             return None
-        adopted = self._adopt(path, first=False)
+        adopted = self._adopt(path, is_older=False)
         if adopted is not None:
             self._remove_adopted(path)
-        close_quietly(held)
+        close_quietly(descriptor)
         return adopted
 
-    def _adopt(self, path: str, first: bool = True) -> list[Entry] | None:
+    def _adopt(self, path: str, is_older: bool = True) -> list[Entry] | None:
         """Add another ledger's texts to this one, and write them to its file.
 
         None where reading or writing fails; the texts then stay in the other file alone."""
         try:
-            adopted = self._absorb(path, first)
+            adopted = self._absorb(path, is_older)
         except OSError as error:
             self._write_failed(error)
             return None
@@ -259,9 +259,9 @@
                 self._write_failed(error)
                 self._files_to_remove.append(path)
 
-    def _absorb(self, path: str, first: bool = True) -> list[Entry]:
-        """Add another file's state to this one, its texts before this ledger's if `first`; an incomplete last
-        record is left out. Raises OSError."""
+    def _absorb(self, path: str, is_older: bool = True) -> list[Entry]:
+        """Add another file's state to this one, its texts before this ledger's if `is_older`; an incomplete
+        last record is left out. Raises OSError."""
         raw, other_state = read_whole(path), LedgerState()
         for encoded in split_records(raw):
             try:
@@ -270,10 +270,10 @@
                 continue
         adopted = [entry for text, entry in other_state.entries.items() if text not in self.entries]
         fresh = {entry.id: entry for entry in adopted}
-        self.state.entries = fresh | self.state.entries if first else self.state.entries | fresh
+        self.state.entries = fresh | self.state.entries if is_older else self.state.entries | fresh
         self.state.live_bytes += sum(len(entry.accepted_record) + STATE_RESERVE for entry in adopted)
-        for key, rest in other_state.cooldowns.items():
-            self.state.add_cooldown(key, rest, 0)
+        for key, cooldown in other_state.cooldowns.items():
+            self.state.add_cooldown(key, cooldown, 0)
         for host, until in other_state.host_waits.items():
             self.state.add_wait(host, until, 0)
         for host, health in other_state.host_health.items():
@@ -343,12 +343,14 @@
             RecordKind.GOING, text, {"at": at, "zone": zone}, is_required=True
         )
 
-    def record_submit_end(self, text: bytes, ran: bool, now: int = 0, rest: int | None = None) -> None:
-        """Record the end of a submit; `ran` unless it certainly did not run.
+    def record_submit_end(
+        self, text: bytes, may_have_run: bool, now: int = 0, cooldown_until: int | None = None
+    ) -> None:
+        """Record the end of a submit; `may_have_run` unless it certainly did not run.
 
-        `rest`: the end of its ordering key's cooldown, where the call may still be running."""
-        cooldown = {} if rest is None else {"at": now, "rest": rest}
-        self._write(RecordKind.ENDED, text, {"ran": ran} | cooldown)
+        `cooldown_until`: the end of its ordering key's cooldown, where the call may still be running."""
+        cooldown = {} if cooldown_until is None else {"at": now, "rest": cooldown_until}
+        self._write(RecordKind.ENDED, text, {"ran": may_have_run} | cooldown)
 
     def record_health(self, host: bytes, health: Health, now: int) -> None:
         """Record a host's health, which the policy has found, for the other process of an upgrade."""
@@ -389,10 +391,10 @@
 
         Half of that is enough where most of the file is not needed any more, so that there is space for the
         ledger of a successor."""
-        size, room = self.size + more, self.disk_limit - self.sibling_bytes - BLOCK
-        if size + self.state.live_bytes > room:
+        size, available = self.size + more, self.disk_limit - self.sibling_bytes - BLOCK
+        if size + self.state.live_bytes > available:
             return True
-        return size + self.state.live_bytes > room // 2 and size > MIN_DEAD_RATIO * self.state.live_bytes
+        return size + self.state.live_bytes > available // 2 and size > MIN_DEAD_RATIO * self.state.live_bytes
 
     def _flush(self) -> bool:
         """Write what is in `unwritten`; whether that has worked. A record written in part is cut off."""
@@ -428,8 +430,8 @@
         if not self._failing:
             return
         self._failing = False
-        waiting, self._files_to_remove = self._files_to_remove, []
-        for path in waiting:
+        paths, self._files_to_remove = self._files_to_remove, []
+        for path in paths:
             self._remove_adopted(path)
         if not self._failing:
             self._on_write_result(None)
@@ -448,16 +450,16 @@
         parts = [compacted_records(entry) for entry in self.entries.values()]
         records, new = b"".join([*parts, *records_besides_texts(self.state)]), None
         try:
-            with error_context("open", self._new):
-                new = os.open(self._new, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
-            with error_context("write", self._new):
+            with error_context("open", self._new_path):
+                new = os.open(self._new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
+            with error_context("write", self._new_path):
                 append(new, records)
             self._put_in_place(new)
         except OSError as error:
             if new is not None:
                 close_quietly(new)
                 with suppress(OSError):  # else the next compaction truncates it
-                    os.remove(self._new)
+                    os.remove(self._new_path)
             self._write_failed(error)
             return False
         close_quietly(self._file)
@@ -477,7 +479,7 @@
         to the old file, which then is in no directory any more."""
         try:
             with error_context("rename", self.path):
-                os.replace(self._new, self.path)
+                os.replace(self._new_path, self.path)
         except OSError:
             if not self._is_in_place(new):
                 raise
--- a/limelatch/relay/storage_monitor.py
+++ b/limelatch/relay/storage_monitor.py
@@ -31,8 +31,8 @@
         self._clock, self._deadlines, self._notify, self._recovered = clock, deadlines, notify, recovered
         self.gate = StorageGate()
         self.ledger: Ledger | None = None  # whose results are reported here; set by the driver
-        self._unrecorded: dict[bytes, dict] = {}  # notices whose records are not written yet, by text
-        self._next_try: Deadline | None = None
+        self._unrecorded_notices: dict[bytes, dict] = {}  # notices whose records are not written yet, by text
+        self._next_retry: Deadline | None = None
         self.limited_log = LimitedLog(log, clock)
 
     def on_write_result(self, error: OSError | None) -> None:
@@ -40,37 +40,37 @@
         now = self._clock.now()
         if error is not None:
             self.gate.write_failed(now)
-            waiting = len(self.ledger.unwritten) if self.ledger is not None else 0
-            self.limited_log("folder-failing", why=error, bytes=waiting)
-            if self._next_try is None:
-                self._next_try = self._deadlines.after(RETRY_AFTER, self._try_again)
-        elif (span := self.gate.write_succeeded(now)) is not None:
-            log_event(log, "folder-mended", after_ms=span // MS)
-            for text in list(self._unrecorded):
+            unwritten_bytes = len(self.ledger.unwritten) if self.ledger is not None else 0
+            self.limited_log("folder-failing", why=error, bytes=unwritten_bytes)
+            if self._next_retry is None:
+                self._next_retry = self._deadlines.after(RETRY_AFTER, self._retry)
+        elif (failure_time := self.gate.write_succeeded(now)) is not None:
+            log_event(log, "folder-mended", after_ms=failure_time // MS)
+            for text in list(self._unrecorded_notices):
                 self._send(text)
 
-    def send_notice(self, text: bytes, notice: dict, valid_until: int, recorded: bool) -> None:
+    def send_notice(self, text: bytes, notice: dict, valid_until: int, is_recorded: bool) -> None:
         """Send the notice of a text's final answer, at once or when the gate allows it."""
         now = self._clock.now()
-        due = self.gate.notice_due(now, valid_until, recorded)
-        if due <= now:
+        send_at = self.gate.notice_due(now, valid_until, is_recorded)
+        if send_at <= now:
             self._notify(text, notice)
         else:
-            self._unrecorded[text] = notice
-            self._deadlines.at(due, lambda: self._send(text))
+            self._unrecorded_notices[text] = notice
+            self._deadlines.at(send_at, lambda: self._send(text))
 
     def retry_at_exit(self) -> None:
         """Try once more to write what waits in memory, before the process ends."""
         if not self.gate.may_submit:
             self.ledger.retry_write()
 
-    def _try_again(self) -> None:
+    def _retry(self) -> None:
         """Write what waits in memory, before anything new is recorded."""
-        self._next_try = None
+        self._next_retry = None
         if not self.gate.may_submit and self.ledger.retry_write():
             self._recovered()
 
     def _send(self, text: bytes) -> None:
         """Send a delayed notice, unless it has been sent already."""
-        if (notice := self._unrecorded.pop(text, None)) is not None:
+        if (notice := self._unrecorded_notices.pop(text, None)) is not None:
             self._notify(text, notice)
--- a/limelatch/relay/text_log.py
+++ b/limelatch/relay/text_log.py
@@ -30,8 +30,8 @@
                 valid_ms=self._left(text),
             )
 
-    def adopted(self, entry: Entry, key: bytes | None, ran: bool, answered: bool) -> None:
-        """The text was accepted by an earlier process; `answered`: it has its final answer already."""
+    def adopted(self, entry: Entry, key: bytes | None, may_have_run: bool, is_answered: bool) -> None:
+        """The text was accepted by an earlier process; `is_answered`: it has its final answer already."""
         if log.isEnabledFor(DEBUG):
             log_event(
                 log,
@@ -40,8 +40,8 @@
                 key=key,
                 submits=entry.submit_count,
                 out=entry.in_flight,
-                ran=ran,
-                answered=answered,
+                ran=may_have_run,
+                answered=is_answered,
             )
 
     def submit_started(self, text: bytes, key: bytes | None, host: li.HostId, submit: int) -> None:
@@ -54,9 +54,9 @@
         log_event(log, "submit-held", text=text, key=key, host=host, why=why)
 
     def submit_ended(
-        self, text: bytes, key: bytes | None, call: Call, outcome: Outcome, rest: int | None
+        self, text: bytes, key: bytes | None, call: Call, outcome: Outcome, cooldown_until: int | None
     ) -> None:
-        """A submit has its outcome; `rest`: the end of the key's cooldown that follows from it."""
+        """A submit has its outcome; `cooldown_until`: the end of the key's cooldown that follows from it."""
         if not log.isEnabledFor(DEBUG):
             return
         now = self._clock.now()
@@ -69,7 +69,7 @@
             result=outcome.result.value,
             took_ms=(now - call.sent_at) // li.MS,
             wait_ms=outcome.retry_after // li.MS or None,
-            rest_ms=(rest - now) // li.MS if rest is not None else None,
+            rest_ms=(cooldown_until - now) // li.MS if cooldown_until is not None else None,
         )
 
     def text_ended(self, text: li.Text, result: str) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Faults at narrow moments: what comes between two lines of the relay; one side is held still."""
+"""Races and faults at narrow moments, made by stopping one side between two steps of the relay."""
 
 import errno
 import json
@@ -42,18 +42,20 @@
 from limelatch.relay.platform import Notifier
 
 
-def until(true, wait=WAIT_TIMEOUT):
-    """Looks again until it is so; the relay has no other sign of it."""
+def wait_until(true, wait=WAIT_TIMEOUT):
+    """Polls until `true()` holds; the relay shows it in no other way."""
     last = time.monotonic() + wait
     while not true():
         assert time.monotonic() < last
 
 
 def ledger_in(folder):
+    """Opens the ledger of a state directory."""
     return Ledger(str(folder), 100_000, 10_000_000)
 
 
-def take(ledger, text, **more):
+def accept_text(ledger, text, **more):
+    """Records an accepted text; `more` replaces some of its fields."""
     ledger.record_accepted(
         text,
         b"body",
@@ -61,22 +63,23 @@
     )
 
 
-def test_a_submit_out_at_a_kill_may_have_run_though_a_later_one_is_refused(tmp_path):
-    """The refusal once passed for the proof of both: after a second kill the text went to another floor."""
+def test_a_submit_in_flight_at_a_kill_may_have_run_though_a_later_one_is_refused(tmp_path):
+    """Guards against a refusal that counts as proof for both submits: after a second kill the text then went
+    to another zone."""
     before = ledger_in(tmp_path)
-    take(before, b"a")
+    accept_text(before, b"a")
     before.record_submit(b"a", 5, 1)
-    before.close()  # killed, the submit out
+    before.close()  # killed with the submit in flight
     between = ledger_in(tmp_path)
     between.record_submit(b"a", 9, 1)
-    between.record_submit_end(b"a", ran=False)
+    between.record_submit_end(b"a", may_have_run=False)
     between.compact()
     between.close()  # killed again
     entry = ledger_in(tmp_path).entries[b"a"]
     assert (entry.submit_count, entry.in_flight, entry.first_run_at, entry.first_run_zone) == (2, False, 5, 1)
 
 
-def test_after_two_kills_and_a_refusal_a_text_stays_on_the_floor_where_it_may_have_run(
+def test_after_two_kills_and_a_refusal_a_text_stays_in_the_zone_where_it_may_have_run(
     program, agent, make_host
 ):
     first, other = make_host(lambda request: request.hang()), make_host()
@@ -86,8 +89,8 @@
     program.kill()
     first.reply = lambda request: request.answer(429, Retry_After="9")
     program.start()
-    assert first.next().headers["X-Txn"] == "t1"  # again, and refused: it has not run this time
-    until(lambda: not inspect_ledger(str(program.state)).entries[b"t1"].in_flight)
+    assert first.next().headers["X-Txn"] == "t1"  # sent again and refused: it has not run this time
+    wait_until(lambda: not inspect_ledger(str(program.state)).entries[b"t1"].in_flight)
     program.kill()
     agent.list(first.address, zone="a", status="leaving")
     agent.list(other.address, name="s-2", zone="b")
@@ -95,8 +98,8 @@
     assert other.next().headers["X-Txn"] == "t2" and other.requests.empty()
 
 
-def test_texts_near_their_end_take_none_with_more_time_into_their_call(relay):
-    """A call is given up whole when the first of its texts is out of time."""
+def test_texts_near_the_end_of_their_validity_share_no_call_with_others(relay):
+    """A call is given up as a whole when the first of its texts is out of time."""
     relay.list(b"batch1", dest=2, kind=1)
     relay.out(relay.take(dest=2), Result.DELIVERED)
     near = [relay.take(dest=2, valid=valid) for valid in (S // 2, S // 3)]
@@ -107,7 +110,7 @@
     assert sorted(sorted(call) for call in calls.values()) == [near, others]
 
 
-# The watch on the list.
+# The watch for the host list.
 
 ROW = {
     "name": "s-1",
@@ -125,8 +128,8 @@
     return {"index": index, "snapshot": whole, "endpoints": [ROW | row]}
 
 
-class Running(Reactor):
-    """A clock that passes for a reactor at work."""
+class RunningReactor(Reactor):
+    """A test clock that also acts as a running reactor and as the relay's clock."""
 
     running, stopped = True, False
 
@@ -147,13 +150,13 @@
 
 @pytest.fixture
 def clock():
-    return Running()
+    return RunningReactor()
 
 
 @pytest.fixture
 def watch(clock):
-    """A watch that has been answered with a head, from version 41; silence after 4.5 s."""
-    told = []
+    """A watch from version 41 on that has received a response head; it times out after 4.5 s."""
+    listed = []
     catalog = Catalog(
         clock,
         Deadlines(clock, clock),
@@ -161,83 +164,84 @@
         NAMES,
         45_000,
         9 * SECOND,
-        lambda entries, whole: told.extend((each.host, each.listing.value) for each in entries),
+        lambda entries, whole: listed.extend((each.host, each.listing.value) for each in entries),
     )
     catalog.load_known_list(page(41))
     catalog.note_activity()
     (watch := catalog.buildProtocol(None)).makeConnection(Wire())
     watch.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    watch.told, told[:] = told, []
+    watch.listed, listed[:] = listed, []
     return watch
 
 
-def say(watch, raw):
+def send_chunk(watch, raw):
+    """The catalog sends one chunk of the response."""
     watch.dataReceived(b"%x\r\n%s\r\n" % (len(raw), raw))
 
 
 @pytest.mark.parametrize("form", [{"indent": 2}, {"indent": 1, "separators": (",", ":")}, {}])
 @pytest.mark.parametrize("end, size", [("\n", 7), ("\r\n", 60_000), ("\n\n", 1)])
-def test_a_list_may_come_indented_and_in_any_pieces(watch, form, end, size):
+def test_a_host_list_may_be_indented_and_cut_anywhere(watch, form, end, size):
     raw = "".join(
         json.dumps(page(number, name=f"s-{number}"), **form).replace("\n", end.strip(" ")) + end
         for number in (42, 43)
     ).encode()
     for at in range(0, len(raw), size):
-        say(watch, raw[at : at + size])
-    assert watch.told == [(b"s-42", "ready"), (b"s-43", "ready")] and watch.end_reason is None
+        send_chunk(watch, raw[at : at + size])
+    assert watch.listed == [(b"s-42", "ready"), (b"s-43", "ready")] and watch.end_reason is None
     assert watch.catalog.index == 43
 
 
 @pytest.mark.parametrize("piece", [b" ", b'{"index": 42,\n', b'{"index": 42,\n\n', b"\n"])
-def test_a_watch_that_trickles_and_tells_nothing_is_silent(watch, clock, piece):
-    say(watch, piece)
+def test_a_watch_that_receives_bytes_but_no_message_times_out(watch, clock, piece):
+    send_chunk(watch, piece)
     for _ in range(10):  # for five seconds
         clock.advance(0.5)
-        say(watch, piece[-1:])
+        send_chunk(watch, piece[-1:])
     assert watch.end_reason is (None if piece == b"\n" else EndReason.ANSWER_TIMEOUT)
 
 
 @pytest.mark.parametrize(
     "raw", [b'{"index": 42,}\n', b"[]\n", b"}\n", b"x\n", b'{"index": 42}\n', b"[" * 99_999 + b"\n"]
 )
-def test_a_list_that_can_t_be_read_ends_the_watch(watch, raw):
-    say(watch, raw)
-    assert watch.end_reason is EndReason.MALFORMED and watch.told == []
+def test_a_host_list_that_cannot_be_read_ends_the_watch(watch, raw):
+    send_chunk(watch, raw)
+    assert watch.end_reason is EndReason.MALFORMED and watch.listed == []
 
 
-def test_changes_older_than_the_list_held_have_the_whole_list_asked_for(watch):
-    say(watch, json.dumps(page(40, status="left")).encode() + b"\n")
-    assert watch.end_reason is EndReason.MALFORMED and watch.told == [] and watch.catalog.index is None
+def test_changes_older_than_the_known_list_cause_a_request_for_the_whole_list(watch):
+    send_chunk(watch, json.dumps(page(40, status="left")).encode() + b"\n")
+    assert watch.end_reason is EndReason.MALFORMED and watch.listed == [] and watch.catalog.index is None
 
 
-def test_a_whole_list_of_a_lower_version_is_taken(watch):
-    """The agent has begun to count anew."""
-    say(watch, json.dumps(page(3, True)).encode() + b"\n")
-    assert watch.told == [(b"s-1", "ready")] and watch.catalog.index == 3 and watch.end_reason is None
+def test_a_whole_list_of_a_lower_version_is_accepted(watch):
+    """The discovery agent has restarted its numbering."""
+    send_chunk(watch, json.dumps(page(3, True)).encode() + b"\n")
+    assert watch.listed == [(b"s-1", "ready")] and watch.catalog.index == 3 and watch.end_reason is None
 
 
 # Notices.
 
 
-def test_a_second_answer_does_not_pass_for_the_next_notice_s(clock):
-    heard = []
-    notifier = Notifier(clock, Deadlines(clock, clock), None, SECOND, SECOND, heard.append)
-    reporting = notifier.buildProtocol(None)
+def test_a_second_response_is_not_attributed_to_the_next_notice(clock):
+    confirmed = []
+    notifier = Notifier(clock, Deadlines(clock, clock), None, SECOND, SECOND, confirmed.append)
+    connection = notifier.buildProtocol(None)
     notifier.add_notice(b"a", {"result": "dead"})
-    reporting.makeConnection(Wire())
-    notifier.add_notice(b"b", {"result": "dead"})  # while the request of the first is out
-    reporting.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n" * 2)
+    connection.makeConnection(Wire())
+    notifier.add_notice(b"b", {"result": "dead"})  # while the request of the first is in flight
+    connection.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n" * 2)
     assert (
-        heard == [b"a"]
+        confirmed == [b"a"]
         and list(notifier.pending) == [b"b"]
-        and reporting.end_reason is EndReason.CLOSED_BY_PEER
+        and connection.end_reason is EndReason.CLOSED_BY_PEER
     )
 
 
 # Clients.
 
 
-class Doorstep:
+class ListenerDriver:
     """What a listener needs of its driver."""
 
     def __init__(self, clock):
@@ -246,9 +250,9 @@
 
 
 @pytest.mark.parametrize("arrived", [b"", b"*5\r\n"])
-def test_a_connection_with_a_request_not_read_yet_is_not_closed(clock, arrived):
-    """To close it would reset it; what it asked for, and its last answer, would be lost."""
-    listener = Listener(Doorstep(clock), 2, 10_000)
+def test_a_connection_with_an_unread_request_is_not_closed(clock, arrived):
+    """Closing would reset it: the request and the last answer would be lost."""
+    listener = Listener(ListenerDriver(clock), 2, 10_000)
     (client := listener.buildProtocol(None)).makeConnection(Wire())
     client.dataReceived(b"PING\r\n")
     client.transport.peer.send(arrived)
@@ -258,17 +262,17 @@
 
 @pytest.fixture
 def driver(clock, tmp_path):
-    """A relay that serves, without a port."""
+    """A relay that is ready, without a port."""
     driver = Driver(plan_of(read_platform(GOOD | {"state": str(tmp_path)})[0]), clock, clock)
     driver.ready = True
     yield driver
     driver.ledger.close()
 
 
-def test_a_request_read_as_the_relay_ends_gets_its_answer(clock, driver):
+def test_a_request_read_while_the_relay_ends_is_answered(clock, driver):
     (client := driver.listener.buildProtocol(None)).makeConnection(Wire())
     client.dataReceived(b"PING\r\n")
-    client.transport.peer.send(b"x")  # it asks just then: it stays open
+    client.transport.peer.send(b"x")  # a request is arriving, so the connection stays open
     driver.stop()
     client.transport.socket.recv(9)
     clock.rightNow += 0.6
@@ -276,42 +280,42 @@
     driver._exit_if_idle()  # in the same turn of the reactor
     assert not clock.stopped and driver._is_ending
     assert client.transport.value() == b"+PONG\r\n-BUSY\r\n"
-    clock.advance(0)  # the reactor has gone round, and written
+    clock.advance(0)  # one turn of the reactor, in which the answer is written
     assert clock.stopped and driver.pool.calls_in_flight == len(driver.accepted) == 0
 
 
-def test_a_wait_told_to_the_other_process_while_a_connection_comes_up_holds_the_text_back(
+def test_a_wait_recorded_by_the_other_process_while_a_connection_comes_up_blocks_the_text(
     clock, driver, tmp_path
 ):
     driver.handover.start()
     driver._apply_host_list(clock.now(), [HostEntry(HOST, 1, 0, 0, 1.0, Listing.READY)])
     driver.policy.text_accepted(clock.now(), Text(b"t1", 1, 0, clock.now() + 9 * S))
     (submit,) = [each for each in driver.policy.decide(clock.now()) if isinstance(each, Submit)]
-    beside = Ledger(str(tmp_path), 100_000, 10_000_000)
-    clock.advance(0.3)  # the old process has seen it
+    standby = Ledger(str(tmp_path), 100_000, 10_000_000)
+    clock.advance(0.3)  # the old process has noticed it
     assert driver.may_send(clock.now(), submit.text, submit.host)
-    beside.record_retry_after(HOST, clock.now() + 5 * S, clock.now())
+    standby.record_retry_after(HOST, clock.now() + 5 * S, clock.now())
     assert not driver.may_send(clock.now(), submit.text, submit.host)
-    beside.close()
+    standby.close()
 
 
-def test_an_outage_that_one_process_finds_is_the_module_s_in_the_other(clock, driver, tmp_path):
-    """From the module's word to the ledger, and from the other process's ledger to the module."""
+def test_an_outage_found_by_one_process_reaches_the_policy_of_the_other(clock, driver, tmp_path):
+    """From the policy to the ledger, and from the other process's ledger to the policy."""
     driver.handover.start()
     driver._apply_host_list(
         clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, OTHER_HOST)]
     )
     driver.policy.log.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
-    beside = Ledger(str(tmp_path), 100_000, 10_000_000)
-    clock.advance(0.3)  # the old process has seen it, and has turned
+    standby = Ledger(str(tmp_path), 100_000, 10_000_000)
+    clock.advance(0.3)  # the old process has noticed it and has had a turn
     assert driver.ledger.state.host_health[OTHER_HOST].health is Health.OUTAGE
-    beside.record_health(HOST, Health.OUTAGE, clock.now())
+    standby.record_health(HOST, Health.OUTAGE, clock.now())
     clock.advance(0.2)
     assert driver.policy.hosts[HOST].in_outage and driver.policy.process_count == 2
-    beside.close()
+    standby.close()
 
 
-def test_a_relay_that_ends_waits_for_what_a_connection_just_made_will_ask(clock, driver):
+def test_a_stopping_relay_waits_for_the_request_of_a_new_connection(clock, driver):
     driver.stop()
     clock.advance(0.49)
     driver.listener.buildProtocol(None).makeConnection(Wire())
@@ -321,7 +325,7 @@
     assert clock.stopped
 
 
-def test_a_full_table_at_a_hand_over_does_not_open_the_port_again(clock):
+def test_a_full_client_table_at_a_handover_does_not_reopen_the_port(clock):
     class Port:
         closed = False
 
@@ -334,7 +338,7 @@
         def startReading(self):
             assert not self.closed
 
-    listener = Listener(Doorstep(clock), 2, 10_000)
+    listener = Listener(ListenerDriver(clock), 2, 10_000)
     listener.port = port = Port()
     clients = [listener.buildProtocol(None) for _ in range(2)]
     for client in clients:
@@ -349,74 +353,76 @@
 # The ledger.
 
 
-class Disk:
-    """Stands before `os.write`: takes so many bytes more, then none."""
+class FullDisk:
+    """Replaces `os.write`: accepts `free` bytes more, in pieces, then fails with ENOSPC."""
 
-    def __init__(self, room):
-        self.room, self.write = room, os.write
+    def __init__(self, free):
+        self.free, self.write = free, os.write
 
     def __call__(self, file, raw):
-        if not self.room:
+        if not self.free:
             raise OSError(errno.ENOSPC, "full")
-        raw = raw[: min(self.room, 7)]
-        self.room -= len(raw)
+        raw = raw[: min(self.free, 7)]
+        self.free -= len(raw)
         return self.write(file, raw)
 
 
-@pytest.mark.parametrize("room", [0, 1, 9, 60, 150])
-def test_what_a_full_disk_does_not_take_is_written_later_and_nothing_in_part(tmp_path, monkeypatch, room):
+@pytest.mark.parametrize("free", [0, 1, 9, 60, 150])
+def test_records_refused_by_a_full_disk_are_written_later_and_none_in_part(tmp_path, monkeypatch, free):
     ledger = ledger_in(tmp_path)
-    take(ledger, b"a")
-    take(ledger, b"b")
+    accept_text(ledger, b"a")
+    accept_text(ledger, b"b")
     assert ledger.record_submit(b"a", 5, 1)
-    monkeypatch.setattr(os, "write", disk := Disk(room))
-    ledger.record_submit_end(b"a", ran=True)
+    monkeypatch.setattr(os, "write", disk := FullDisk(free))
+    ledger.record_submit_end(b"a", may_have_run=True)
     ledger.record_finished(b"a")
-    taken = ledger.record_accepted(
+    accepted = ledger.record_accepted(
         b"c", b"x" * 200, key="", mark="", dest=1, product="notice", customer=0, until=9
     )
-    assert not taken and not ledger.record_submit(b"b", 6, 1) and list(ledger.entries) == [b"b"]
-    disk.room = 10_000
+    assert not accepted and not ledger.record_submit(b"b", 6, 1) and list(ledger.entries) == [b"b"]
+    disk.free = 10_000
     assert ledger.record_submit(b"b", 7, 1)
     ledger.close()
     after = ledger_in(tmp_path)
     assert list(after.entries) == [b"b"] and after.entries[b"b"].first_run_at == 7 and not after.cut_bytes
 
 
-def test_a_new_file_that_the_disk_does_not_take_leaves_the_old_one(tmp_path, monkeypatch):
+def test_a_compaction_that_does_not_fit_the_disk_leaves_the_old_file(tmp_path, monkeypatch):
     ledger = ledger_in(tmp_path)
-    take(ledger, b"a")
-    monkeypatch.setattr(os, "write", disk := Disk(20))
+    accept_text(ledger, b"a")
+    monkeypatch.setattr(os, "write", disk := FullDisk(20))
     assert not ledger.compact() and os.listdir(tmp_path) == ["ledger"]
-    disk.room = 10_000
+    disk.free = 10_000
     assert ledger.record_submit(b"a", 5, 1)
     ledger.close()
     assert ledger_in(tmp_path).entries[b"a"].in_flight
 
 
-def test_a_full_disk_leaves_both_ledgers_of_an_upgrade_as_they_are(tmp_path, monkeypatch):
+def test_a_full_disk_leaves_both_ledgers_of_an_upgrade_unchanged(tmp_path, monkeypatch):
     old = ledger_in(tmp_path)
-    take(old, b"a")
+    accept_text(old, b"a")
     new = ledger_in(tmp_path)
-    take(new, b"b")
+    accept_text(new, b"b")
     old.close()
-    monkeypatch.setattr(os, "write", disk := Disk(20))
+    monkeypatch.setattr(os, "write", disk := FullDisk(20))
     assert new.take_over() is None and list(new.entries) == [b"b"] and new.is_standby
-    disk.room = 10_000
+    disk.free = 10_000
     assert new.record_submit(b"b", 5, 1) and [each.id for each in new.take_over()] == [b"a"]
     new.close()
     after = ledger_in(tmp_path)
     assert list(after.entries) == [b"a", b"b"] and after.entries[b"b"].in_flight
 
 
-def test_a_relay_whose_disk_is_full_turns_texts_away_and_goes_on(program, agent, make_host):
+def test_a_relay_with_a_full_disk_refuses_texts_and_recovers(program, agent, make_host):
     host = make_host()
     agent.list(host.address)
     client = program.start()
     assert client.submit("t1") == "+OK" and host.next()
-    until(lambda: not inspect_ledger(str(program.state)).entries)
+    wait_until(lambda: not inspect_ledger(str(program.state)).entries)
     pid, full = program.process.pid, os.path.getsize(program.state / "ledger") + 20
-    resource.prlimit(pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY))  # a part of a record goes in
+    resource.prlimit(
+        pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY)
+    )  # space for a part of a record
     assert client.submit("t2") == "-BUSY" and client.submit("t3", "charge", key="k1") == "-BUSY"
     assert client.ask("PING") == "+PONG"
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY,) * 2)
@@ -424,21 +430,22 @@
     assert host.requests.empty() and agent.notices.empty()
 
 
-def test_a_successor_is_not_refused_while_the_old_process_looks_for_it(tmp_path):
+def test_a_successor_is_not_refused_while_the_old_process_checks_for_it(tmp_path):
     old = ledger_in(tmp_path)
-    ledger_in(tmp_path).close()  # makes the seat
-    look_at_seat = lock(str(tmp_path / STANDBY_DIR))  # as Ledger.successor does
-    threading.Timer(0.05, os.close, [look_at_seat]).start()
+    ledger_in(tmp_path).close()  # creates the standby directory
+    descriptor = lock(str(tmp_path / STANDBY_DIR))  # as Ledger.has_successor does
+    threading.Timer(0.05, os.close, [descriptor]).start()
     assert ledger_in(tmp_path).is_standby and not old.is_standby
 
 
-# What a restart finds untried.
+# Texts that no submit was made for before a restart.
 
 
 @pytest.mark.parametrize("relays, rate", [(200, 20.0), (40, 4.0), (3, 4.0)])
 @pytest.mark.parametrize("late_list", [False, True])
-def test_what_a_restart_finds_untried_is_tried_in_its_time(policy_settings, relays, rate, late_list):
-    """At the even part of a limit a fifth once ended with no call: 641 of 3,364 on a day with mass kills."""
+def test_texts_without_a_submit_before_a_restart_are_sent_in_time(policy_settings, relays, rate, late_list):
+    """With an even share of each limit a fifth of such texts ended without a call: 641 of 3,364 in a run with
+    mass kills."""
     policy_settings = replace(policy_settings, relays=relays, rates_listed=True)
     bench = PolicyHarness(Policy(policy_settings, NOW))
     if not late_list:
@@ -449,31 +456,31 @@
         bench.policy.text_accepted(NOW, Text(text, 1, REPORT, NOW + 8 * S), TextHistory())
     if late_list:
         bench.list(HOST, OTHER_HOST, rate=rate)
-    tried = set()
+    sent = set()
     for passed in range(0, 8 * S, 200):
         for text, host in bench.sent(NOW + passed).items():
-            tried.add(text)
+            sent.add(text)
             bench.end(text, Result.FULL, NOW + passed + 100, host=host)
-    assert tried == texts
+    assert sent == texts
 
 
-def test_what_a_restart_finds_untried_heeds_told_waits_and_outages(policy_settings):
+def test_texts_without_a_submit_before_a_restart_respect_waits_and_outages(policy_settings):
     bench = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     for number in range(3):
         bench.policy.text_accepted(NOW, Text(500 + number, 1, REPORT, NOW + 8 * S), TextHistory())
-    out = bench.sent()  # what is saved up
-    assert len(out) == 2
-    for text, host in out.items():
+    sent = bench.sent()  # the unused share of the limit
+    assert len(sent) == 2
+    for text, host in sent.items():
         bench.end(text, Result.FULL, host=host, retry_after=9 * S)
     assert {end.text for end in bench.decide(Nack)} == {500, 501, 502} and bench.sent(NOW + 5 * S) == {}
 
 
-def test_a_new_text_that_can_t_be_sent_in_its_time_is_still_given_up_at_once(policy_settings):
+def test_a_new_text_that_cannot_be_sent_in_time_is_still_nacked_at_once(policy_settings):
     bench = PolicyHarness(Policy(replace(policy_settings, relays=200, rates_listed=True), NOW))
     bench.list(HOST, rate=2.0)
     bench.take(REPORT), bench.take(REPORT)
-    assert len(bench.sent()) == 2  # what is saved up
+    assert len(bench.sent()) == 2  # the unused share of the limit
     text = bench.take(REPORT, valid=S // 2)
     assert [end.text for end in bench.decide(Nack)] == [text]
 
@@ -483,18 +490,18 @@
 
 @pytest.fixture
 def hangup():
-    """Whether a SIGHUP met the handler from before, which for a program is its end."""
-    met, before = [], signal.getsignal(signal.SIGHUP)
-    signal.signal(signal.SIGHUP, lambda number, frame: met.append(number))
-    yield met
+    """The SIGHUPs that reached the handler set before; in a program its default would end the process."""
+    received, before = [], signal.getsignal(signal.SIGHUP)
+    signal.signal(signal.SIGHUP, lambda number, frame: received.append(number))
+    yield received
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.default_int_handler if number == signal.SIGINT else signal.SIG_DFL)
     signal.signal(signal.SIGHUP, before)
 
 
 def test_a_sighup_before_the_relay_runs_is_kept_for_it(monkeypatch, hangup):
-    class Stage:
-        """Stands for the driver and the reactor; the signal comes while the folder is read."""
+    class StandIn:
+        """Stands in for the driver and the reactor; the signal comes while the state directory is read."""
 
         failed, done = False, []
 
@@ -506,7 +513,7 @@
         def start(self):
             self.done.append("started")
 
-        def configured(self, plan):
+        def reconfigure(self, plan):
             self.done.append(plan)
 
         def callWhenRunning(self, call):
@@ -515,18 +522,18 @@
         def run(self, installSignalHandlers):
             self.call()
 
-    monkeypatch.setattr(entry, "Driver", Stage)
-    monkeypatch.setattr(entry, "reactor", Stage())
+    monkeypatch.setattr(entry, "Driver", StandIn)
+    monkeypatch.setattr(entry, "reactor", StandIn())
     monkeypatch.setattr(entry, "relay_plan", lambda *given: plan_of(read_platform(GOOD)[0]))
-    monkeypatch.setattr(entry, "retuned_plan", lambda *given: "the file as it is now")
+    monkeypatch.setattr(entry, "reloaded_plan", lambda *given: "the file as it is now")
     monkeypatch.setattr(entry.logs, "start", lambda plan: None)
     monkeypatch.setattr(entry.logs, "take_twisteds", lambda: None)
     assert entry.main() == entry.DONE and hangup == []
-    assert Stage.done == ["read", "started", "the file as it is now"]
+    assert StandIn.done == ["read", "started", "the file as it is now"]
 
 
 @pytest.mark.parametrize("broken", ["", "{", '{"listen": ', "away"])
-def test_a_broken_file_at_sighup_twice_and_in_a_stop_leaves_the_relay_at_work(
+def test_a_broken_file_at_sighup_twice_and_in_a_stop_leaves_the_relay_running(
     program, agent, make_host, broken
 ):
     host = make_host(lambda request: None)
@@ -548,22 +555,22 @@
     program.file.write_text(whole)
     program.process.send_signal(signal.SIGHUP)
     program.wait_for_log("event=configured")
-    program.terminate()  # once more
+    program.terminate()  # a second time
     call.answer(200)
     assert program.process.wait(WAIT_TIMEOUT) == 0 and agent.notices.empty()
 
 
-def test_a_start_waits_a_moment_for_the_port_of_a_process_that_ends(program, agent):
+def test_a_start_waits_for_the_port_of_an_ending_process(program, agent):
     agent.list("127.0.0.1:1")
-    ending = socket.create_server((program.address, program.port))
+    old_socket = socket.create_server((program.address, program.port))
     program.launch()
     program.wait_for_log("event=port-taken")
-    ending.close()
+    old_socket.close()
     program.wait_for_log("event=serving")
     assert program.client().ask("PING") == "+PONG"
 
 
-def test_texts_of_a_killed_relay_keep_their_product_and_customer_whatever_their_order(
+def test_restored_texts_keep_product_and_customer_when_the_settings_reorder_them(
     make_program, agent, make_host
 ):
     customers = [{"name": "acme"}, {"name": "bell"}]
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -9,7 +9,7 @@
 
 import pytest
 from conftest import WAIT_TIMEOUT
-from test_crossings import Running, until
+from test_crossings import RunningReactor, wait_until
 from test_parts import Wire
 
 from limelatch.relay import clients
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def clock():
-    return Running()
+    return RunningReactor()
 
 
 @pytest.fixture
@@ -199,14 +199,14 @@
     program.start().socket.close()
     crowd = Crowd(program, 3 * TABLE)
     try:
-        until(lambda: crowd.opened > 6 * TABLE, BACKED_OFF)
+        wait_until(lambda: crowd.opened > 6 * TABLE, BACKED_OFF)
         texts = [f"t{number}" for number in range(20)]
         for text in texts:
             client = program.client()
             with client.socket:
                 assert client.submit(text, d=20_000) == "+OK"
         assert sorted(host.next().headers["X-Txn"] for _ in texts) == sorted(texts)
-        until(lambda: crowd.opened > 12 * TABLE, BACKED_OFF)
+        wait_until(lambda: crowd.opened > 12 * TABLE, BACKED_OFF)
         assert crowd.peak < TABLE + 3 * MAX_ACCEPTS_PER_TURN
     finally:
         crowd.end()
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -9,7 +9,7 @@
 from conftest import HOST, NOW, PolicyHarness, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_crossings import Running
+from test_crossings import RunningReactor
 from test_parts import NAMES, Wire
 
 from limelatch.interface import Forget, Listing, Result, Wake
@@ -171,7 +171,7 @@
 
 @pytest.fixture
 def clock():
-    return Running()
+    return RunningReactor()
 
 
 @pytest.fixture
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -9,7 +9,7 @@
 from conftest import S
 from hypothesis import given
 from hypothesis import strategies as st
-from test_crossings import Running, ledger_in, take
+from test_crossings import RunningReactor, ledger_in, accept_text
 
 from limelatch.interface import Health
 from limelatch.key_order import BlockReason, KeyCooldown, KeyOrder, QueuedText
@@ -118,13 +118,13 @@
 def test_a_follower_reads_on_after_compactions_between_two_looks(tmp_path):
     """An inode's number that is used again must not pass for the file read before."""
     ledger, follower = ledger_in(tmp_path), LedgerFollower()
-    take(ledger, b"a")
+    accept_text(ledger, b"a")
     assert list(follower.poll(ledger.path).entries) == [b"a"]
     for number in range(6):
-        take(ledger, b"b%d" % number)
+        accept_text(ledger, b"b%d" % number)
         ledger.record_finished(b"b%d" % number)
         ledger.compact()
-        take(ledger, b"c%d" % number)
+        accept_text(ledger, b"c%d" % number)
     texts = [b"a", *(b"c%d" % number for number in range(6))]
     assert list(follower.poll(ledger.path).entries) == texts
     ledger.record_finished(b"a")
@@ -134,8 +134,8 @@
 
 def test_a_follower_bears_a_torn_record_an_emptied_file_and_none(tmp_path):
     ledger, follower = ledger_in(tmp_path), LedgerFollower()
-    take(ledger, b"a")
-    take(ledger, b"b")
+    accept_text(ledger, b"a")
+    accept_text(ledger, b"b")
     raw = open(ledger.path, "rb").read()
     path = str(tmp_path / "other")
     for end in range(len(raw) + 1):
@@ -174,7 +174,7 @@
 
     def take(self, text, at, **more):
         self.order.add(KEY, QueuedText(text, at))
-        take(self.ledger, text, key="k", product="charge", **({"at": at, "ordered": True} | more))
+        accept_text(self.ledger, text, key="k", product="charge", **({"at": at, "ordered": True} | more))
 
     def claim(self, text):
         return self.handover.claim(KEY, text, lambda: self.ledger.record_submit(text, self.clock.now(), 0))
@@ -182,7 +182,7 @@
 
 @pytest.fixture
 def pair(tmp_path):
-    clock = Running()
+    clock = RunningReactor()
     pair = Process(tmp_path, clock), Process(tmp_path, clock)
     assert pair[1].ledger.is_standby
     yield pair
@@ -220,8 +220,8 @@
 def test_texts_of_an_earlier_version_count_by_this_one_s_settings(pair):
     """Its records have no time and do not say whether their product is in order."""
     old, new = pair
-    take(old.ledger, b"a", key="k", product="charge")
-    take(old.ledger, b"b", key="x", product="notice")
+    accept_text(old.ledger, b"a", key="k", product="charge")
+    accept_text(old.ledger, b"b", key="x", product="notice")
     new.take(b"c", 5)
     new.order.add(b"x", QueuedText(b"d", 5))
     assert new.claim(b"c") is BlockReason.SIBLING and new.order.block_reason(0, b"x", b"d") is None
@@ -258,7 +258,7 @@
 
 
 def test_a_process_without_a_sibling_holds_no_lock_and_no_descriptor_more(tmp_path):
-    process = Process(tmp_path, Running())
+    process = Process(tmp_path, RunningReactor())
     before = len(os.listdir("/proc/self/fd"))
     process.take(b"a", 5)
     process.handover.poll()
--- a/tests/test_order_over_processes.py
+++ b/tests/test_order_over_processes.py
@@ -13,7 +13,7 @@
 
 import pytest
 from conftest import SETTINGS, WAIT_TIMEOUT
-from test_crossings import until
+from test_crossings import wait_until
 
 from limelatch.relay.inspection import inspect_ledger
 
@@ -220,7 +220,7 @@
     closed = host.close_of("t1")
     assert relay.agent.notice()["ref"] == "t1"
     if heard:
-        until(lambda: b"t1" not in inspect_ledger(str(relay.program.state)).entries)
+        wait_until(lambda: b"t1" not in inspect_ledger(str(relay.program.state)).entries)
     relay.program.kill()
     relay.agent.notice_status = 204
     charge(relay.start(), "t2")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -167,9 +167,9 @@
         take(ledger, text, b"body of " + text)
     ledger.record_submit(b"a", 5, 1)
     ledger.record_submit(b"b", 6, 0)
-    ledger.record_submit_end(b"b", ran=True)
+    ledger.record_submit_end(b"b", may_have_run=True)
     ledger.record_submit(b"b", 7, 2)
-    ledger.record_submit_end(b"b", ran=False)
+    ledger.record_submit_end(b"b", may_have_run=False)
     ledger.record_notice(b"c", {"result": "dead"})
     ledger.record_finished(b"d")
     a, b, c = again(ledger).entries.values()
@@ -190,7 +190,7 @@
     take(ledger, b"a" * 64)
     for at in range(40):
         ledger.record_submit(b"a" * 64, at, 1)
-        ledger.record_submit_end(b"a" * 64, ran=at > 2)
+        ledger.record_submit_end(b"a" * 64, may_have_run=at > 2)
     ledger.record_submit(b"a" * 64, 99, 2)
     before = ledger.entries[b"a" * 64]
     ledger.compact()
@@ -213,7 +213,7 @@
 def test_a_submit_that_never_ran_is_forgotten(ledger):
     take(ledger, b"a")
     ledger.record_submit(b"a", 5, 1)
-    ledger.record_submit_end(b"a", ran=False)
+    ledger.record_submit_end(b"a", may_have_run=False)
     assert again(ledger).entries[b"a"].first_run_at is None
 
 
--- a/tests/test_renewed.py
+++ b/tests/test_renewed.py
@@ -5,7 +5,7 @@
 
 import pytest
 from conftest import HOST, REPORT, PolicyHarness, S
-from test_crossings import Running
+from test_crossings import RunningReactor
 from test_parts import GOOD, Wire
 
 from limelatch.configuration import plan_of
@@ -16,7 +16,7 @@
 from limelatch.relay.end_reason import EndReason
 
 
-class Loop(Running):
+class Loop(RunningReactor):
     """A reactor of which a test runs the two halves of a turn, due times and reads, in either order."""
 
     def __init__(self):
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -12,7 +12,7 @@
 
 import pytest
 from conftest import WAIT_TIMEOUT, Agent, Client, Program
-from test_crossings import Doorstep, Running, until
+from test_crossings import ListenerDriver, RunningReactor, wait_until
 from test_parts import GOOD, Wire
 
 from limelatch.configuration import plan_of
@@ -38,7 +38,7 @@
 
 def test_a_burst_in_one_turn_takes_no_more_descriptors_than_clients_may_have():
     """Those that make room are closed only once the reactor has gone round."""
-    listener, made = Listener(Doorstep(Running()), 10, 10_000, 14), []
+    listener, made = Listener(ListenerDriver(RunningReactor()), 10, 10_000, 14), []
     for _ in range(100):
         if (client := listener.buildProtocol(Peer)) is not None:
             client.makeConnection(Wire())
@@ -51,7 +51,7 @@
 
 
 def test_a_burst_at_the_operators_door_takes_no_more_either():
-    operator_server, made = OperatorServer(Doorstep(Running()), None, 2), []
+    operator_server, made = OperatorServer(ListenerDriver(RunningReactor()), None, 2), []
     for _ in range(100):
         if (caller := operator_server.buildProtocol(Peer)) is not None:
             caller.makeConnection(Wire())
@@ -223,7 +223,7 @@
         answers |= {text: hand_in(program, text) for text in map("b{}".format, range(12))}
         taken = {text for text, answer in answers.items() if answer == "+OK"}
         got = {first.headers["X-Txn"]}
-        until(
+        wait_until(
             lambda: (
                 got.update(each.headers["X-Txn"] for each in iter(lambda: next_of(host), None))
                 or got >= taken
@@ -251,7 +251,7 @@
         assert program.process.wait(WAIT_TIMEOUT) == 2
     finally:
         program.kill()
-    until(lambda: any("64 descriptors are needed" in line for line in program.lines))
+    wait_until(lambda: any("64 descriptors are needed" in line for line in program.lines))
 
 
 def test_shares_are_those_of_the_configuration(tmp_path):
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import SETTINGS
-from test_crossings import Running, page
+from test_crossings import RunningReactor, page
 from test_parts import GOOD, Wire
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError, UserError
 from twisted.python.failure import Failure
@@ -99,7 +99,7 @@
             self.protocol.connectionLost(Failure(ConnectionDone()))
 
 
-class Agent(Running):
+class Agent(RunningReactor):
     """The reactor's clock and, at the other end of each connection, discovery.
 
     `state` gives what becomes of a call that is made before `back_at`."""
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -10,7 +10,7 @@
 
 import pytest
 from conftest import SETTINGS, WAIT_TIMEOUT, S
-from test_crossings import Running, until
+from test_crossings import RunningReactor, wait_until
 from test_parts import GOOD
 
 from limelatch.configuration import plan_of
@@ -34,7 +34,7 @@
 KILLED_AFTER = 50 * MS  # what was sent is out for so long
 
 
-class Alone(Running):
+class Alone(RunningReactor):
     """A reactor whose connections never come up; nothing else listens."""
 
     def connectTCP(self, *arguments, **more):
@@ -233,7 +233,7 @@
     program.start().submit("t1", product, d=20_000)
     first = host.next()
     program.kill()
-    until(lambda: time.monotonic() > first.at + 1.1 * WINDOW / S)
+    wait_until(lambda: time.monotonic() > first.at + 1.1 * WINDOW / S)
     host.reply = lambda request: (200,)
     client = program.start()
     told = agent.notices.get(timeout=WAIT_TIMEOUT)
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 import pytest
-from test_crossings import Running, take
+from test_crossings import RunningReactor, accept_text
 from test_key_order import Process
 
 from limelatch.configuration.plan import RESERVED_DESCRIPTORS, DescriptorShares
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("texts", [5, 200, 10_000])
 def test_both_ledgers_and_the_take_over_stay_within_the_folder_s_limit(tmp_path, texts):
-    clock = Running()
+    clock = RunningReactor()
     old = process(tmp_path, clock)
     fill(old, b"old", texts)
     new = process(tmp_path, clock)
@@ -68,7 +68,7 @@
 
 
 def test_the_copy_of_the_list_counts_for_a_process_beside_the_one_that_writes_it(tmp_path):
-    clock = Running()
+    clock = RunningReactor()
     old = process(tmp_path, clock)
     directory = Directory(10)
     with open(tmp_path / COPY_FILE, "wb") as file:
@@ -86,7 +86,7 @@
 
 
 def test_a_process_has_the_whole_folder_again_after_its_sibling(tmp_path):
-    clock = Running()
+    clock = RunningReactor()
     old = process(tmp_path, clock)
     fill(old, b"old", 50)
     new = process(tmp_path, clock)
@@ -107,13 +107,13 @@
     compact = ledger.compact
     ledger.compact = lambda: made.append(ledger.size) or compact()
     for number in range(6000):
-        take(ledger, b"t%d" % number)
+        accept_text(ledger, b"t%d" % number)
         ledger.record_finished(b"t%d" % number)
         assert ledger.size <= DISK // 2 + BLOCK
     assert 2 <= len(made) <= 10
     made.clear()
     while ledger.has_room(len(BODY)):
-        take(ledger, b"open%d" % len(ledger.entries))
+        accept_text(ledger, b"open%d" % len(ledger.entries))
     assert len(made) <= 3
     ledger.close()
 
