--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls fail in the ways that their man pages name, for a moment and for a span, while texts flow."""
+"""System calls fail with the errors of their man pages, briefly and for a time, while texts are delivered."""
 
 import errno
 import os
@@ -11,9 +11,11 @@
 
 from limelatch.relay.clients import MAX_ACCEPTS_PER_TURN
 
-SPAN = 0.25  # seconds that a call fails for, with each errno in turn
-LONG = 5.0
-BACK = 3.0  # seconds within which texts are taken on again: hosts that could not be reached are tried first
+SPAN = 0.25  # seconds for which a call fails, with each errno in turn
+LONG = 5.0  # seconds
+RECOVERY_TIMEOUT = (
+    3.0  # seconds until texts are accepted again: hosts that could not be reached are probed first
+)
 BROKEN = "ECONNRESET ETIMEDOUT EHOSTUNREACH ENETUNREACH EPIPE"
 SHORT = "ENOBUFS ENOMEM EINTR"
 ERRORS = {
@@ -47,6 +49,7 @@
 
 
 def port_at(flow, place):
+    """The port whose connections a fault applies to; 0 for all."""
     return {
         "clients": flow.program.port,
         "hosts": flow.host_port,
@@ -56,28 +59,26 @@
 
 
 @pytest.mark.parametrize("place, call", CELLS)
-def test_a_call_that_fails_for_a_moment_or_a_span_breaks_no_rule(flow, faults, place, call):
-    """Every errno in turn: three times on end, then for a span; what is taken on has its end in time."""
+def test_a_call_that_fails_briefly_or_for_a_time_breaks_no_rule(flow, faults, place, call):
+    """Every errno in turn, first three times, then for a time; accepted texts are finished in time."""
     for name in ERRORS[call].split():
         for bounds in ({"times": 3}, {"seconds": SPAN}):
             rule = faults.fail(call, getattr(errno, name), port=port_at(flow, place), **bounds)
-            flow.client = None  # a new connection meets it too
+            flow.client = None  # so that a new connection meets the fault too
             began = time.monotonic()
             while time.monotonic() < began + bounds.get("seconds", 0.0):
-                flow.submit_text(within=BACK)
-            flow.submit_text(within=BACK)
+                flow.submit_text(within=RECOVERY_TIMEOUT)
+            flow.submit_text(within=RECOVERY_TIMEOUT)
             rule.end()
     flow.settle()
     assert flow.check() == []
-    flow.submit_text(within=BACK)
+    flow.submit_text(within=RECOVERY_TIMEOUT)
 
 
 @pytest.mark.parametrize("place", ["clients", "hosts", "agent"])
 @pytest.mark.parametrize("call", ["recv", "send"])
-def test_reads_and_writes_that_come_short_change_nothing(
-    make_faulty_program, faults, agent, make_host, place, call
-):
-    """A byte a call, from the start on: the list, the watch, commands, calls, answers and notices."""
+def test_short_reads_and_writes_change_nothing(make_faulty_program, faults, agent, make_host, place, call):
+    """One byte a call, from the start on: host list, watch, commands, calls, answers and notices."""
     flow = Flow(make_faulty_program(), agent, make_host)
     rule = faults.rule(call, most=1, port=port_at(flow, place))
     flow.start()
@@ -90,8 +91,8 @@
 
 
 @pytest.mark.parametrize("call, error", [("accept", errno.ENFILE), ("accept", errno.ECONNABORTED)])
-def test_a_port_that_accepts_nobody_for_long_rests_and_serves_those_that_it_has(flow, faults, call, error):
-    """Clients that are there are served; the processor does not spin; those that wait are served then."""
+def test_a_listener_that_cannot_accept_pauses_while_connected_clients_are_served(flow, faults, call, error):
+    """Without a busy loop; clients that wait for a connection are served afterwards."""
     flow.submit_text()
     rule = faults.fail(call, error, port=flow.program.port, seconds=LONG)
     late, before = flow.program.client(), processor_seconds(flow.program)
@@ -108,6 +109,7 @@
 
 
 def processor_seconds(program):
+    """Processor time that the process has used."""
     with open(f"/proc/{program.process.pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
@@ -115,8 +117,8 @@
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM])
 @pytest.mark.parametrize("call", ["recv", "send"])
-def test_a_connection_outlives_a_kernel_without_buffers(flow, faults, call, error):
-    """Neither a client's nor a host's connection is closed for it: no text that may run once is given up."""
+def test_a_connection_survives_a_lack_of_kernel_buffers(flow, faults, call, error):
+    """Connections of clients and hosts stay open, so no text that may run only once is given up."""
     for _ in range(3):
         flow.submit_text()
     flow.settle()
@@ -128,22 +130,22 @@
 
 
 @pytest.mark.parametrize("call", ["socket", "bind", "listen", "setsockopt"])
-def test_a_port_that_cannot_be_opened_for_a_moment_delays_a_start(
+def test_a_port_that_cannot_be_opened_briefly_delays_a_start(
     make_faulty_program, faults, agent, make_host, call
 ):
     made = Flow(make_faulty_program(), agent, make_host)
     faults.fail(call, errno.ENOBUFS, seconds=2.0, port=0 if call == "socket" else made.program.port)
     made.start()
-    made.submit_text(within=BACK)
+    made.submit_text(within=RECOVERY_TIMEOUT)
     made.settle()
     assert made.check() == []
 
 
 @pytest.mark.parametrize("name", "ENETUNREACH EHOSTUNREACH ETIMEDOUT ENOMEM ENOBUFS ECONNREFUSED EIO".split())
-def test_a_membership_socket_whose_read_or_write_fails_hears_and_speaks_again(
+def test_a_membership_socket_recovers_from_failed_reads_and_writes(
     make_faulty_program, faults, agent, make_host, name
 ):
-    """A datagram that nobody could have sent is dropped with a line: it has been read."""
+    """A datagram of an unknown sender is dropped with a log line, which shows that it was read."""
     host = "127.{}.{}.{}".format(*(1 + number % 254 for number in os.urandom(3)))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as spare:
         spare.bind((host, 0))
@@ -160,18 +162,18 @@
         flow.program.wait_for_log("event=datagram-dropped")
         rule = faults.fail("recv", getattr(errno, name), times=3, port=port)
         faults.fail("send", getattr(errno, name), times=3, port=port)
-        until = time.monotonic() + WAIT_TIMEOUT
-        while rule.hits < 3 and time.monotonic() < until:
+        deadline = time.monotonic() + WAIT_TIMEOUT
+        while rule.hits < 3 and time.monotonic() < deadline:
             stranger.sendto(b"noise", (host, port))
-            flow.submit_text(within=BACK)
+            flow.submit_text(within=RECOVERY_TIMEOUT)
         drain(flow.program.log)
-        heard = time.monotonic()
+        began = time.monotonic()
         while (
-            "datagram-dropped" not in "".join(flow.program.log_lines[-20:]) or time.monotonic() < heard + 1.2
+            "datagram-dropped" not in "".join(flow.program.log_lines[-20:]) or time.monotonic() < began + 1.2
         ):
             stranger.sendto(b"noise", (host, port))
-            flow.submit_text(within=BACK)
-            assert time.monotonic() < heard + WAIT_TIMEOUT
+            flow.submit_text(within=RECOVERY_TIMEOUT)
+            assert time.monotonic() < began + WAIT_TIMEOUT
         flow.program.wait_for_log("event=datagram-dropped")
     flow.settle()
     assert flow.check() == []
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -1,4 +1,4 @@
-"""The folder that lasts fails for a while, kills and restarts within: what was taken on is still owed."""
+"""The state directory fails for a time, also over kills; accepted texts are still finished."""
 
 import errno
 import threading
@@ -16,7 +16,7 @@
 
 SPANS = [0.4, 3.0]  # seconds
 OTHER_CELLS = [("open", "ENOSPC"), ("write", "EIO"), ("rename", "EROFS"), ("unlink", "EIO")]
-BACK = 2.0  # seconds after a span within which texts are taken on again
+RECOVERY_TIMEOUT = 2.0  # seconds after a fault until texts are accepted again
 LEDGER = "state/ledger"
 WRITE_CELLS = [("write", name, most) for name in ("ENOSPC", "EIO", "EDQUOT", "EROFS") for most in (0, 5)]
 
@@ -28,66 +28,66 @@
     return made
 
 
-def hand_in_for(flow, seconds):
-    """A client that comes again and again while nothing, or little, is taken on."""
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+def submit_for(flow, seconds):
+    """A client that submits texts again and again while none, or few, are accepted."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         try:
             flow.submit_text()
         except AssertionError:
             threading.Event().wait(0.02)
 
 
-def held_over_a_kill(flow):
-    """A text that is open at a kill has its end after the restart: its records can be read."""
+def check_open_text_over_a_kill(flow):
+    """A text that is open at a kill is finished after the restart, so its records can be read."""
     flow.host.reply = lambda request: request.hang()
-    held = flow.submit_text(within=BACK)
+    text = flow.submit_text(within=RECOVERY_TIMEOUT)
     flow.program.kill()
     flow.host.reply = flow._called
     flow.restart()
     flow.settle()
-    assert held.ended, "a text that was held is gone with the kill"
+    assert text.ended, "an open text was lost with the kill"
 
 
 @pytest.mark.parametrize("span", SPANS)
 @pytest.mark.parametrize("call, name, most", WRITE_CELLS)
-def test_a_ledger_that_cannot_be_written_for_a_span(flow, faults, call, name, most, span):
-    """Whole and in part; the cut of a torn record fails as well. Texts go on once it can be written."""
+def test_a_ledger_that_cannot_be_written_for_a_time(flow, faults, call, name, most, span):
+    """Writes fail whole or in part, partial records can't be cut off. Texts are accepted again afterwards."""
     for _ in range(3):
         flow.submit_text()
     bounds = {"path": LEDGER, "seconds": span}
     faults.fail(call, getattr(errno, name), most=most, **bounds)
     faults.fail("ftruncate", getattr(errno, name), **bounds)
-    hand_in_for(flow, span)
+    submit_for(flow, span)
     for _ in range(3):
-        flow.submit_text(within=BACK)
+        flow.submit_text(within=RECOVERY_TIMEOUT)
     flow.program.wait_for_log("event=folder-mended")
-    held_over_a_kill(flow)
+    check_open_text_over_a_kill(flow)
     assert flow.check() == []
 
 
 @pytest.mark.parametrize("moment", ["taken", "going", "ended", "owed"])
 @pytest.mark.parametrize("span", [0.0, 1.0])
 @pytest.mark.parametrize("most", [0, 5])
-def test_a_kill_within_a_failing_span_loses_repeats_and_reorders_nothing(flow, faults, moment, span, most):
-    """The n-th record of the ledger fails, and all after it; then the process is killed and started again."""
+def test_a_kill_while_writes_fail_loses_repeats_and_reorders_nothing(flow, faults, moment, span, most):
+    """The n-th record of the ledger and all later ones fail; then the process is killed and restarted."""
     skip = {"taken": 0, "going": 1, "ended": 2, "owed": 3}[moment]
     flow.submit_text()
     flow.settle()
     faults.fail("write", errno.ENOSPC, path=LEDGER, skip=skip, most=most)
     faults.fail("ftruncate", errno.EIO, path=LEDGER)
-    hand_in_for(flow, 0.3 + span)
+    submit_for(flow, 0.3 + span)
     flow.program.kill()
     faults.clear_all()
     flow.restart()
     for _ in range(4):
-        flow.submit_text(within=BACK)
+        flow.submit_text(within=RECOVERY_TIMEOUT)
     flow.settle()
     assert flow.check() == []
 
 
-def test_texts_wait_while_the_folder_fails_and_use_up_no_attempt(flow, faults, agent):
-    """A span longer than all waits of the four submits that a text has."""
+def test_texts_wait_while_the_state_directory_fails_and_use_up_no_submit(flow, faults, agent):
+    """For longer than all waits between the four submits of a text."""
     flow.valid = 15.0
     flow.host.reply = lambda request: (503,)
     text = flow.submit_text()
@@ -99,11 +99,11 @@
     assert text.delivered and text.notice is None and flow.check() == []
 
 
-def test_an_early_end_is_told_only_once_a_restart_would_know_it(
+def test_an_early_final_answer_is_sent_only_once_a_restart_would_know_it(
     make_faulty_program, faults, agent, make_host
 ):
-    """Told to wait beyond its time, it ends at once; neither outcome nor end is written before the kill, and
-    the restart knows of no wait."""
+    """A text whose host asks for a wait beyond its validity period is finished at once. Neither the outcome
+    nor the end is recorded before the kill, so the restart knows of no wait."""
     flow = Flow(make_faulty_program(), agent, make_host)
     flow.host.reply = lambda request: request.answer(429, Retry_After="30")
     flow.start()
@@ -120,14 +120,14 @@
     assert flow.check() == []
 
 
-def test_an_end_before_its_time_waits_for_its_record_and_a_due_one_does_not(
+def test_an_early_final_answer_waits_for_its_record_and_a_due_one_does_not(
     make_faulty_program, faults, agent, make_host
 ):
     flow = Flow(make_faulty_program(), agent, make_host)
     flow.host.reply = lambda request: (500,) if request.headers["X-Txn"] == "t2" else request.hang()
     flow.start()
-    early = flow.submit_text()  # t1, notice: out at a host that hangs until its time is up
-    flow.submit_text()  # t2, charge: it may have run, and ends at once
+    early = flow.submit_text()  # t1, notice: in flight at a host that hangs until the text's time is up
+    flow.submit_text()  # t2, charge: it may have run, so it is finished at once
     faults.fail("write", errno.EIO, path=LEDGER, seconds=20.0)
     flow.settle()
     assert early.notice is not None and flow.check() == []
@@ -136,16 +136,16 @@
 @pytest.mark.parametrize(
     "call, name", [("open", "EMFILE"), ("open", "ENOSPC"), ("write", "ENOSPC"), ("rename", "EIO")]
 )
-def test_a_compaction_that_fails_leaves_the_ledger_and_is_tried_again(flow, faults, call, name):
-    """The new file can't be made, written, put in its place, nor removed."""
+def test_a_failed_compaction_leaves_the_ledger_and_is_tried_again(flow, faults, call, name):
+    """The new file can't be created, written, renamed or removed."""
     faults.fail(call, getattr(errno, name), path="ledger.new" if call != "rename" else LEDGER, seconds=2.0)
     faults.fail("unlink", errno.EIO, path="ledger.new", seconds=2.0)
     body = b"x" * 60_000
-    until, number = time.monotonic() + 3.0, 0
-    while time.monotonic() < until:  # 3 MB of disk: some 40 texts fill the file
+    deadline, number = time.monotonic() + 3.0, 0
+    while time.monotonic() < deadline:  # 3 MB of disk: some 40 texts fill the file
         number += 1
         assert flow.client.submit(f"big{number}", body=body) in ("+OK", "-BUSY", "-BUSY 250")
-    flow.submit_text(within=BACK)
+    flow.submit_text(within=RECOVERY_TIMEOUT)
     flow.settle()
     assert flow.check() == [] and number > 60
 
@@ -153,12 +153,12 @@
 @pytest.mark.parametrize(
     "call, name", [("open", "EMFILE"), ("flock", "EIO"), ("write", "ENOSPC"), ("unlink", "EIO")]
 )
-def test_a_take_over_that_the_folder_refuses_is_tried_again(flow, faults, call, name):
+def test_a_takeover_that_fails_in_the_state_directory_is_tried_again(flow, faults, call, name):
     old, before = flow.program.process, flow.submit_text()
     flow.settle()
     flow.host.reply = lambda request: request.hang()
     flow.valid = 6.0
-    held = flow.submit_text()
+    open_text = flow.submit_text()
     flow.program.start()
     flow.host.reply = flow._called
     rule = faults.fail(call, getattr(errno, name), path="state", seconds=1.5)
@@ -168,18 +168,20 @@
     flow.program.wait_for_log("event=taken-over")
     rule.end()
     for _ in range(3):
-        flow.submit_text(within=BACK)
+        flow.submit_text(within=RECOVERY_TIMEOUT)
     flow.settle()
-    assert before.delivered and held.ended and flow.check() == []
-    seat = flow.program.state / STANDBY_DIR / FILE
-    assert not seat.exists() or seat.stat().st_size == 0
+    assert before.delivered and open_text.ended and flow.check() == []
+    standby = flow.program.state / STANDBY_DIR / FILE
+    assert not standby.exists() or standby.stat().st_size == 0
 
 
 START_CELLS = [("open", "EIO"), ("open", "EACCES"), ("read", "EIO"), ("flock", "EIO"), ("open", "EROFS")]
 
 
 @pytest.mark.parametrize("call, name", START_CELLS)
-def test_a_folder_that_cannot_be_read_at_a_start_is_named_and_left_as_it_is(flow, faults, call, name):
+def test_a_state_directory_that_cannot_be_read_at_a_start_is_named_and_left_unchanged(
+    flow, faults, call, name
+):
     flow.submit_text()
     flow.settle()
     flow.program.kill()
@@ -187,9 +189,12 @@
     faults.fail(call, getattr(errno, name), path="state" if call == "flock" else LEDGER)
     flow.program.launch()
     assert flow.program.process.wait(WAIT_TIMEOUT) == 2
-    told = "".join(flow.program.log_lines[-3:])
+    logged = "".join(flow.program.log_lines[-3:])
     assert (
-        call in told and "state" in told and errno.errorcode[getattr(errno, name)] in told or "Errno" in told
+        call in logged
+        and "state" in logged
+        and errno.errorcode[getattr(errno, name)] in logged
+        or "Errno" in logged
     )
     assert {each: each.read_bytes() for each in flow.program.state.iterdir() if each.is_file()} == before
 
@@ -198,8 +203,8 @@
     "call, name", [("open", "EIO"), ("open", "EMFILE"), ("read", "EIO"), ("flock", "EIO")]
 )
 @pytest.mark.parametrize("path", ["state/ledger", "state/clock", "state/out"])
-def test_a_folder_that_fails_for_a_moment_at_a_start_delays_it(flow, faults, path, call, name):
-    """A host that is out by hand stays out: nothing is sent to it."""
+def test_a_state_directory_that_fails_briefly_at_a_start_delays_it(flow, faults, path, call, name):
+    """A host that an operator has suspended stays suspended: nothing is sent to it."""
     host = b"s-1"
     flow.program.kill()
     SuspendedHosts(str(flow.program.state)).suspend(host)
@@ -210,7 +215,7 @@
     assert flow.host.requests.empty() and flow.check() == []
 
 
-def test_a_torn_tail_that_cannot_be_cut_at_a_start_is_cut_before_the_first_write(flow, faults):
+def test_a_partial_record_that_cannot_be_cut_off_at_a_start_is_cut_before_the_first_write(flow, faults):
     text = flow.submit_text()
     flow.settle()
     flow.program.kill()
@@ -218,17 +223,17 @@
         file.write(b"\0\0\1\0torn")
     rule = faults.fail("ftruncate", errno.EIO, path=LEDGER)
     flow.restart()
-    hand_in_for(flow, 0.5)
+    submit_for(flow, 0.5)
     rule.end()
-    taken = [flow.submit_text(within=BACK) for _ in range(3)]
-    held_over_a_kill(flow)
-    assert text.delivered and all(each.ended for each in taken) and flow.check() == []
+    accepted = [flow.submit_text(within=RECOVERY_TIMEOUT) for _ in range(3)]
+    check_open_text_over_a_kill(flow)
+    assert text.delivered and all(each.ended for each in accepted) and flow.check() == []
 
 
 @pytest.mark.parametrize("path", ["state/clock", "state/list"])
 @pytest.mark.parametrize("call, name", OTHER_CELLS)
-def test_the_folder_s_other_files_fail_without_harm(flow, faults, agent, path, call, name):
-    """Both are written meanwhile: the wall clock is stepped, a host comes. A restart finds the timeline."""
+def test_failures_of_the_other_files_do_no_harm(flow, faults, agent, path, call, name):
+    """Both are written meanwhile, for a clock step and a new host. A restart finds its timeline."""
     watch = agent.watches.get(timeout=WAIT_TIMEOUT)
     rules = [faults.fail(each, getattr(errno, name), path=path) for each in {call, "unlink"}]
     faults.step(5)
@@ -242,24 +247,24 @@
     flow.program.kill()
     flow.restart()
     assert "by=same-boot" in "".join(flow.program.log_lines[-4:])
-    flow.submit_text(within=BACK)
+    flow.submit_text(within=RECOVERY_TIMEOUT)
     flow.settle()
     assert flow.check() == []
 
 
-def test_a_host_taken_out_by_hand_is_out_only_where_the_folder_keeps_it(tmp_path, monkeypatch):
-    out = operator_server.SuspendedHosts(str(tmp_path))
+def test_a_host_is_suspended_only_if_that_can_be_stored(tmp_path, monkeypatch):
+    suspended = operator_server.SuspendedHosts(str(tmp_path))
 
     def refuse(path, content):
         raise OSError(errno.ENOSPC, "No space left on device", path)
 
     monkeypatch.setattr(operator_server, "replace_file", refuse)
     with pytest.raises(operator_server.OperatorError, match="not done"):
-        out.suspend(b"s-1")
-    assert out.counts == {}
+        suspended.suspend(b"s-1")
+    assert suspended.counts == {}
 
 
-def test_the_gate_lets_submits_wait_from_the_first_failure_to_the_next_success():
+def test_the_gate_blocks_submits_from_the_first_failure_to_the_next_success():
     gate = StorageGate()
     assert gate.may_submit and gate.write_succeeded(0) is None
     gate.write_failed(100)
@@ -268,17 +273,17 @@
     assert gate.write_succeeded(5 * SECOND) == 5 * SECOND - 100 and gate.may_submit
 
 
-def test_a_notice_waits_for_its_record_until_its_text_is_over():
+def test_a_notice_waits_for_its_record_until_the_validity_period_ends():
     gate = StorageGate()
     assert gate.notice_due(5, 90, recorded=True) == 5
     assert gate.notice_due(5, 90, recorded=False) == 90 and gate.notice_due(95, 90, recorded=False) == 95
 
 
-def test_a_rename_that_fails_and_was_done_counts_as_done(tmp_path, monkeypatch):
-    """Else later records would go to a file that no folder has."""
+def test_a_rename_that_was_done_but_reports_an_error_counts_as_done(tmp_path, monkeypatch):
+    """Guards against later records in a file that is in no directory any more."""
     ledger = Ledger(str(tmp_path), 100_000, 10_000_000)
-    taken = {"key": "", "mark": "", "dest": 1, "product": "notice", "customer": "", "until": 9}
-    assert ledger.record_accepted(b"a", b"x", **taken)
+    fields = {"key": "", "mark": "", "dest": 1, "product": "notice", "customer": "", "until": 9}
+    assert ledger.record_accepted(b"a", b"x", **fields)
     from limelatch.relay import ledger as module
 
     def done_and_failed(source, target, real=module.os.replace):
@@ -288,7 +293,7 @@
     monkeypatch.setattr(module.os, "replace", done_and_failed)
     assert ledger.compact()
     monkeypatch.undo()
-    assert ledger.record_accepted(b"b", b"y", **taken)
+    assert ledger.record_accepted(b"b", b"y", **fields)
     ledger.close()
     again = Ledger(str(tmp_path), 100_000, 10_000_000)
     assert list(again.entries) == [b"a", b"b"]
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -1,4 +1,4 @@
-"""The limits of a relay hold for both processes of an upgrade together."""
+"""The limits of a relay apply to both processes of an upgrade together."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from limelatch.relay.list_copy import COPY_FILE, COPY_FORM, ListCopy
 from limelatch.relay.ledger import BLOCK, FILE, NEW_FILE, STANDBY_DIR, Ledger
 
-DISK = 300_000
+DISK = 300_000  # bytes
 BODY = b"b" * 1000
 
 
 def folder_bytes(folder):
-    """As the platform counts: every file in whole blocks."""
+    """Size of the ledgers' files, counted as the platform does: in whole blocks."""
     files = [
         os.path.join(folder, *name)
         for name in ((FILE,), (NEW_FILE,), (STANDBY_DIR, FILE), (STANDBY_DIR, NEW_FILE))
@@ -35,7 +35,7 @@
 
 
 def fill(one, names, most=10_000):
-    """Texts are taken on and are over at once, and some stay open, as long as there is room for them."""
+    """Accepts texts as long as there is room; seven of eight are finished at once, the others stay open."""
     for number in range(most):
         text = b"%s%d" % (names, number)
         if not one.ledger.has_room(len(BODY)):
@@ -50,24 +50,24 @@
 
 
 @pytest.mark.parametrize("texts", [5, 200, 10_000])
-def test_both_ledgers_and_the_take_over_stay_within_the_folder_s_limit(tmp_path, texts):
+def test_both_ledgers_and_a_takeover_stay_within_the_disk_limit(tmp_path, texts):
     clock = RunningReactor()
     old = process(tmp_path, clock)
     fill(old, b"old", texts)
     new = process(tmp_path, clock)
-    clock.advance(0.3)  # the old one has noticed
+    clock.advance(0.3)  # the old process has noticed the new one
     fill(new, b"new")
     fill(old, b"more", 200)
     fill(new, b"last", 200)
-    held = len(old.ledger.entries) + len(new.ledger.entries)
+    open_texts = len(old.ledger.entries) + len(new.ledger.entries)
     old.ledger.close()
     clock.advance(0.2)
-    assert len(new.ledger.entries) == held and not new.ledger.is_standby
+    assert len(new.ledger.entries) == open_texts and not new.ledger.is_standby
     assert folder_bytes(tmp_path) <= DISK
     new.ledger.close()
 
 
-def test_the_copy_of_the_list_counts_for_a_process_beside_the_one_that_writes_it(tmp_path):
+def test_the_copy_of_the_host_list_counts_for_the_standby_process_too(tmp_path):
     clock = RunningReactor()
     old = process(tmp_path, clock)
     directory = Directory(10)
@@ -78,43 +78,43 @@
         )
         file.write(head + b"".join(rows) + json.dumps({"rows": 0, "crc": 0}).encode() + b"\n")
     new = process(tmp_path, clock)
-    whole = new.ledger.disk_limit
+    before = new.ledger.disk_limit
     assert ListCopy(str(tmp_path), new.handover, new.ledger).read() is not None
-    assert whole - new.ledger.disk_limit >= 6000
+    assert before - new.ledger.disk_limit >= 6000
     old.ledger.close()
     new.ledger.close()
 
 
-def test_a_process_has_the_whole_folder_again_after_its_sibling(tmp_path):
+def test_a_process_has_the_whole_disk_limit_again_after_its_sibling_ended(tmp_path):
     clock = RunningReactor()
     old = process(tmp_path, clock)
     fill(old, b"old", 50)
     new = process(tmp_path, clock)
     new.handover.poll()
-    beside = new.ledger.sibling_bytes
+    sibling_bytes = new.ledger.sibling_bytes
     for text in list(old.ledger.entries):
         old.ledger.record_finished(text)
     old.ledger.close()
     clock.advance(0.2)
-    assert beside > 0 == new.ledger.sibling_bytes
+    assert sibling_bytes > 0 == new.ledger.sibling_bytes
     new.ledger.close()
 
 
-def test_a_ledger_alone_is_made_small_again_at_half_of_the_disk(tmp_path):
-    """So that there is room for a successor's; with much that is open, not at each record."""
+def test_a_single_ledger_is_compacted_at_half_of_the_disk_limit(tmp_path):
+    """That leaves room for a successor's ledger. With many open texts it is not compacted at each record."""
     ledger = Ledger(str(tmp_path), DISK, 10_000_000)
-    made = []
+    compactions = []
     compact = ledger.compact
-    ledger.compact = lambda: made.append(ledger.size) or compact()
+    ledger.compact = lambda: compactions.append(ledger.size) or compact()
     for number in range(6000):
         accept_text(ledger, b"t%d" % number)
         ledger.record_finished(b"t%d" % number)
         assert ledger.size <= DISK // 2 + BLOCK
-    assert 2 <= len(made) <= 10
-    made.clear()
+    assert 2 <= len(compactions) <= 10
+    compactions.clear()
     while ledger.has_room(len(BODY)):
         accept_text(ledger, b"open%d" % len(ledger.entries))
-    assert len(made) <= 3
+    assert len(compactions) <= 3
     ledger.close()
 
 
@@ -124,11 +124,12 @@
 
 
 def descriptors(*programs):
+    """Open descriptors of these processes."""
     return sum(len(os.listdir(f"/proc/{each.process.pid}/fd")) for each in programs)
 
 
 def crowd(program, count):
-    """Clients that ask once and rest; some are closed for others."""
+    """Opens client connections that ask once and stay idle; the relay closes some of them for others."""
     made = []
     for _ in range(count):
         with suppress(OSError):
@@ -161,7 +162,7 @@
             most = max(most, descriptors(new))
         assert (
             most > RESERVED_DESCRIPTORS + DescriptorShares.during_upgrade(SOCKETS).clients
-        )  # all of them are its own again
+        )  # it has the whole limit again
     finally:
         new.kill()
         for client in clients:
