--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -289,7 +289,7 @@
         )
         self.policy.settings = settings  # pending texts keep the product settings of their arrival
         self.catalog.change_address(plan.catalog_address)
-        self.notifier.move(plan.catalog_address)
+        self.notifier.change_address(plan.catalog_address)
         start_logs(plan.log)
         log_event(
             log,
--- a/limelatch/relay/transport.py
+++ b/limelatch/relay/transport.py
@@ -19,48 +19,54 @@
 log = logger("clients")
 
 RETRY_DELAY_SECONDS = 0.01
-RESOURCE_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM})  # of the machine: the connection is as it was
+RESOURCE_ERRORS = frozenset(
+    {errno.ENOBUFS, errno.ENOMEM}
+)  # shortages of the machine: the connection is intact
 ACCEPT_RESOURCE_ERRORS = RESOURCE_ERRORS | {errno.EMFILE, errno.ENFILE}
 
 
 class MonotonicClock:
-    """What held down log lines count their seconds by."""
+    """The clock that rate-limited log lines count by: a monotonic time in tenths of a millisecond."""
 
     now = staticmethod(monotonic_now)
 
 
 class PausableDescriptor:
-    """A descriptor whose reading or writing can rest, whatever else starts and stops it meanwhile."""
+    """A descriptor whose reading or writing can be paused, whatever else starts and stops it meanwhile."""
 
     reading_wanted = writing_wanted = False
     reading_paused = writing_paused = False
 
     def startReading(self) -> None:
+        """Start reading, or do so when the pause ends."""
         self.reading_wanted = True
         if not self.reading_paused:
             super().startReading()
 
     def stopReading(self) -> None:
+        """Stop reading, also after a pause."""
         self.reading_wanted = False
         super().stopReading()
 
     def startWriting(self) -> None:
+        """Start writing, or do so when the pause ends."""
         self.writing_wanted = True
         if not self.writing_paused:
             super().startWriting()
 
     def stopWriting(self) -> None:
+        """Stop writing, also after a pause."""
         self.writing_wanted = False
         super().stopWriting()
 
     def pause_reading(self) -> None:
-        """Read again after the rest, if that is wanted by then."""
+        """Pause reading for RETRY_DELAY_SECONDS, then resume it if it is wanted by then."""
         self.reading_paused = True
         super().stopReading()
         self.reactor.callLater(RETRY_DELAY_SECONDS, self._resume_reading)
 
     def pause_writing(self) -> None:
-        """Write again after the rest, if that is wanted by then."""
+        """Pause writing for RETRY_DELAY_SECONDS, then resume it if it is wanted by then."""
         self.writing_paused = True
         super().stopWriting()
         self.reactor.callLater(RETRY_DELAY_SECONDS, self._resume_writing)
@@ -77,9 +83,10 @@
 
 
 class RetryingConnection(PausableDescriptor):
-    """Reads and writes of a connection."""
+    """A TCP connection that survives resource errors of reads and writes by retrying them."""
 
     def doRead(self):
+        """Read once; pause after a resource error."""
         try:
             data = self.socket.recv(self.bufferSize)
         except BlockingIOError:
@@ -92,6 +99,7 @@
         return self._dataReceived(data)
 
     def writeSomeData(self, data):
+        """Write once and return the number of bytes; pause after a resource error."""
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except BlockingIOError:
@@ -103,7 +111,7 @@
             return 0
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Where the kernel refuses it the connection goes on; small writes may come some ms later."""
+        """Set TCP_NODELAY. If the kernel refuses, the connection stays; small writes may be some ms late."""
         with suppress(OSError):
             self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, enabled)
 
@@ -113,48 +121,49 @@
 
 
 class RetryingClient(RetryingConnection, tcp.Client):
-    """A connection that the relay has made."""
+    """A connection that the relay has opened."""
 
 
 class RetryingConnector(tcp.Connector):
-    """Makes a `RetryingClient`."""
+    """Opens a `RetryingClient`."""
 
     def _makeTransport(self) -> RetryingClient:
         return RetryingClient(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 class RetryingPort(PausableDescriptor, tcp.Port):
-    """Accepts up to `numberAccepts` connections in a turn of the reactor, and rests while it can't.
+    """Accepts up to `numberAccepts` connections in a turn of the reactor, and pauses after resource errors.
 
-    Connections wait in the kernel's queue meanwhile; none is closed for it."""
+    Connections wait in the kernel's queue meanwhile; none is closed because of the pause."""
 
     transport = RetryingServer
 
-    def __init__(self, *arguments, **more) -> None:
-        super().__init__(*arguments, **more)
+    def __init__(self, *arguments, **keywords) -> None:
+        super().__init__(*arguments, **keywords)
         self.limited_log = LimitedLog(log, MonotonicClock())
 
     def doRead(self) -> None:
+        """Accept connections; pause if accepting failed and none was accepted."""
         accepted, failed = 0, None
         for _ in range(self.numberAccepts):
             try:
                 connection, address = self.socket.accept()
             except BlockingIOError:
                 break
-            except OSError as error:  # by accept(2) it may be one of the connection that was to come
+            except OSError as error:  # it may concern only the pending connection: accept(2)
                 failed = error
                 if error.errno in ACCEPT_RESOURCE_ERRORS:
                     break
                 continue
             accepted += 1
-            self._serve(connection, address)
+            self._serve_connection(connection, address)
         if failed is not None:
             self.limited_log("accept-failed", why=failed)
             if not accepted:
                 self.pause_reading()
 
-    def _serve(self, connection: socket.socket, address: tuple[str, int]) -> None:
-        """Guards against a fault with one connection that takes those behind it along."""
+    def _serve_connection(self, connection: socket.socket, address: tuple[str, int]) -> None:
+        """Set up one accepted connection. Guards against an exception that would lose those behind it."""
         transport = None
         try:
             protocol = self.factory.buildProtocol(self._buildAddr(address))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 
 import pytest
 from conftest import HOST, NOW, REPORT, SETTINGS, OTHER_HOST, WAIT_TIMEOUT, PolicyHarness, S
-from test_parts import GOOD, NAMES, Wire
+from test_parts import VALID_CONFIG, CONFIGURED_NAMES, SocketPairTransport
 from twisted.internet.task import Clock as Reactor
 
 from limelatch.configuration import plan_of
@@ -161,14 +161,14 @@
         clock,
         Deadlines(clock, clock),
         None,
-        NAMES,
+        CONFIGURED_NAMES,
         45_000,
         9 * SECOND,
         lambda entries, whole: listed.extend((each.host, each.listing.value) for each in entries),
     )
     catalog.load_known_list(page(41))
     catalog.note_activity()
-    (watch := catalog.buildProtocol(None)).makeConnection(Wire())
+    (watch := catalog.buildProtocol(None)).makeConnection(SocketPairTransport())
     watch.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     watch.listed, listed[:] = listed, []
     return watch
@@ -228,7 +228,7 @@
     notifier = Notifier(clock, Deadlines(clock, clock), None, SECOND, SECOND, confirmed.append)
     connection = notifier.buildProtocol(None)
     notifier.add_notice(b"a", {"result": "dead"})
-    connection.makeConnection(Wire())
+    connection.makeConnection(SocketPairTransport())
     notifier.add_notice(b"b", {"result": "dead"})  # while the request of the first is in flight
     connection.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n" * 2)
     assert (
@@ -246,14 +246,14 @@
 
     def __init__(self, clock):
         self.clock, self.deadlines = clock, Deadlines(clock, clock)
-        self.plan = plan_of(read_platform(GOOD)[0])
+        self.plan = plan_of(read_platform(VALID_CONFIG)[0])
 
 
 @pytest.mark.parametrize("arrived", [b"", b"*5\r\n"])
 def test_a_connection_with_an_unread_request_is_not_closed(clock, arrived):
     """Closing would reset it: the request and the last answer would be lost."""
     listener = Listener(ListenerDriver(clock), 2, 10_000)
-    (client := listener.buildProtocol(None)).makeConnection(Wire())
+    (client := listener.buildProtocol(None)).makeConnection(SocketPairTransport())
     client.dataReceived(b"PING\r\n")
     client.transport.peer.send(arrived)
     listener.stop()
@@ -263,14 +263,14 @@
 @pytest.fixture
 def driver(clock, tmp_path):
     """A relay that is ready, without a port."""
-    driver = Driver(plan_of(read_platform(GOOD | {"state": str(tmp_path)})[0]), clock, clock)
+    driver = Driver(plan_of(read_platform(VALID_CONFIG | {"state": str(tmp_path)})[0]), clock, clock)
     driver.ready = True
     yield driver
     driver.ledger.close()
 
 
 def test_a_request_read_while_the_relay_ends_is_answered(clock, driver):
-    (client := driver.listener.buildProtocol(None)).makeConnection(Wire())
+    (client := driver.listener.buildProtocol(None)).makeConnection(SocketPairTransport())
     client.dataReceived(b"PING\r\n")
     client.transport.peer.send(b"x")  # a request is arriving, so the connection stays open
     driver.stop()
@@ -305,7 +305,7 @@
     driver._apply_host_list(
         clock.now(), [HostEntry(each, 1, 0, 0, 1.0, Listing.READY) for each in (HOST, OTHER_HOST)]
     )
-    driver.policy.log.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
+    driver.policy.log_lines.append(LogLine("sick", OTHER_HOST, Health.OUTAGE))
     standby = Ledger(str(tmp_path), 100_000, 10_000_000)
     clock.advance(0.3)  # the old process has noticed it and has had a turn
     assert driver.ledger.state.host_health[OTHER_HOST].health is Health.OUTAGE
@@ -318,7 +318,7 @@
 def test_a_stopping_relay_waits_for_the_request_of_a_new_connection(clock, driver):
     driver.stop()
     clock.advance(0.49)
-    driver.listener.buildProtocol(None).makeConnection(Wire())
+    driver.listener.buildProtocol(None).makeConnection(SocketPairTransport())
     clock.advance(0.02)
     assert driver.clock.now() > driver._earliest_stop_at and not clock.stopped
     clock.pump([0.02] * 9)
@@ -342,10 +342,10 @@
     listener.port = port = Port()
     clients = [listener.buildProtocol(None) for _ in range(2)]
     for client in clients:
-        client.waiting = True
-        client.makeConnection(Wire())
+        client.awaiting_answer = True
+        client.makeConnection(SocketPairTransport())
     listener.stop(handed_over=True)
-    clients[0].waiting = False
+    clients[0].awaiting_answer = False
     clients[0].connectionLost(None)
     assert port.closed and listener.port is None and len(listener.connections) == 1
 
@@ -524,10 +524,10 @@
 
     monkeypatch.setattr(entry, "Driver", StandIn)
     monkeypatch.setattr(entry, "reactor", StandIn())
-    monkeypatch.setattr(entry, "relay_plan", lambda *given: plan_of(read_platform(GOOD)[0]))
+    monkeypatch.setattr(entry, "relay_plan", lambda *given: plan_of(read_platform(VALID_CONFIG)[0]))
     monkeypatch.setattr(entry, "reloaded_plan", lambda *given: "the file as it is now")
     monkeypatch.setattr(entry.logs, "start", lambda plan: None)
-    monkeypatch.setattr(entry.logs, "take_twisteds", lambda: None)
+    monkeypatch.setattr(entry.logs, "redirect_twisted_log", lambda: None)
     assert entry.main() == entry.DONE and hangup == []
     assert StandIn.done == ["read", "started", "the file as it is now"]
 
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import SETTINGS, WAIT_TIMEOUT, S
 from test_crossings import RunningReactor, wait_until
-from test_parts import GOOD
+from test_parts import VALID_CONFIG
 
 from limelatch.configuration import plan_of
 from limelatch.configuration.platform_form import read_platform
@@ -56,7 +56,7 @@
 
     def start(self, zones=("a",)):
         """Starts a process that has the host list at once, with one host in each zone."""
-        plan = plan_of(read_platform(GOOD | {"settings": SHORT, "state": str(self.state_dir)})[0])
+        plan = plan_of(read_platform(VALID_CONFIG | {"settings": SHORT, "state": str(self.state_dir)})[0])
         self.driver = driver = Driver(plan, self.clock, self.clock)
         self.calls_in_flight, self.ended = [], {}
         driver.pool.send = self.send
