--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -48,9 +48,7 @@
     text: li.Text
     idempotency_key: bytes
     body: bytes
-    product_settings: (
-        li.Product
-    )  # the product's settings at its arrival; a later configuration doesn't change them
+    product_settings: li.Product  # as of its arrival; a later configuration doesn't change them
     product: str  # name of the product
     client: Client | None = None  # while it waits for the answer to its submission
     submit_in_flight: bool = False  # a submit was recorded and has no outcome yet
@@ -326,9 +324,7 @@
     def _exit_if_idle(self) -> None:
         """End early: when no text is pending, no call is in flight and clients send no more requests."""
         if self.clock.now() >= self._earliest_stop_at and not self.accepted and not self.pool.calls_in_flight:
-            if (
-                self.listener.has_pending_requests()
-            ):  # they are answered first, until the stop's deadline at most
+            if self.listener.has_pending_requests():  # answered first, until the stop's deadline at most
                 self.deadlines.after(IDLE_CHECK_INTERVAL, self._exit_if_idle)
             else:
                 self._exit()
@@ -676,6 +672,7 @@
         """Accept a new text: first the record, then the answer to the client, and only then a call."""
         text, client, names = accepted.text, accepted.client, self.plan.names.customers
         accepted.client = None
+        # Recorded by name, since the numbers of products and customers change with the settings.
         if self.ledger.record_accepted(
             text_id,
             accepted.body,
@@ -687,7 +684,7 @@
             customer=names[text.customer] if names else "",
             at=text.received_at,
             ordered=accepted.product_settings.in_order,
-        ):  # names, since the numbers of products and customers change with the settings
+        ):
             self.text_log.accepted(text, accepted.key)
             client.answer("+OK")
         else:  # the record could not be written
--- a/limelatch/relay/inspection.py
+++ b/limelatch/relay/inspection.py
@@ -36,23 +36,23 @@
         return self.size - self.whole_bytes
 
 
-def inspect_ledger(folder: str) -> LedgerView:
+def inspect_ledger(state_dir: str) -> LedgerView:
     """Read the ledger of a state directory. Raises NoLedger where there is none.
 
     A running relay may append to it or replace it at any moment: an open file stays the same one, and the
     file is read again where its last record is incomplete, since that may be just being written."""
-    path = os.path.join(folder, FILE)
+    path = os.path.join(state_dir, FILE)
     for attempt in range(READ_TRIES):
         try:
             with open(path, "rb") as file:
                 raw = file.read()
         except NotADirectoryError:
-            raise NoLedger(f"{folder}: not a directory") from None
+            raise NoLedger(f"{state_dir}: not a directory") from None
         except FileNotFoundError:
             if attempt and attempt < READ_TRIES - 1:
                 continue
-            what = "no ledger in this directory" if os.path.isdir(folder) else "no such directory"
-            raise NoLedger(f"{folder}: {what}") from None
+            what = "no ledger in this directory" if os.path.isdir(state_dir) else "no such directory"
+            raise NoLedger(f"{state_dir}: {what}") from None
         except OSError as error:
             raise NoLedger(f"{path}: {error.strerror}") from None
         view = view_of_bytes(path, raw)
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -43,11 +43,11 @@
 NO_LOCKS = (errno.ENOLCK, errno.EOPNOTSUPP, errno.ENOSYS)  # errors of a file system without locks
 
 
-class FolderInUse(OSError):
+class DirectoryInUse(OSError):
     """Another process has locked this directory."""
 
 
-class ForeignLedger(OSError):
+class IncompatibleLedger(OSError):
     """The file has complete records that this version can't read; it is left as it is."""
 
 
@@ -62,20 +62,20 @@
         raise OSError(error.errno, f"{call}: {error.strerror}", path) from None
 
 
-def lock(folder: str) -> int:
+def lock(directory: str) -> int:
     """Lock a directory until its descriptor, which is returned, is closed or this process ends.
 
     The lock is on the open directory itself: there is no lock file that a killed process could leave behind.
-    Raises FolderInUse where another process has it locked, OSError where it can't be opened or locked."""
-    with error_context("open", folder):
-        descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    Raises DirectoryInUse where another process has it locked, OSError where it can't be opened or locked."""
+    with error_context("open", directory):
+        descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        with error_context("flock", folder):
+        with error_context("flock", directory):
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
         if error.errno in (errno.EAGAIN, errno.EACCES):
             close_quietly(descriptor)
-            raise FolderInUse(errno.EBUSY, "another relay uses this folder", folder) from None
+            raise DirectoryInUse(errno.EBUSY, "another relay uses this directory", directory) from None
         if error.errno not in NO_LOCKS:
             close_quietly(descriptor)
             raise
@@ -101,14 +101,14 @@
 
 
 def lock_standby(standby: str) -> int:
-    """Lock the standby directory. Raises FolderInUse where a third process has it locked.
+    """Lock the standby directory. Raises DirectoryInUse where a third process has it locked.
 
     Tries repeatedly: guards against refusing a new process because the old one holds the lock for the moment
     in which it checks for a successor."""
     for _ in range(STANDBY_LOCK_TRIES):
         try:
             return lock(standby)
-        except FolderInUse:
+        except DirectoryInUse:
             time.sleep(STANDBY_LOCK_PAUSE)
     return lock(standby)
 
@@ -123,12 +123,12 @@
 
     def __init__(
         self,
-        folder: str,
+        state_dir: str,
         disk_bytes: int,
         memory_bytes: int,
         on_write_result: Callable[[OSError | None], None] = lambda error: None,
     ) -> None:
-        self.state_dir, self.directory, self._on_write_result = folder, folder, on_write_result
+        self.state_dir, self.directory, self._on_write_result = state_dir, state_dir, on_write_result
         self._disk_budget, self._memory_limit = (
             disk_bytes // BLOCK * BLOCK - OTHER_FILE_BLOCKS * BLOCK,
             memory_bytes,
@@ -140,15 +140,15 @@
         self.sibling_bytes = 0  # of the disk, used or still needed by the other process of an upgrade
         self._files_to_remove: list[str] = []  # adopted files that could not be removed yet
         try:
-            self._lock = lock(folder)
-        except FolderInUse:  # an upgrade: the old process still has it locked; a third process is refused
-            self.directory = os.path.join(folder, STANDBY_DIR)
+            self._lock = lock(state_dir)
+        except DirectoryInUse:  # an upgrade: the old process still has it locked; a third process is refused
+            self.directory = os.path.join(state_dir, STANDBY_DIR)
             with error_context("mkdir", self.directory):
                 os.makedirs(self.directory, exist_ok=True)
             self._lock = lock_standby(self.directory)
         # The other process's ledger in an upgrade: the standby's, or for the standby the one it waits for.
         self.sibling_path = (
-            os.path.join(folder, FILE) if self.is_standby else os.path.join(folder, STANDBY_DIR, FILE)
+            os.path.join(state_dir, FILE) if self.is_standby else os.path.join(state_dir, STANDBY_DIR, FILE)
         )
         try:
             self._open()
@@ -176,7 +176,7 @@
         """Whether a new process is in the standby directory; the old one then hands its clients over."""
         try:
             os.close(lock(os.path.join(self.state_dir, STANDBY_DIR)))
-        except FolderInUse:
+        except DirectoryInUse:
             return True
         except OSError:  # no standby directory, so no new process
             return False
@@ -189,7 +189,7 @@
         ledger stays complete in the standby directory, and the next call tries again."""
         try:
             descriptor = lock(self.state_dir)
-        except FolderInUse:
+        except DirectoryInUse:
             return None
         except OSError as error:
             self._write_failed(error)
@@ -219,7 +219,7 @@
         path = self.sibling_path
         try:
             descriptor = lock(os.path.join(self.state_dir, STANDBY_DIR))
-        except FolderInUse:
+        except DirectoryInUse:
             return []
         except OSError as error:
             self._write_failed(error)
@@ -297,13 +297,13 @@
         close_quietly(self._lock)
 
     def _replay(self) -> None:
-        """Read the file at the start. Raises ForeignLedger for a complete record of another version."""
+        """Read the file at the start. Raises IncompatibleLedger for a complete record of another version."""
         raw, at = read_whole(self.path), 0
         for encoded in split_records(raw):
             try:
                 self.state.apply(encoded)
             except BadRecord as error:  # complete, but of another version: to cut it off would lose texts
-                raise ForeignLedger(
+                raise IncompatibleLedger(
                     errno.EINVAL, f"a record at byte {at} is not of this version: {error}", self.path
                 ) from None
             at += len(encoded)
@@ -463,12 +463,8 @@
             self._write_failed(error)
             return False
         close_quietly(self._file)
-        self._file, self.size, self.unwritten, self._torn = (
-            new,
-            len(records),
-            b"",
-            False,
-        )  # the new file has all of it
+        # The new file has what was in `unwritten` too.
+        self._file, self.size, self.unwritten, self._torn = new, len(records), b"", False
         self._write_succeeded()
         return True
 
--- a/limelatch/relay/records.py
+++ b/limelatch/relay/records.py
@@ -18,9 +18,7 @@
 from limelatch.key_order import KeyCooldown
 
 RECORD_HEADER = struct.Struct(">II")  # length and checksum of the payload that follows
-PAYLOAD_HEADER = struct.Struct(
-    ">BH"
-)  # kind of record, length of its JSON fields; then the fields and the body
+PAYLOAD_HEADER = struct.Struct(">BH")  # kind of record, length of the JSON fields; fields and body follow
 MAX_HOST_HEALTH = 256  # hosts whose health a ledger's reader keeps; bounds the compacted file
 STATE_RESERVE = 384  # bytes reserved a text for its STATE and OWED records in a compacted file
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -420,9 +420,8 @@
     assert client.submit("t1") == "+OK" and host.next()
     wait_until(lambda: not inspect_ledger(str(program.state)).entries)
     pid, full = program.process.pid, os.path.getsize(program.state / "ledger") + 20
-    resource.prlimit(
-        pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY)
-    )  # space for a part of a record
+    # Space for a part of a record.
+    resource.prlimit(pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY))
     assert client.submit("t2") == "-BUSY" and client.submit("t3", "charge", key="k1") == "-BUSY"
     assert client.ask("PING") == "+PONG"
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY,) * 2)
--- a/tests/test_order_over_processes.py
+++ b/tests/test_order_over_processes.py
@@ -305,8 +305,7 @@
     charge(relay.client_of_new(), "t1")
     relay.program.kill()
     assert relay.agent.notice()["ref"] == "t1"
-    charge(
-        relay.program.client(), "t2"
-    )  # of the same key: sent once the first is finished and its cooldown is over
+    # Of the same key: sent once the first is finished and its cooldown is over.
+    charge(relay.program.client(), "t2")
     host.call("t2")
     assert len(host.began["t1"]) == 1 and relay.agent.notices.empty()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -31,7 +31,7 @@
     write_call,
 )
 from limelatch.relay.http import HttpClientProtocol, Response
-from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
+from limelatch.relay.ledger import BLOCK, DirectoryInUse, IncompatibleLedger, Ledger
 from limelatch.relay.records import STATE_RESERVE, RecordKind, encode_record
 from limelatch.relay.ring_buffer import RingBuffer, RingBufferFull
 from limelatch.relay.slots import Slots
@@ -225,7 +225,7 @@
     folder = ledger.path.removesuffix("/ledger")
     standby = Ledger(folder, 100_000, 10_000_000)  # an upgrade's new process
     assert standby.is_standby and ledger.has_successor()
-    with pytest.raises(FolderInUse):
+    with pytest.raises(DirectoryInUse):
         Ledger(folder, 100_000, 10_000_000)
     assert standby.take_over() is None  # the first still locks the state directory
     ledger.close()
@@ -239,7 +239,7 @@
     before = ledger.size
     with open(ledger.path, "ab") as file:
         file.write(encode_record(RecordKind.STATE, b"a", {"tries": 3}))
-    with pytest.raises(ForeignLedger):
+    with pytest.raises(IncompatibleLedger):
         reopen(ledger)
     assert os.path.getsize(ledger.path) > before
 
--- a/tests/test_terms_restart.py
+++ b/tests/test_terms_restart.py
@@ -47,11 +47,8 @@
     def __init__(self, state_dir):
         self.clock, self.state_dir, self.driver = UnconnectedReactor(), state_dir, None
         self.clock.rightNow = 1_000.0
-        self.sent, self.ran, self.effects = (
-            [],
-            {},
-            Counter(),
-        )  # calls; first run by idempotency key and zone; effects by text
+        # Calls; first run by idempotency key and zone; effects by text.
+        self.sent, self.ran, self.effects = [], {}, Counter()
         self.connect_delay = 0  # until a connection comes up
 
     def start(self, zones=("a",)):
--- a/tests/test_upgrade_limits.py
+++ b/tests/test_upgrade_limits.py
@@ -160,9 +160,8 @@
         for _ in range(4):
             clients += crowd(new, SOCKETS // 4)
             most = max(most, descriptors(new))
-        assert (
-            most > RESERVED_DESCRIPTORS + DescriptorShares.during_upgrade(SOCKETS).clients
-        )  # it has the whole limit again
+        # It has the whole limit again.
+        assert most > RESERVED_DESCRIPTORS + DescriptorShares.during_upgrade(SOCKETS).clients
     finally:
         new.kill()
         for client in clients:
