--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -9,7 +9,7 @@
 from conftest import HOST, NOW, PolicyHarness, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_crossings import Running
+from test_crossings import RunningReactor
 from test_parts import CONFIGURED_NAMES, SocketPairTransport
 
 from limelatch.interface import Forget, Listing, Result, Wake
@@ -173,7 +173,7 @@
 
 @pytest.fixture
 def clock():
-    return Running()
+    return RunningReactor()
 
 
 @pytest.fixture
