--- a/limelatch/configuration/plan.py
+++ b/limelatch/configuration/plan.py
@@ -159,7 +159,7 @@
         kinds=[li.HostKind(row.texts_per_call, row.routes_apart) for row in installation.kinds],
         zone_fees=[row.fee for row in installation.floors],
         rates_listed=installation.catalog.rates is not RateQuality.NONE,
-        list_asked=installation.catalog.news is ListDelivery.ASKED,
+        list_on_request=installation.catalog.news is ListDelivery.ASKED,
         ask_within=installation.catalog.ask_within,
         cold_share=rules.cold_share,
         cold_time=rules.cold_time,
--- a/limelatch/interface.py
+++ b/limelatch/interface.py
@@ -96,7 +96,7 @@
     kinds: list[HostKind]
     zone_fees: list[float] = field(default_factory=list)
     rates_listed: bool = False
-    list_asked: bool = False  # the host list and its changes come only on request
+    list_on_request: bool = False  # the host list and its changes come only on request
     hosts_on_demand: bool = False  # a destination's hosts are listed when its first text comes
     ask_within: int = 0  # relays have to ask for the list within this time
     cold_share: float = 1.0
--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -401,7 +401,7 @@
 
         Schedules the next call at random, so that the relays of a fleet don't all ask at once, and early
         enough for the limit `ask_within`."""
-        if self.settings.list_asked:
+        if self.settings.list_on_request:
             self.failed_watch_count += failed_calls
             max_delay = (
                 self.settings.ask_within
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -124,7 +124,7 @@
             plan.watch_timeout,
             plan.reconnect_delay,
             self.hosts_listed,
-            self.list_failed if plan.settings.list_asked else None,
+            self.list_failed if plan.settings.list_on_request else None,
             ListCopy(plan.state_dir, self.deadlines, self.ledger),
             lambda destination: destination in self.policy.destinations,
         )
@@ -169,7 +169,7 @@
         self.wall_clock_monitor.start()
         log_event(log, "waiting", on="list", most_ms=self.plan.list_timeout // li.MS)
         self.deadlines.after(self.plan.list_timeout, self.serve)
-        if not self.plan.settings.list_asked:
+        if not self.plan.settings.list_on_request:
             self.catalog.connect()
         self.schedule_turn()
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -127,7 +127,7 @@
 def fleet_relay(policy_settings):
     """One relay of a fleet of 200, whose host list comes on request."""
     harness = PolicyHarness(
-        Policy(replace(policy_settings, relays=200, list_asked=True, ask_within=10 * S), NOW)
+        Policy(replace(policy_settings, relays=200, list_on_request=True, ask_within=10 * S), NOW)
     )
     harness.list_hosts(HOST)
     return harness
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -355,7 +355,7 @@
     settings = SETTINGS | {"discovery": discovery, "rules": {"askEvery": ask_every}}
     path = write_file(json.dumps(MINIMAL_JSON | {"settings": settings}), "a.json")
     if key is None:
-        assert relay_plan({}, path).settings.list_asked is (discovery == "subscribe")
+        assert relay_plan({}, path).settings.list_on_request is (discovery == "subscribe")
     else:
         assert [error.path for error in errors_of(path)] == [key]
     for line in ('news = "asked"', 'ask_within = "10s"'):
