--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -120,7 +120,7 @@
         else:
             self.listener.note_activity(self)
             self.deadline = self.listener.driver.deadlines.after(MAX_CHECK_INTERVAL, self._check_idle)
-            if self.listener.connections.full:
+            if self.listener.connections.is_full:
                 self.listener.make_room(self)
 
     def idle_deadline(self) -> int:
@@ -469,7 +469,7 @@
         while len(self.connections) > max_connections and (idle := self._longest_idle(None)) is not None:
             idle.end(EndReason.NO_SLOT)
             self.remove(idle)
-        if self.connections.full:
+        if self.connections.is_full:
             self.make_room()
         else:
             self.resume_accepting()
@@ -503,7 +503,7 @@
 
     def resume_accepting(self) -> None:
         """Accept again if accepting is paused and the limits allow it."""
-        if self._accepting_paused and not self.connections.full and self.open < self.max_open:
+        if self._accepting_paused and not self.connections.is_full and self.open < self.max_open:
             self._accepting_paused = False
             self.port.startReading()
 
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -401,7 +401,7 @@
             return Refusal("id-known", "-ERR this id was handed in before")
         if self._stop_deadline is not None:
             return Refusal("stopping", "-BUSY")
-        if self.slots.full:
+        if self.slots.is_full:
             return Refusal("texts-most", "-BUSY")
         if not self.ledger.has_room(len(submission.body)):
             return Refusal("disk-most", "-BUSY")
@@ -409,8 +409,8 @@
 
     def _has_hosts(self, destination: int) -> bool:
         """Whether the destination is listed; one in use is found without a search in the directory."""
-        at_work = self.policy.destinations.get(destination)
-        if at_work is not None and any(host.listing is not li.Listing.GONE for host in at_work.hosts):
+        in_use = self.policy.destinations.get(destination)
+        if in_use is not None and any(host.listing is not li.Listing.GONE for host in in_use.hosts):
             return True
         return self.catalog.directory.has_destination(destination)
 
@@ -463,14 +463,14 @@
         self.policy.hosts_listed(
             now, [self.suspended_hosts.as_listed(entry) for entry in entries], whole, news
         )
-        self._apply_sibling_news()
+        self._apply_sibling_data()
 
     def _poll_sibling(self) -> None:
         """Read what the other process of this relay has recorded by now."""
         self.handover.poll()
-        self._apply_sibling_news()
+        self._apply_sibling_data()
 
-    def _apply_sibling_news(self) -> None:
+    def _apply_sibling_data(self) -> None:
         """Pass on to the policy the waits and the health of hosts that the other process has recorded."""
         for host, until in self.handover.host_waits.items():
             self.policy.wait_from_sibling(host, until)
--- a/limelatch/relay/hosts.py
+++ b/limelatch/relay/hosts.py
@@ -259,7 +259,7 @@
         self._connect(call)
 
     def _connect(self, call: Call) -> None:
-        if self.connections.full:
+        if self.connections.is_full:
             self._close_oldest_idle()
         connection = call.connection = Connection(self, call.host, call)
         connection.slot = self.connections.take(connection)
--- a/limelatch/relay/inspection.py
+++ b/limelatch/relay/inspection.py
@@ -66,7 +66,7 @@
 
 def view_of_bytes(path: str, raw: bytes) -> LedgerView:
     """What these bytes of a ledger contain."""
-    state, kinds, problems, at, count = LedgerState(), Counter(), [], 0, 0
+    state, kinds, problems, offset, record_count = LedgerState(), Counter(), [], 0, 0
     for encoded in split_records(raw):
         text = b""
         try:
@@ -76,9 +76,9 @@
         except BadRecord as error:
             problem = f"not of this version: {error}"
         if problem:
-            problems.append((at, text, problem))
-        at, count = at + len(encoded), count + 1
-    return LedgerView(path, len(raw), state.entries, count, kinds, at, problems)
+            problems.append((offset, text, problem))
+        offset, record_count = offset + len(encoded), record_count + 1
+    return LedgerView(path, len(raw), state.entries, record_count, kinds, offset, problems)
 
 
 def text_state(entry: Entry) -> str:
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -298,16 +298,16 @@
 
     def _replay(self) -> None:
         """Read the file at the start. Raises IncompatibleLedger for a complete record of another version."""
-        raw, at = read_whole(self.path), 0
+        raw, offset = read_whole(self.path), 0
         for encoded in split_records(raw):
             try:
                 self.state.apply(encoded)
             except BadRecord as error:  # complete, but of another version: to cut it off would lose texts
                 raise IncompatibleLedger(
-                    errno.EINVAL, f"a record at byte {at} is not of this version: {error}", self.path
+                    errno.EINVAL, f"a record at byte {offset} is not of this version: {error}", self.path
                 ) from None
-            at += len(encoded)
-        self.cut_bytes, self.size = len(raw) - at, at
+            offset += len(encoded)
+        self.cut_bytes, self.size = len(raw) - offset, offset
         self._torn = self.cut_bytes > 0  # the process ended in a write: cut off, with all that follows
         with suppress(OSError):  # else it is done before the first write
             self._cut_tail()
--- a/limelatch/relay/sibling.py
+++ b/limelatch/relay/sibling.py
@@ -24,23 +24,23 @@
     """Reads what another process appends to its ledger, also across compactions and a change of its path."""
 
     def __init__(self) -> None:
-        self._path, self._file, self._read, self._state = "", -1, 0, LedgerState()
+        self._path, self._file, self._offset, self._state = "", -1, 0, LedgerState()
 
     def poll(self, path: str) -> LedgerState | None:
         """The ledger's state by now; as last read where it can't be read; None where there is none."""
         try:
             self._open(path)
             size = os.fstat(self._file).st_size
-            if size < self._read:  # truncated in place
-                self._read, self._state = 0, LedgerState()
-            raw = os.pread(self._file, size - self._read, self._read)
+            if size < self._offset:  # truncated in place
+                self._offset, self._state = 0, LedgerState()
+            raw = os.pread(self._file, size - self._offset, self._offset)
         except FileNotFoundError:
             self.close()
             return None
         except OSError:
             return self._state if self._file >= 0 else None
         for encoded in split_records(raw):
-            self._read += len(encoded)
+            self._offset += len(encoded)
             with suppress(BadRecord):  # of another version: skipped, since it says nothing of keys
                 self._state.apply(encoded)
         return self._state
@@ -50,8 +50,8 @@
 
         A compaction replaces the file. The one read so far stays open: guards against a new file that gets
         the same inode number and would pass for the old one."""
-        stands = os.stat(path)
-        if self._file >= 0 and path == self._path and os.path.samestat(stands, os.fstat(self._file)):
+        current = os.stat(path)
+        if self._file >= 0 and path == self._path and os.path.samestat(current, os.fstat(self._file)):
             return
         file = os.open(path, os.O_RDONLY)
         self.close()
@@ -60,13 +60,13 @@
     @property
     def bytes_needed(self) -> int:
         """Disk space of the ledger that is followed: its file, and a compacted one."""
-        return self._read + self._state.live_bytes
+        return self._offset + self._state.live_bytes
 
     def close(self) -> None:
         """Close the file and drop what was read."""
         if self._file >= 0:
             close_quietly(self._file)
-        self._path, self._file, self._read, self._state = "", -1, 0, LedgerState()
+        self._path, self._file, self._offset, self._state = "", -1, 0, LedgerState()
 
 
 class Sibling:
--- a/limelatch/relay/slots.py
+++ b/limelatch/relay/slots.py
@@ -23,13 +23,13 @@
         return iter([row for row in self._rows if row is not None])
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no further row can be added."""
         return len(self) >= self.size
 
     def take(self, row: Row) -> int | None:
         """Add a row and return its number; None if the table is full."""
-        if self.full:
+        if self.is_full:
             return None
         if self._free:
             number = self._free.pop()
