--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -142,21 +142,21 @@
     def __init__(self, host: Host, sent_at: int) -> None:
         self.host, self.sent_at, self.text_count = host, sent_at, 0
         gap = 0 if host.calls else min(sent_at - host.last_used_at, host.max_call_gap)
-        # How long the connection had been idle, and the smoothed time between calls.
-        self.idle_time, host.call_gap = gap if host.has_idle_connection else 0, (host.call_gap + gap) // 2
+        # How long the connection had been idle.
+        self.idle_time = gap if host.has_idle_connection else 0
+        # Smoothed time between calls.
+        host.call_gap = (host.call_gap + gap) // 2
 
 
 class PendingText:
     """A text that this relay has accepted and not given a final answer."""
 
     def __init__(self, text: Text, product: Product, history: TextHistory) -> None:
-        self.text, self.product, self.submit_count, self.due_at, self.is_recovered = (
-            text,
-            product,
-            history.submit_count,
-            0,
-            history is not NO_HISTORY,
-        )
+        self.text = text
+        self.product = product
+        self.submit_count = history.submit_count
+        self.due_at = 0
+        self.is_recovered = history is not NO_HISTORY
         self.key = text.key if (product.in_order if history.in_order is None else history.in_order) else 0
         # When and to which zone the first submit that may have run was sent.
         self.first_run_at = self.first_run_zone = None
@@ -191,23 +191,21 @@
 
     def __init__(self, window: int) -> None:
         self.hosts, self.recent_durations = [], []
-        self.window, self.window_halved_at, self.call_count, self.usual_duration, self.duration_count = (
-            window,
-            -1,
-            0,
-            INITIAL_CALL_DURATION,
-            0,
-        )
+        self.window = window
+        self.window_halved_at = -1
+        self.call_count = 0
+        self.usual_duration = INITIAL_CALL_DURATION
+        self.duration_count = 0
         self.limit = self.pace = self.pace_growth = 0.0  # calls a second; 0: unknown, the pace unbounded
-        # credit_updated_at NEVER: no time has been counted yet
-        self.credit, self.credit_updated_at, self.pace_cut_at, self.cut_count = MAX_SAVED_CALLS, NEVER, 0, 0
+        self.credit = MAX_SAVED_CALLS
+        self.credit_updated_at = NEVER  # NEVER: no time has been counted yet
+        self.pace_cut_at = 0
+        self.cut_count = 0
         # This relay's own calls and deliveries, counts that fade with time.
-        self.recent_calls, self.recent_calls_at, self.recent_deliveries, self.last_delivery_at = (
-            0.0,
-            0,
-            0.0,
-            0,
-        )
+        self.recent_calls = 0.0
+        self.recent_calls_at = 0
+        self.recent_deliveries = 0.0
+        self.last_delivery_at = 0
         # wait_until: end of the wait that the host asked for; the others: its outage and trials
         self.wait_until = self.outage_since = self.trial_count = self.next_trial_at = self.trial_base_at = (
             self.trial_spread_percent
@@ -215,11 +213,9 @@
 
     def update_pace(self, now: int, relays: int) -> None:
         """Grow the pace and the credit by the time since the last update."""
-        old_pace, elapsed, self.credit_updated_at = (
-            self.pace,
-            max(0, now - self.credit_updated_at) / SECOND,
-            now,
-        )
+        old_pace = self.pace
+        elapsed = max(0, now - self.credit_updated_at) / SECOND
+        self.credit_updated_at = now
         if self.limit:
             self.pace_growth = PACE_GROWTH_RATIO * (self.pace + self.limit / relays) / (1 + self.cut_count)
             self.pace = min(self.limit, self.pace + self.pace_growth * elapsed)
@@ -287,24 +283,21 @@
 
     def __init__(self, entry: HostEntry, destination: Destination, route: Route, max_idle_time: int) -> None:
         self.id, self.zone, self.kind, self.listing = entry.host, entry.zone, entry.kind, entry.listing
-        self.destination, self.route, self.calls, self.failure_share, self.in_outage = (
-            destination,
-            route,
-            [],
-            0.0,
-            False,
-        )
-        self.warm_up_credit, self.warm_up_updated_at, self.recovered_at, self.last_success_at = (
-            0.0,
-            0,
-            None,
-            -RECENT_SUCCESS_TIME,
-        )
+        self.destination = destination
+        self.route = route
+        self.calls = []
+        self.failure_share = 0.0
+        self.in_outage = False
+        self.warm_up_credit = 0.0
+        self.warm_up_updated_at = 0
+        self.recovered_at = None
+        self.last_success_at = -RECENT_SUCCESS_TIME
         # Smoothed time between calls, and its bound: hosts keep connections idle for no longer.
         self.call_gap = self.max_call_gap = max_idle_time
         self.sibling_news_at = -1  # when the other process of an upgrade last found its health
-        # failing_products: when each product last failed here
-        self.has_idle_connection, self.failing_products, self.last_used_at = False, {}, 0
+        self.has_idle_connection = False
+        self.failing_products = {}  # when each product last failed here
+        self.last_used_at = 0
 
     def is_overdue(self, now: int) -> bool:
         """Whether a call has been in flight for too long with no success since it was sent.
@@ -321,21 +314,12 @@
     """One outside receiver: its token bucket, its hosts, and the texts that wait for it."""
 
     def __init__(self) -> None:
-        (
-            self.tokens,
-            self.call_count,
-            self.shared_route,
-            self.check_at,
-            self.idle_since,
-            self.outage_text_count,
-        ) = (
-            TOKEN_BUCKET_SIZE,
-            0,
-            None,
-            0,
-            0,
-            0,
-        )
+        self.tokens = TOKEN_BUCKET_SIZE
+        self.call_count = 0
+        self.shared_route = None
+        self.check_at = 0
+        self.idle_since = 0
+        self.outage_text_count = 0
         self.waiting: dict[TextId, PendingText] = {}  # its texts that are in no call
         self.hosts: list[Host] = []
 
@@ -359,8 +343,8 @@
         self.slots_used, self.wake_at, self.stop_at = 0, now, NEVER
         # Destinations are forgotten only where their hosts are listed again on demand.
         self.destination_idle_time = DESTINATION_IDLE_TIME if settings.hosts_on_demand else NEVER
-        # When to ask for the host list, and how many calls for it have failed in a row.
-        self.watch_at, self.failed_watch_count = NEVER, 0
+        self.watch_at = NEVER  # when to ask for the host list
+        self.failed_watch_count = 0  # how many calls for it have failed in a row
         self.list_failed(now, failed_calls=0)
         # How long connections may be idle; by kind of host, where full tables or resets have lowered it.
         self.max_idle_time = int(settings.connection_idle_limit * IDLE_LIMIT_RATIO)
@@ -443,7 +427,8 @@
             ):
                 if not route.limit and not route.pace and now - route.last_delivery_at > CALL_RATE_SPAN:
                     # The client was nacked elsewhere: start at the pace after a refusal.
-                    route.pace, route.credit_updated_at = PACE_CUT_RATIO * SECOND / CALL_RATE_SPAN, now
+                    route.pace = PACE_CUT_RATIO * SECOND / CALL_RATE_SPAN
+                    route.credit_updated_at = now
                     route.credit = -self.random_source.next_below(1000) / 1000
 
     def _add_waiting(self, pending: PendingText) -> None:
@@ -451,11 +436,9 @@
         destination = self.active_destinations[pending.text.destination] = self.destinations[
             pending.text.destination
         ]
-        destination.waiting[pending.text.id], destination.check_at, destination.outage_text_count = (
-            pending,
-            0,
-            destination.outage_text_count + (pending.submit_count == 0),
-        )
+        destination.waiting[pending.text.id] = pending
+        destination.check_at = 0
+        destination.outage_text_count = destination.outage_text_count + (pending.submit_count == 0)
         heapq.heappush(self.expiries, (pending.deadline - EXPIRY_MARGIN, pending.text.id))
 
     def submit_ended(self, now: int, report: SubmitReport) -> None:
@@ -567,10 +550,8 @@
         """Whether something is known of the destination that a new start would not know.
 
         What only deliveries undo, such as a failure share, counts until it is old."""
-        is_old, sharers = (
-            now > destination.idle_since + LEARNED_STATE_LIFETIME,
-            self.settings.relays if self.settings.relays > SMALL_FLEET_SIZE else 1,
-        )
+        is_old = now > destination.idle_since + LEARNED_STATE_LIFETIME
+        sharers = self.settings.relays if self.settings.relays > SMALL_FLEET_SIZE else 1
         for host in destination.hosts:
             self._advance_host(now, host)
             route, even_share = host.route, host.route.limit / sharers
@@ -598,19 +579,15 @@
         route, result, kind, is_call_done = host.route, report.result, host.kind, call.text_count == 0
         route.learn_limit(report.limit_rate, self.settings.relays)
         self.products_by_kind[kind].add(product)
-        idle_time, is_reset = (
-            call.idle_time if report.idle_time is None else report.idle_time,
-            result is Result.RESET,
-        )
+        idle_time = call.idle_time if report.idle_time is None else report.idle_time
+        is_reset = result is Result.RESET
         may_be_full_table = self.settings.relays > SMALL_FLEET_SIZE and result in (
             Result.CONNECT,
             Result.TIMEOUT,
         )
         is_stale = idle_time > 0 and (is_reset or may_be_full_table and result is Result.TIMEOUT)
-        had_recent_success, is_fast = (
-            now - host.last_success_at < RECENT_SUCCESS_TIME,
-            report.took < route.usual_duration // 2,
-        )
+        had_recent_success = now - host.last_success_at < RECENT_SUCCESS_TIME
+        is_fast = report.took < route.usual_duration // 2
         # Refused or reset connections that are no sign of an outage.
         is_excused = (
             had_recent_success
@@ -650,10 +627,8 @@
                 + 1.0
             )
             host.last_success_at, route.last_delivery_at, route.cut_count = now, now, 0
-            limit_left, growth_ratio = (
-                report.limit_left,
-                SPARE_LIMIT_GROWTH if self.settings.relays > SMALL_FLEET_SIZE else 1.0,
-            )
+            limit_left = report.limit_left
+            growth_ratio = SPARE_LIMIT_GROWTH if self.settings.relays > SMALL_FLEET_SIZE else 1.0
             # By what the other relays leave of the limit.
             growth = PACE_GROWTH_PER_DELIVERY if limit_left is None else growth_ratio * max(0.0, limit_left)
             route.grow_pace(growth if route.limit else LEARNED_PACE_GROWTH)
@@ -728,11 +703,9 @@
         """Mark the host, and those of its route without a recent delivery, as in an outage."""
         route, destination = host.route, host.destination
         if not any(each.in_outage for each in route.hosts):
-            route.outage_since, route.trial_count, destination.outage_text_count = (
-                at,
-                0,
-                1 + destination.call_count + len(destination.waiting),
-            )
+            route.outage_since = at
+            route.trial_count = 0
+            destination.outage_text_count = 1 + destination.call_count + len(destination.waiting)
         for each in [
             other
             for other in route.hosts
@@ -749,10 +722,8 @@
         has_room = limit_left is not None and limit_left >= EXHAUSTED_LIMIT_SHARE
         if now - route.pace_cut_at > PACE_CUT_INTERVAL or not route.pace:
             route.update_pace(now, self.settings.relays)
-            own_rate, weight = (
-                route.recent_calls * SECOND / CALL_RATE_SPAN,
-                1 / (route.recent_calls + (1 if limit_left is None else 2)),
-            )
+            own_rate = route.recent_calls * SECOND / CALL_RATE_SPAN
+            weight = 1 / (route.recent_calls + (1 if limit_left is None else 2))
             if route.limit:
                 weighted_rate = (2 * own_rate) ** (1 - weight) * even_share**weight
                 fair_rate = min(
@@ -812,10 +783,8 @@
 
         Estimated from the route's rate since its start, and from the number of texts that this relay has had
         for it, taken to be the same at all relays."""
-        relays, by_texts = (
-            self.settings.relays,
-            self.settings.relays * (route.hosts[0].destination.outage_text_count - 1) / 2,
-        )
+        relays = self.settings.relays
+        by_texts = self.settings.relays * (route.hosts[0].destination.outage_text_count - 1) / 2
         informed = max(
             1.0, by_texts, route.total_rate(relays) * (now - route.outage_since + OUTAGE_LEAD_TIME) / SECOND
         )
@@ -823,12 +792,10 @@
 
     def _start_warm_up(self, now: int, host: Host, recovered_at: int) -> None:
         """The host is back from an outage since `recovered_at`: now it gets what a cold host bears."""
-        host.in_outage, host.recovered_at, host.failure_share, host.warm_up_updated_at = (
-            False,
-            recovered_at,
-            FAILURE_STEP / 2,
-            now,
-        )
+        host.in_outage = False
+        host.recovered_at = recovered_at
+        host.failure_share = FAILURE_STEP / 2
+        host.warm_up_updated_at = now
         # A random start: the small parts of many relays have to add up to what is safe.
         host.warm_up_credit = self.random_source.next_below(1000) / 1000
 
@@ -931,17 +898,16 @@
             else:
                 remaining.append(pending)
         host.calls.append(call)
-        route.call_count, destination.call_count, self.slots_used = (
-            route.call_count + 1,
-            destination.call_count + 1,
-            self.slots_used + 1,
-        )
+        route.call_count = route.call_count + 1
+        destination.call_count = destination.call_count + 1
+        self.slots_used = self.slots_used + 1
         # Spend one call of the credits, and count it in the fading number of recent calls.
-        route.credit, host.warm_up_credit = route.credit - bool(route.pace), host.warm_up_credit - 1.0
-        route.recent_calls, route.recent_calls_at = (
-            route.recent_calls * max(0.0, 1 - (now - route.recent_calls_at) / CALL_RATE_SPAN) + 1.0,
-            now,
+        route.credit = route.credit - bool(route.pace)
+        host.warm_up_credit = host.warm_up_credit - 1.0
+        route.recent_calls = (
+            route.recent_calls * max(0.0, 1 - (now - route.recent_calls_at) / CALL_RATE_SPAN) + 1.0
         )
+        route.recent_calls_at = now
         return remaining
 
     def _choose_host(self, now: int, destination: Destination, pending: PendingText) -> Host | None:
@@ -1033,11 +999,9 @@
         route.update_pace(now, settings.relays)
         if host.recovered_at is None:
             return
-        warm_up_time, elapsed, informed = (
-            now - host.recovered_at,
-            now - host.warm_up_updated_at,
-            self._informed_relay_count(host.recovered_at, route),
-        )
+        warm_up_time = now - host.recovered_at
+        elapsed = now - host.warm_up_updated_at
+        informed = self._informed_relay_count(host.recovered_at, route)
         if warm_up_time >= settings.cold_time:
             host.recovered_at = None
             return self.log_lines.append(LogLine(f"warm after {warm_up_time // SECOND} s", host.id))
@@ -1055,10 +1019,8 @@
         rate = (
             route.total_rate(settings.relays) * share * settings.fall_multiple / len(route.hosts) / informed
         )
-        host.warm_up_credit, host.warm_up_updated_at = (
-            min(1.0, host.warm_up_credit + rate * elapsed / SECOND),
-            now,
-        )
+        host.warm_up_credit = min(1.0, host.warm_up_credit + rate * elapsed / SECOND)
+        host.warm_up_updated_at = now
 
     def _expire_texts(self, now: int) -> None:
         """Finish expired texts; when the relay is nearly full, nack those with the least at stake."""
@@ -1182,11 +1144,9 @@
         if call.text_count == 0:
             host.calls.remove(call)
             host.last_used_at, host.has_idle_connection, destination.check_at = now, True, 0
-            route.call_count, destination.call_count, self.slots_used = (
-                route.call_count - 1,
-                destination.call_count - 1,
-                self.slots_used - 1,
-            )
+            route.call_count = route.call_count - 1
+            destination.call_count = destination.call_count - 1
+            self.slots_used = self.slots_used - 1
 
     def _forget_text(self, now: int, pending: PendingText) -> None:
         """The text is finished: drop it, and let the next text of its key go."""
