--- a/limelatch/policy.py
+++ b/limelatch/policy.py
@@ -206,10 +206,13 @@
         self.recent_calls_at = 0
         self.recent_deliveries = 0.0
         self.last_delivery_at = 0
-        # wait_until: end of the wait that the host asked for; the others: its outage and trials
-        self.wait_until = self.outage_since = self.trial_count = self.next_trial_at = self.trial_base_at = (
-            self.trial_spread_percent
-        ) = 0
+        self.wait_until = 0  # end of the wait that the host asked for
+        # Its outage and trials.
+        self.outage_since = 0
+        self.trial_count = 0
+        self.next_trial_at = 0
+        self.trial_base_at = 0
+        self.trial_spread_percent = 0
 
     def update_pace(self, now: int, relays: int) -> None:
         """Grow the pace and the credit by the time since the last update."""
@@ -433,9 +436,8 @@
 
     def _add_waiting(self, pending: PendingText) -> None:
         """Have the text wait for a submit, until it can no longer be sent in time."""
-        destination = self.active_destinations[pending.text.destination] = self.destinations[
-            pending.text.destination
-        ]
+        destination = self.destinations[pending.text.destination]
+        self.active_destinations[pending.text.destination] = destination
         destination.waiting[pending.text.id] = pending
         destination.check_at = 0
         destination.outage_text_count = destination.outage_text_count + (pending.submit_count == 0)
@@ -1124,9 +1126,8 @@
         elif host:
             host.listing = Listing.GONE
         routes_apart, window = self.settings.kinds[entry.kind].routes_apart, max(1, self.settings.slots // 2)
-        route = destination.shared_route = (
-            Route(window) if routes_apart else destination.shared_route or Route(window)
-        )
+        route = Route(window) if routes_apart else destination.shared_route or Route(window)
+        destination.shared_route = route
         host = self.hosts[entry.host] = Host(entry, destination, route, self.max_idle_time)
         # A host that is listed during an outage of its route is in the outage too.
         host.in_outage = route.trial_count > 0 and all(each.in_outage for each in route.hosts)
