--- a/limelatch/relay/clients.py
+++ b/limelatch/relay/clients.py
@@ -98,15 +98,15 @@
         self.listener, self.slot = listener, None
         self.arguments: list[bytes] = []
         self.missing_arguments = self.arguments_size = 0  # arguments still to come; bytes of those received
-        self.is_too_large, self.bytes_to_skip, self.awaiting_answer, self.input_closed = (
-            False,
-            0,
-            False,
-            False,
-        )
-        self.is_lingering, self.discarded_bytes = False, 0  # closed for writing; bytes discarded since then
-        # buffered_bytes: this connection's part of the listener's count
-        self.has_sent_command, self.bad_command_count, self.buffered_bytes = False, 0, 0
+        self.is_too_large = False
+        self.bytes_to_skip = 0
+        self.awaiting_answer = False
+        self.input_closed = False
+        self.is_lingering = False  # closed for writing
+        self.discarded_bytes = 0  # bytes discarded since then
+        self.has_sent_command = False
+        self.bad_command_count = 0
+        self.buffered_bytes = 0  # this connection's part of the listener's count
         self.last_received_at = self.command_started_at = listener.driver.clock.now()
         self.deadline = None
 
@@ -220,12 +220,10 @@
             if not DECIMAL.match(line[1:]) or not 1 <= int(line[1:]) <= MAX_ARGUMENTS:
                 self._protocol_error("an array of 1 to 16 bulk strings is wanted")
             else:
-                self.missing_arguments, self.arguments, self.arguments_size, self.is_too_large = (
-                    int(line[1:]),
-                    [],
-                    0,
-                    False,
-                )
+                self.missing_arguments = int(line[1:])
+                self.arguments = []
+                self.arguments_size = 0
+                self.is_too_large = False
         elif line.strip():  # an inline command, as typed by hand
             self._run_command(line.split())
 
@@ -260,12 +258,10 @@
 
     def _run_command(self, arguments: list[bytes]) -> None:
         name = arguments[0].upper() if arguments else b""
-        self.has_sent_command, self.command_started_at, self.arguments_size, self.arguments = (
-            True,
-            self.last_received_at,
-            0,
-            [],
-        )
+        self.has_sent_command = True
+        self.command_started_at = self.last_received_at
+        self.arguments_size = 0
+        self.arguments = []
         try:
             if self.is_too_large:
                 raise BadCommand(f"a body holds {MAX_BODY_SIZE} bytes at most")
@@ -347,13 +343,12 @@
         self, driver, max_connections: int, max_buffered_bytes: int, max_open: int = DEFAULT_MAX_OPEN
     ) -> None:
         """`max_connections`: size of the table; `max_open`: with those that are still closing."""
-        self.driver, self.connections, self.max_buffered_bytes = (
-            driver,
-            Slots(max_connections),
-            max_buffered_bytes,
-        )
+        self.driver = driver
+        self.connections = Slots(max_connections)
+        self.max_buffered_bytes = max_buffered_bytes
         self._by_last_activity: OrderedDict[Client, None] = OrderedDict()  # the longest idle first
-        self.open, self.max_open = 0, max_open  # open connections, including those that are closing
+        self.open = 0  # open connections, including those that are closing
+        self.max_open = max_open
         self._accept_update_due = False  # the port's limit of accepts is about to be updated
         self.stopping, self.port, self._accepting_paused = False, None, False
         self.paused = self.closing = False  # paused: PING is refused; closing: idle connections are closed
@@ -419,10 +414,8 @@
         Guards against half-sent bodies on many connections, which together outgrow the memory. A client whose
         text awaits its answer stays: it would take the refusal for that answer."""
         buffered = len(client.inbound) + client.arguments_size if client.end_reason is None else 0
-        self.buffered_bytes, client.buffered_bytes = (
-            self.buffered_bytes + buffered - client.buffered_bytes,
-            buffered,
-        )
+        self.buffered_bytes = self.buffered_bytes + buffered - client.buffered_bytes
+        client.buffered_bytes = buffered
         while self.buffered_bytes > self.max_buffered_bytes:
             partial = [each for each in self.connections if each.buffered_bytes and not each.awaiting_answer]
             if not partial:
--- a/limelatch/relay/directory.py
+++ b/limelatch/relay/directory.py
@@ -73,8 +73,8 @@
 
     def __init__(self, rows: int = 0) -> None:
         """`rows`: the number of rows to be added, if known."""
-        # every row's line, and the bytes in it that belong to no row any more
-        self._buffer, self._unused_bytes = bytearray(), 0
+        self._buffer = bytearray()  # every row's line
+        self._unused_bytes = 0  # the bytes in it that belong to no row any more
         self._line_starts = array("I")  # by row number: offset of its line; END: the number is free
         self._name_hashes, self._destinations = array("I"), array("I")
         self._seen = bytearray()  # by row number: whether the last whole list, or the one being read, has it
@@ -82,7 +82,8 @@
         self._destination_index = HashIndex(lambda row: self._destination_hash(self._destinations[row]), rows)
         self._free_numbers: list[int] = []
         self._removed: dict[int, None] = {}  # rows of removed hosts, the oldest first
-        self._count, self._sweep_position = 0, 0  # _sweep_position: all rows before it are seen
+        self._count = 0
+        self._sweep_position = 0  # all rows before it are seen
         self.is_loading = False  # a whole list is being read
 
     def __len__(self) -> int:
--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -305,10 +305,8 @@
         if self._stop_deadline is not None:
             return
         now = self.clock.now()
-        self._stop_deadline, self._earliest_stop_at = (
-            now + self.plan.max_stop_time,
-            now + self.plan.min_stop_time,
-        )
+        self._stop_deadline = now + self.plan.max_stop_time
+        self._earliest_stop_at = now + self.plan.min_stop_time
         handed_over = self.ready and self.ledger.has_successor()
         self.policy.stopping(self._stop_deadline)
         self.listener.stop(handed_over)
@@ -351,10 +349,8 @@
         if self.handover.sibling_has(submission.id):
             client.answer("+OK")  # the other process of this relay has accepted it
             return
-        product, customer = (
-            submission.product.decode(errors="replace"),
-            submission.customer.decode(errors="replace"),
-        )
+        product = submission.product.decode(errors="replace")
+        customer = submission.customer.decode(errors="replace")
         refusal = self._refusal_of(submission, product, customer)
         if refusal is not None:
             log_event(log, "text-refused", text=submission.id, why=refusal.why)
--- a/limelatch/relay/handover.py
+++ b/limelatch/relay/handover.py
@@ -42,11 +42,9 @@
         called with whether there are two processes now."""
         self._ledger, self._clock, self._deadlines, self._key_order = ledger, clock, deadlines, key_order
         self._is_ordered, self._adopt, self._schedule_turn = is_ordered, adopt, schedule_turn
-        self._sibling, self._sibling_known, self._share_limits = (
-            Sibling(ledger),
-            ledger.is_standby,
-            share_limits,
-        )
+        self._sibling = Sibling(ledger)
+        self._sibling_known = ledger.is_standby
+        self._share_limits = share_limits
         self.host_waits: dict[HostId, int] = {}  # until when hosts asked the other process to wait
         self.host_health: dict[HostId, HostHealth] = {}  # as the other process found it
         # Whether `poll` may find anything; a plain attribute, since it is read in each turn.
--- a/limelatch/relay/hash_index.py
+++ b/limelatch/relay/hash_index.py
@@ -17,7 +17,8 @@
 
     def __init__(self, hash_of: Callable[[int], int], rows: int = 0) -> None:
         """`rows`: the number of rows to be added, if known."""
-        self._hash_of, self._low = hash_of, 8  # _low: number of buckets at the last doubling
+        self._hash_of = hash_of
+        self._low = 8  # number of buckets at the last doubling
         while self._low * 2 <= rows:
             self._low *= 2
         self._heads = array("I", [END]) * self._low
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -129,10 +129,8 @@
         on_write_result: Callable[[OSError | None], None] = lambda error: None,
     ) -> None:
         self.state_dir, self.directory, self._on_write_result = state_dir, state_dir, on_write_result
-        self._disk_budget, self._memory_limit = (
-            disk_bytes // BLOCK * BLOCK - OTHER_FILE_BLOCKS * BLOCK,
-            memory_bytes,
-        )
+        self._disk_budget = disk_bytes // BLOCK * BLOCK - OTHER_FILE_BLOCKS * BLOCK
+        self._memory_limit = memory_bytes
         self.reserve_disk(0, at_once=True)
         self.state, self.size, self.cut_bytes, self.unwritten = LedgerState(), 0, 0, b""
         self._torn = False  # whether the file ends in a record that was written in part
@@ -463,8 +461,10 @@
             self._write_failed(error)
             return False
         close_quietly(self._file)
-        # The new file has what was in `unwritten` too.
-        self._file, self.size, self.unwritten, self._torn = new, len(records), b"", False
+        self._file = new
+        self.size = len(records)
+        self.unwritten = b""  # the new file has what was in it too
+        self._torn = False
         self._write_succeeded()
         return True
 
--- a/limelatch/relay/line_receiver.py
+++ b/limelatch/relay/line_receiver.py
@@ -87,10 +87,8 @@
 
     def __init__(self, inbound: int, outbound: int) -> None:
         """`inbound`, `outbound`: bytes that may be buffered in each direction."""
-        self.inbound, self._outbound = (
-            RingBuffer(max(inbound, self.MAX_LENGTH) + READ_SIZE),
-            RingBuffer(outbound),
-        )
+        self.inbound = RingBuffer(max(inbound, self.MAX_LENGTH) + READ_SIZE)
+        self._outbound = RingBuffer(outbound)
         self._block_size, self._pumping, self._reading = 0, False, True
         self.outbound_writer: OutboundWriter | None = None
         self.end_reason: EndReason | None = None
--- a/limelatch/relay/list_copy.py
+++ b/limelatch/relay/list_copy.py
@@ -116,10 +116,8 @@
     def _copy_pieces(self, head: dict, directory: Directory) -> Iterator[bytes]:
         yield json.dumps(head).encode() + b"\n"
         for piece in directory.lines():
-            self._checksum, self._row_count = (
-                crc32(piece, self._checksum),
-                self._row_count + piece.count(b"\n"),
-            )
+            self._checksum = crc32(piece, self._checksum)
+            self._row_count = self._row_count + piece.count(b"\n")
             yield piece
         yield json.dumps({"rows": self._row_count, "crc": self._checksum}).encode() + b"\n"
 
--- a/limelatch/relay/list_reader.py
+++ b/limelatch/relay/list_reader.py
@@ -98,12 +98,10 @@
                 self._handler.empty_line_read()
             self._is_line_empty = True
         if character == "{":
-            self._position, self._values, self._early_rows, self._read_next = (
-                self._position + 1,
-                {},
-                [],
-                self._read_name,
-            )
+            self._position = self._position + 1
+            self._values = {}
+            self._early_rows = []
+            self._read_next = self._read_name
             self._after_comma = self._had_rows = False
             return True
         if character:
@@ -132,12 +130,10 @@
         if name[0] == "endpoints" and self._buffer[after] == "[":
             if self._had_rows:
                 raise BadList("two lists of rows in one object")
-            self._position, self._read_next, self._had_rows, self._after_comma = (
-                after + 1,
-                self._read_rows,
-                True,
-                False,
-            )
+            self._position = after + 1
+            self._read_next = self._read_rows
+            self._had_rows = True
+            self._after_comma = False
             if {"index", "snapshot"} <= self._values.keys():
                 self._start_object()
             return True
--- a/limelatch/relay/operator_server.py
+++ b/limelatch/relay/operator_server.py
@@ -190,12 +190,10 @@
     noisy = False
 
     def __init__(self, driver, operations, max_connections: int = MAX_CONNECTIONS) -> None:
-        self.driver, self.operations, self.connections, self.port = (
-            driver,
-            operations,
-            Slots(max_connections),
-            None,
-        )
+        self.driver = driver
+        self.operations = operations
+        self.connections = Slots(max_connections)
+        self.port = None
         self.open_count = 0  # connections, including those that are being closed
         self.limited_log = LimitedLog(log, driver.clock)
 
--- a/limelatch/relay/wall_clock_monitor.py
+++ b/limelatch/relay/wall_clock_monitor.py
@@ -23,12 +23,10 @@
         self, clock: Clock, deadlines: Deadlines, file: AnchorFile, owns_directory: Callable[[], bool]
     ) -> None:
         """`owns_directory` returns false while another process still writes to the state directory."""
-        self._clock, self._deadlines, self._file, self._owns_directory = (
-            clock,
-            deadlines,
-            file,
-            owns_directory,
-        )
+        self._clock = clock
+        self._deadlines = deadlines
+        self._file = file
+        self._owns_directory = owns_directory
         self._last_ahead, self._saved = clock.wall_ahead(), False
 
     def start(self) -> None:
