--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -42,7 +42,7 @@
     Mutant(
         "the rest in the ledger",
         "relay/driver.py",
-        "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, rest)",
+        "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, cooldown_until)",
         "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN)",
     ),
     Mutant(
@@ -54,14 +54,14 @@
     Mutant(
         "the look at the sibling as a call is written",
         "relay/handover.py",
-        "if not self._sibling.has_ledger:\n            return self._go(key, text, going)",
-        "if True:\n            going()\n            return None",
+        "if not self._sibling.has_ledger:\n            return self._record_in_turn(key, text, record_submit)",
+        "if True:\n            record_submit()\n            return None",
     ),
     Mutant(
         "the record of a submit before it goes",
         "relay/driver.py",
-        "accepted.submit_out = self.ledger.record_submit(text, call.sent_at, zone)",
-        "accepted.submit_out = True",
+        "accepted.submit_in_flight = self.ledger.record_submit(text, call.sent_at, zone)",
+        "accepted.submit_in_flight = True",
     ),
     Mutant(
         "the window for repeats",
@@ -84,7 +84,7 @@
     Mutant(
         "the lock of the folder",
         "relay/ledger.py",
-        "fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)",
+        "fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)",
         "pass",
     ),
     Mutant(
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -9,7 +9,7 @@
 from conftest import S
 from hypothesis import given
 from hypothesis import strategies as st
-from test_crossings import Running, ledger_in, take
+from test_crossings import RunningReactor, ledger_in, accept_text
 
 from limelatch.interface import Health
 from limelatch.key_order import BlockReason, KeyCooldown, KeyOrder, QueuedText
@@ -118,13 +118,13 @@
 def test_a_follower_reads_on_after_compactions_between_two_polls(tmp_path):
     """Guards against taking a new file with a reused inode number for the file that was read before."""
     ledger, follower = ledger_in(tmp_path), LedgerFollower()
-    take(ledger, b"a")
+    accept_text(ledger, b"a")
     assert list(follower.poll(ledger.path).entries) == [b"a"]
     for number in range(6):
-        take(ledger, b"b%d" % number)
+        accept_text(ledger, b"b%d" % number)
         ledger.record_finished(b"b%d" % number)
         ledger.compact()
-        take(ledger, b"c%d" % number)
+        accept_text(ledger, b"c%d" % number)
     texts = [b"a", *(b"c%d" % number for number in range(6))]
     assert list(follower.poll(ledger.path).entries) == texts
     ledger.record_finished(b"a")
@@ -134,8 +134,8 @@
 
 def test_a_follower_copes_with_a_torn_record_an_emptied_file_and_no_file(tmp_path):
     ledger, follower = ledger_in(tmp_path), LedgerFollower()
-    take(ledger, b"a")
-    take(ledger, b"b")
+    accept_text(ledger, b"a")
+    accept_text(ledger, b"b")
     raw = open(ledger.path, "rb").read()
     path = str(tmp_path / "other")
     for end in range(len(raw) + 1):
@@ -174,7 +174,7 @@
 
     def take(self, text, at, **more):
         self.order.add(KEY, QueuedText(text, at))
-        take(self.ledger, text, key="k", product="charge", **({"at": at, "ordered": True} | more))
+        accept_text(self.ledger, text, key="k", product="charge", **({"at": at, "ordered": True} | more))
 
     def claim(self, text):
         return self.handover.claim(KEY, text, lambda: self.ledger.record_submit(text, self.clock.now(), 0))
@@ -182,7 +182,7 @@
 
 @pytest.fixture
 def pair(tmp_path):
-    clock = Running()
+    clock = RunningReactor()
     pair = Process(tmp_path, clock), Process(tmp_path, clock)
     assert pair[1].ledger.is_standby
     yield pair
@@ -220,8 +220,8 @@
 def test_texts_recorded_by_an_earlier_version_are_ordered_by_this_process_s_settings(pair):
     """Their records have no time and don't say whether the product is in order."""
     old, new = pair
-    take(old.ledger, b"a", key="k", product="charge")
-    take(old.ledger, b"b", key="x", product="notice")
+    accept_text(old.ledger, b"a", key="k", product="charge")
+    accept_text(old.ledger, b"b", key="x", product="notice")
     new.take(b"c", 5)
     new.order.add(b"x", QueuedText(b"d", 5))
     assert new.claim(b"c") is BlockReason.SIBLING and new.order.block_reason(0, b"x", b"d") is None
@@ -252,13 +252,13 @@
 def ledger_in_place_of(process):
     process.ledger.compact()
     process.ledger.close()
-    again = ledger_in(process.ledger.folder)
+    again = ledger_in(process.ledger.state_dir)
     process.ledger = again
     return again
 
 
 def test_a_process_without_a_sibling_holds_no_lock_and_no_further_descriptor(tmp_path):
-    process = Process(tmp_path, Running())
+    process = Process(tmp_path, RunningReactor())
     before = len(os.listdir("/proc/self/fd"))
     process.take(b"a", 5)
     process.handover.poll()
@@ -282,9 +282,9 @@
     """A client whose connection broke as the old process died submits the text again and gets +OK."""
     old, new = pair
     old.take(b"a", 5)
-    assert new.handover.holds(b"a") and not new.handover.holds(b"b")
+    assert new.handover.sibling_has(b"a") and not new.handover.sibling_has(b"b")
     old.ledger.record_finished(b"a")
-    assert not new.handover.holds(b"a")
+    assert not new.handover.sibling_has(b"a")
 
 
 def test_host_waits_cooldowns_and_host_health_outlast_a_compaction(pair):
@@ -319,4 +319,4 @@
     new.clock.advance(0.2)
     assert not new.ledger.is_standby and new.handover.host_health == {b"h": HostHealth(Health.WARMING, 9)}
     new.clock.advance(30)
-    assert new.handover.host_health == {} and not new.handover.has_news
+    assert new.handover.host_health == {} and not new.handover.has_host_data
