--- a/limelatch/client/__init__.py
+++ b/limelatch/client/__init__.py
@@ -2,11 +2,11 @@
 writes).
 
     async with Pool("127.0.0.1", 6379) as pool:
-        answer = await pool.submit(HandedText(product="notice", destination=7, valid_for_ms=24_000,
+        answer = await pool.submit(Submission(product="notice", destination=7, valid_for_ms=24_000,
         body=b"..."))
 """
 
 from limelatch.client.pool import Pool
-from limelatch.client.wire import Answer, Ending, HandedText
+from limelatch.client.wire import Answer, AnswerKind, Submission
 
-__all__ = ["Answer", "Ending", "HandedText", "Pool"]
+__all__ = ["Answer", "AnswerKind", "Submission", "Pool"]
--- a/limelatch/client/drive.py
+++ b/limelatch/client/drive.py
@@ -13,12 +13,12 @@
 from hdrh.histogram import HdrHistogram
 
 from limelatch.client.pool import Pool
-from limelatch.client.wire import Answer, Ending, HandedText
+from limelatch.client.wire import Answer, AnswerKind, Submission
 
-TICKS = 10_000  # of a second, in the histograms
-LONGEST = 3600 * TICKS
+TICKS_PER_SECOND = 10_000  # resolution of the histograms
+MAX_TICKS = 3600 * TICKS_PER_SECOND
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-AHEAD = 0.001  # seconds: a text due so soon goes now, since a timer is no finer
+TIMER_RESOLUTION = 0.001  # seconds: a text due so soon goes now, since a timer is no finer
 
 
 class Summary:
@@ -27,26 +27,26 @@
     `in_time` counts those taken on within `sla_ms`."""
 
     def __init__(self, sla_ms: float = 0.0) -> None:
-        self.sla_ms, self.in_time = sla_ms, 0
-        self.endings: Counter[Ending] = Counter()
-        self.words: Counter[str] = Counter()  # of the answers that are not taken
-        self.latency = HdrHistogram(1, LONGEST, 3)
-        self.lateness = HdrHistogram(1, LONGEST, 3)  # of the sender itself
-        self.began = self.ended = 0.0
+        self.sla_ms, self.within_sla = sla_ms, 0
+        self.count_by_kind: Counter[AnswerKind] = Counter()
+        self.messages: Counter[str] = Counter()  # of the answers that are not taken
+        self.latency = HdrHistogram(1, MAX_TICKS, 3)
+        self.send_delay = HdrHistogram(1, MAX_TICKS, 3)  # of the sender itself
+        self.started_at = self.ended_at = 0.0
 
     def add(self, answer: Answer, due: float, sent: float, now: float) -> None:
-        self.endings[answer.ending] += 1
-        if answer.ending is not Ending.TAKEN:
-            self.words[answer.words] += 1
+        self.count_by_kind[answer.kind] += 1
+        if answer.kind is not AnswerKind.ACCEPTED:
+            self.messages[answer.message] += 1
         elif (now - due) * 1000 <= self.sla_ms:
-            self.in_time += 1
-        self.latency.record_value(min(LONGEST, max(1, round((now - due) * TICKS))))
-        self.lateness.record_value(min(LONGEST, max(1, round((sent - due) * TICKS))))
-        self.ended = now
+            self.within_sla += 1
+        self.latency.record_value(min(MAX_TICKS, max(1, round((now - due) * TICKS_PER_SECOND))))
+        self.send_delay.record_value(min(MAX_TICKS, max(1, round((sent - due) * TICKS_PER_SECOND))))
+        self.ended_at = now
 
     @property
     def count(self) -> int:
-        return sum(self.endings.values())
+        return sum(self.count_by_kind.values())
 
     def percentiles(self, of: HdrHistogram | None = None) -> dict[float, float]:
         """Milliseconds by percentile; 100 is the largest."""
@@ -56,8 +56,10 @@
 
     def lines(self) -> Iterable[str]:
         """For people."""
-        span = max(self.ended - self.began, 1e-9)
-        endings = ", ".join(f"{self.endings[each]} {each.value}" for each in Ending if self.endings[each])
+        span = max(self.ended_at - self.started_at, 1e-9)
+        endings = ", ".join(
+            f"{self.count_by_kind[each]} {each.value}" for each in AnswerKind if self.count_by_kind[each]
+        )
         yield f"{self.count} texts in {span:.1f} s, {self.count / span:.1f} a second: {endings or 'none'}"
         if self.count:
             spread = "  ".join(
@@ -65,43 +67,43 @@
                 for each, ms in self.percentiles().items()
             )
             yield f"answered after (ms from when it was due): {spread}"
-            late = self.percentiles(self.lateness)
+            late = self.percentiles(self.send_delay)
             yield f"sent late by (ms): p50 {late[50.0]:.1f}  p99 {late[99.0]:.1f}  max {late[100.0]:.1f}"
-        for words, times in self.words.most_common(5):
-            yield f"  {times} x {words}"
+        for message, times in self.messages.most_common(5):
+            yield f"  {times} x {message}"
 
 
-async def paced(count: int, rate: float | None) -> AsyncIterator[float]:
+async def due_times(count: int, rate: float | None) -> AsyncIterator[float]:
     """When each of `count` texts is due, by the loop's clock; without a rate, all at once."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     for number in range(count):
-        due = began + (number / rate if rate else 0.0)
-        if due - loop.time() > AHEAD:
+        due = started_at + (number / rate if rate else 0.0)
+        if due - loop.time() > TIMER_RESOLUTION:
             await asyncio.sleep(due - loop.time())
         yield due
 
 
-async def drive(
+async def submit_all(
     pool: Pool,
-    texts: Callable[[int], HandedText],
+    texts: Callable[[int], Submission],
     count: int,
     rate: float | None,
-    told: Callable[[HandedText, Answer], None] = lambda text, answer: None,
+    on_answer: Callable[[Submission, Answer], None] = lambda text, answer: None,
     sla_ms: float = 0.0,
 ) -> Summary:
     """Hand in `count` texts at `rate` a second, each as it is due, answered or not."""
     loop, summary, tasks = asyncio.get_running_loop(), Summary(sla_ms), set()
 
-    async def one(text: HandedText, due: float) -> None:
+    async def one(text: Submission, due: float) -> None:
         sent = loop.time()
         answer = await pool.submit(text)
         summary.add(answer, due, sent, loop.time())
-        told(text, answer)
+        on_answer(text, answer)
 
-    summary.began = summary.ended = loop.time()
+    summary.started_at = summary.ended_at = loop.time()
     number = 0
-    async for due in paced(count, rate):
+    async for due in due_times(count, rate):
         task = loop.create_task(one(texts(number), due))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
--- a/limelatch/client/pool.py
+++ b/limelatch/client/pool.py
@@ -5,7 +5,7 @@
 import asyncio
 import os
 
-from limelatch.client.wire import Answer, Ending, HandedText, Line
+from limelatch.client.wire import Answer, AnswerKind, Submission, RelayConnection
 
 TIMEOUT = 0.4  # seconds that a client waits for an answer
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -14,11 +14,11 @@
 class Pool:
     """Hands in texts; `most` connections at once, and those beyond wait their turn."""
 
-    def __init__(self, host: str, port: int, most: int = 64, timeout: float = TIMEOUT) -> None:
+    def __init__(self, host: str, port: int, max_connections: int = 64, timeout: float = TIMEOUT) -> None:
         self.host, self.port, self.timeout = host, port, timeout
-        self.idle: list[Line] = []
-        self.turns = asyncio.Semaphore(most)
-        self.opened = 0  # connections so far
+        self.idle: list[RelayConnection] = []
+        self.free_connections = asyncio.Semaphore(max_connections)
+        self.opened_count = 0  # connections so far
 
     async def __aenter__(self) -> Pool:
         return self
@@ -30,7 +30,7 @@
         while self.idle:
             self.idle.pop().close()
 
-    async def submit(self, text: HandedText) -> Answer:
+    async def submit(self, text: Submission) -> Answer:
         """Hand in one text."""
         return await self.ask(text.command())
 
@@ -41,25 +41,25 @@
         """One command. A kept connection that the relay has closed between commands costs a second try: what
         crossed its closing was not read (the platform's protocol)."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        async with self.turns:
+        started_at = loop.time()
+        async with self.free_connections:
             while self.idle:
-                line = self.idle.pop()
-                if not line.open:
+                connection = self.idle.pop()
+                if not connection.open:
                     continue
-                answer = await line.ask(command, self.timeout)
-                if answer.ending is not Ending.LOST:
-                    return self._rest(line, answer)
+                answer = await connection.ask(command, self.timeout)
+                if answer.kind is not AnswerKind.LOST:
+                    return self._release(connection, answer)
             try:
                 async with asyncio.timeout(self.timeout):
-                    _, line = await loop.create_connection(Line, self.host, self.port)
+                    _, connection = await loop.create_connection(RelayConnection, self.host, self.port)
             except (OSError, TimeoutError) as error:
-                words = os.strerror(error.errno) if error.errno else "no connection in time"
-                return Answer(Ending.LOST, words, loop.time() - began)
-            self.opened += 1
-            return self._rest(line, await line.ask(command, self.timeout))
+                message = os.strerror(error.errno) if error.errno else "no connection in time"
+                return Answer(AnswerKind.LOST, message, loop.time() - started_at)
+            self.opened_count += 1
+            return self._release(connection, await connection.ask(command, self.timeout))
 
-    def _rest(self, line: Line, answer: Answer) -> Answer:
-        if line.open:
-            self.idle.append(line)
+    def _release(self, connection: RelayConnection, answer: Answer) -> Answer:
+        if connection.open:
+            self.idle.append(connection)
         return answer
--- a/limelatch/client/wire.py
+++ b/limelatch/client/wire.py
@@ -11,17 +11,17 @@
 import hiredis
 
 ID_BYTES = 8
-BUSY = re.compile(r"BUSY(?: ([0-9]+))?\Z")
+BUSY_PATTERN = re.compile(r"BUSY(?: ([0-9]+))?\Z")
 NO_KEY = "0"
 
 
-class Ending(Enum):
+class AnswerKind(Enum):
     """What became of a command."""
 
-    TAKEN = "taken"  # the relay owes the text its end
+    ACCEPTED = "taken"  # the relay owes the text its end
     BUSY = "busy"  # nacked: coming again is harmless
     ERROR = "error"  # it can't be carried out
-    SILENT = "silent"  # no answer in time
+    NO_ANSWER = "silent"  # no answer in time
     LOST = "lost"  # the connection broke, or never came up
 
 
@@ -29,9 +29,9 @@
 class Answer:
     """The relay's answer; `wait_ms` is when to come again, 0 where it told none; `took` is in seconds."""
 
-    ending: Ending
-    words: str
-    took: float
+    kind: AnswerKind
+    message: str
+    elapsed: float
     wait_ms: int = 0
 
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class HandedText:
+class Submission:
     """One text to hand in; its id is new each time it is handed in, its mark stays the same."""
 
     product: str
@@ -49,29 +49,31 @@
     body: bytes = b""
     customer: str = ""
     key: str = NO_KEY
-    mark: str = ""
+    idempotency_key: str = ""
     id: str = field(default_factory=new_id)
-    again: bool = False  # handed in before, and nacked
+    resubmitted: bool = False  # handed in before, and nacked
 
     def command(self) -> bytes:
         """The bytes of its SUBMIT."""
         names = f"c={self.product},t={self.customer},d={self.valid_for_ms:.3f},dest={self.destination}"
-        names += (f",k={self.mark}" if self.mark else "") + (",r=1" if self.again else "")
+        names += (f",k={self.idempotency_key}" if self.idempotency_key else "") + (
+            ",r=1" if self.resubmitted else ""
+        )
         return hiredis.pack_command(("SUBMIT", self.key, self.id, names, self.body))
 
 
-def read_answer(reply: object, took: float) -> Answer:
+def read_answer(reply: object, elapsed: float) -> Answer:
     """What a relay's reply says."""
     if isinstance(reply, hiredis.ReplyError):
-        words = str(reply)
-        if match := BUSY.match(words):
-            return Answer(Ending.BUSY, words, took, int(match[1] or 0))
-        return Answer(Ending.ERROR, words, took)
-    words = reply.decode(errors="replace") if isinstance(reply, bytes) else str(reply)
-    return Answer(Ending.TAKEN, words, took)
+        message = str(reply)
+        if match := BUSY_PATTERN.match(message):
+            return Answer(AnswerKind.BUSY, message, elapsed, int(match[1] or 0))
+        return Answer(AnswerKind.ERROR, message, elapsed)
+    message = reply.decode(errors="replace") if isinstance(reply, bytes) else str(reply)
+    return Answer(AnswerKind.ACCEPTED, message, elapsed)
 
 
-class Line(asyncio.Protocol):
+class RelayConnection(asyncio.Protocol):
     """One connection; it is used again only after a whole answer."""
 
     def __init__(self) -> None:
@@ -90,14 +92,14 @@
             self.transport.abort()
             return
         if reply is not False and self.waiter is not None and not self.waiter.done():
-            took = asyncio.get_running_loop().time() - self._asked_at
-            self.waiter.set_result(read_answer(reply, took))
+            elapsed = asyncio.get_running_loop().time() - self._asked_at
+            self.waiter.set_result(read_answer(reply, elapsed))
 
     def connection_lost(self, error: Exception | None) -> None:
         self.open = False
         if self.waiter is not None and not self.waiter.done():
-            took = asyncio.get_running_loop().time() - self._asked_at
-            self.waiter.set_result(Answer(Ending.LOST, "the connection ended", took))
+            elapsed = asyncio.get_running_loop().time() - self._asked_at
+            self.waiter.set_result(Answer(AnswerKind.LOST, "the connection ended", elapsed))
 
     async def ask(self, command: bytes, timeout: float) -> Answer:
         """Send a command and wait for its answer; after a silence the connection is closed."""
@@ -113,7 +115,7 @@
 
     def _silent(self, timeout: float) -> None:
         if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_result(Answer(Ending.SILENT, "no answer in time", timeout))
+            self.waiter.set_result(Answer(AnswerKind.NO_ANSWER, "no answer in time", timeout))
         self.close()
 
     def close(self) -> None:
--- a/limelatch/command/text.py
+++ b/limelatch/command/text.py
@@ -106,39 +106,39 @@
     Examples:  echo hello | limelatch text submit --product notice --dest 1
                limelatch text submit --product notice --dest 1 --body x --count 500 --rate 50
     """
-    from limelatch.client import Answer, Ending, HandedText, Pool
-    from limelatch.client.drive import drive
+    from limelatch.client import Answer, AnswerKind, Submission, Pool
+    from limelatch.client.drive import submit_all
 
     host, port = address_of(address)
     content = body_of(body)
 
-    def made(number: int) -> HandedText:
-        found = HandedText(product, dest, valid_for, content, customer, key, mark or "")
-        found.mark = found.mark or found.id
+    def made(number: int) -> Submission:
+        found = Submission(product, dest, valid_for, content, customer, key, mark or "")
+        found.idempotency_key = found.idempotency_key or found.id
         return found
 
-    def told(handed: HandedText, answer: Answer) -> None:
+    def told(handed: Submission, answer: Answer) -> None:
         if as_json:
             click.echo(
                 json.dumps(
                     {
                         "id": handed.id,
-                        "ending": answer.ending.value,
-                        "words": answer.words,
+                        "ending": answer.kind.value,
+                        "words": answer.message,
                         "wait_ms": answer.wait_ms,
-                        "took_ms": round(answer.took * 1000, 3),
+                        "took_ms": round(answer.elapsed * 1000, 3),
                     }
                 )
             )
         elif count <= SHOWN_MOST:
             wait = f", come again after {answer.wait_ms} ms" if answer.wait_ms else ""
             click.echo(
-                f"{handed.id}  {answer.ending.value}{wait}  ({answer.words})  {answer.took * 1000:.1f} ms"
+                f"{handed.id}  {answer.kind.value}{wait}  ({answer.message})  {answer.elapsed * 1000:.1f} ms"
             )
 
     async def run():
         async with Pool(host, port, connections, timeout / 1000) as pool:
-            return await drive(pool, made, count, rate, told)
+            return await submit_all(pool, made, count, rate, told)
 
     summary = asyncio.run(run())
     if as_json:
@@ -146,7 +146,7 @@
             json.dumps(
                 {
                     "texts": summary.count,
-                    "endings": {each.value: number for each, number in summary.endings.items()},
+                    "endings": {each.value: number for each, number in summary.count_by_kind.items()},
                     "ms": {f"p{each:g}": ms for each, ms in summary.percentiles().items()},
                 }
             )
@@ -154,7 +154,7 @@
     elif count > 1:
         for line in summary.lines():
             click.echo(line)
-    if summary.endings[Ending.TAKEN] < count:
+    if summary.count_by_kind[AnswerKind.ACCEPTED] < count:
         raise SystemExit(WRONG)
 
 
@@ -168,7 +168,7 @@
     \b
     Example:  limelatch ping --wait 10s && echo ready
     """
-    from limelatch.client import Ending, Pool
+    from limelatch.client import AnswerKind, Pool
 
     host, port = address_of(address)
 
@@ -176,11 +176,11 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + wait / 1000
         async with Pool(host, port, 1, timeout / 1000) as pool:
-            while (answer := await pool.ping()).ending is not Ending.TAKEN and loop.time() < until:
+            while (answer := await pool.ping()).kind is not AnswerKind.ACCEPTED and loop.time() < until:
                 await asyncio.sleep(0.05)
             return answer
 
     answer = asyncio.run(run())
-    click.echo(f"{address}: {answer.words} after {answer.took * 1000:.1f} ms")
-    if answer.ending is not Ending.TAKEN:
+    click.echo(f"{address}: {answer.message} after {answer.elapsed * 1000:.1f} ms")
+    if answer.kind is not AnswerKind.ACCEPTED:
         raise SystemExit(WRONG)
--- a/limelatch/lab/load.py
+++ b/limelatch/lab/load.py
@@ -13,9 +13,9 @@
 
 import numpy as np
 
-from limelatch.client.drive import Summary, drive
+from limelatch.client.drive import Summary, submit_all
 from limelatch.client.pool import Pool
-from limelatch.client.wire import HandedText
+from limelatch.client.wire import Submission
 from limelatch.lab.world.chance import Draws, Streams
 from limelatch.lab.world.world import zipf_weights
 
@@ -49,24 +49,24 @@
         summary = self.summary
         if not summary.count:
             return 0.0
-        return summary.in_time / summary.count
+        return summary.within_sla / summary.count
 
     @property
     def late_ms(self) -> float:
         """By how much the tool itself was late, at the 99th percentile."""
-        return self.summary.percentiles(self.summary.lateness)[99.0]
+        return self.summary.percentiles(self.summary.send_delay)[99.0]
 
 
-def texts_of(shape: Shape) -> Callable[[int], HandedText]:
+def texts_of(shape: Shape) -> Callable[[int], Submission]:
     """Makes the texts, each with a new id, its destination by the law of Zipf."""
     generator = Streams(shape.seed).generator("destinations")
     weights = zipf_weights(len(shape.destinations), shape.zipf)
     drawn = Draws(lambda count: generator.choice(np.array(shape.destinations), count, p=weights))
     body = b"." * shape.size
 
-    def made(number: int) -> HandedText:
-        text = HandedText(shape.product, int(drawn.next()), shape.valid_for_ms, body, shape.customer)
-        text.mark = text.id
+    def made(number: int) -> Submission:
+        text = Submission(shape.product, int(drawn.next()), shape.valid_for_ms, body, shape.customer)
+        text.idempotency_key = text.id
         return text
 
     return made
@@ -104,13 +104,13 @@
             count = max(1, round(rate * seconds))
             done = 0
 
-            def one(text: HandedText, answer: object, rate: float = rate, count: int = count) -> None:
+            def one(text: Submission, answer: object, rate: float = rate, count: int = count) -> None:
                 nonlocal done
                 done += 1
                 if done % 50 == 0 or done == count:
                     progress(rate, done, count)
 
-            summary = await drive(pool, made, count, rate, one, sla_ms)
+            summary = await submit_all(pool, made, count, rate, one, sla_ms)
             step = Step(rate, summary, sla_ms)
             found.append(step)
             told(step)
--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from limelatch.client.pool import Pool
-from limelatch.client.wire import Ending, HandedText
+from limelatch.client.wire import AnswerKind, Submission
 from limelatch.interface import MS, SECOND, Effect
 from limelatch.lab import record as rec
 from limelatch.lab.record import Answer
@@ -46,11 +46,11 @@
 from limelatch.lab.world.clients import Arrival, Arrivals, Habits
 
 ANSWERS = {
-    Ending.TAKEN: Answer.TAKEN,
-    Ending.BUSY: Answer.BUSY,
-    Ending.ERROR: Answer.ERROR,
-    Ending.SILENT: Answer.SILENT,
-    Ending.LOST: Answer.LOST,
+    AnswerKind.ACCEPTED: Answer.TAKEN,
+    AnswerKind.BUSY: Answer.BUSY,
+    AnswerKind.ERROR: Answer.ERROR,
+    AnswerKind.NO_ANSWER: Answer.SILENT,
+    AnswerKind.LOST: Answer.LOST,
 }
 CONNECTIONS = 256  # to each relay, at most
 NOBODY = 100 * MS  # until a text that found no relay is handed in again
@@ -174,7 +174,7 @@
                 writer.add(rec.Late(now, "load", max(0, now - coming.due)))
             answer = await self.pools[coming.relay].submit(self.text_of(coming, now))
             now = self.now()
-            kind = ANSWERS[answer.ending]
+            kind = ANSWERS[answer.kind]
             writer.add(rec.Answered(now, coming.id, kind, answer.wait_ms * MS))
             if kind not in (Answer.LOST, Answer.SILENT):
                 self.answered(coming, kind, answer.wait_ms * MS, now)
@@ -185,11 +185,11 @@
                 await asyncio.sleep(NOBODY / SECOND)
         self.key_free(coming)
 
-    def text_of(self, coming: Coming, now: int) -> HandedText:
+    def text_of(self, coming: Coming, now: int) -> Submission:
         mark = TextMark(coming.product, coming.first, coming.relay, self.play)
         body = body_of(mark, self.scenario.clients.body)
         customer = self.customers[coming.customer] if self.customers else ""
-        return HandedText(
+        return Submission(
             self.names[coming.product],
             coming.destination,
             max(1, (coming.until - now) // MS),
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -26,7 +26,7 @@
 import psutil
 
 from limelatch.client.pool import Pool
-from limelatch.client.wire import Ending
+from limelatch.client.wire import AnswerKind
 from limelatch.configuration.model import Catalog as CatalogTable
 from limelatch.configuration.model import (
     Clients,
@@ -287,7 +287,7 @@
         host, _, port = self.listen.partition(":")
         until = time.monotonic() + READY_WAIT
         async with Pool(host, int(port), 1) as pool:
-            while (await pool.ping()).ending is not Ending.TAKEN:
+            while (await pool.ping()).kind is not AnswerKind.ACCEPTED:
                 if self.process.returncode is not None or time.monotonic() > until:
                     raise StageError(f"{self.name} did not start: see {self.folder / (self.name + '.log')}")
                 await asyncio.sleep(0.02)
--- a/limelatch/standin/demo.py
+++ b/limelatch/standin/demo.py
@@ -18,7 +18,7 @@
 from enum import Enum
 from random import Random
 
-from limelatch.client import Ending, HandedText, Pool
+from limelatch.client import AnswerKind, Pool, Submission
 from limelatch.standin.agent import AgentFace, Notice, Row
 from limelatch.standin.host import Call, HostFace, State
 from limelatch.standin.http import Server
@@ -225,7 +225,7 @@
 
     async def ready(self, pool: Pool) -> None:
         until = asyncio.get_running_loop().time() + READY_WAIT
-        while (await pool.ping()).ending is not Ending.TAKEN:
+        while (await pool.ping()).kind is not AnswerKind.ACCEPTED:
             if self.relay.returncode is not None or asyncio.get_running_loop().time() > until:
                 raise RuntimeError("the relay did not start: " + " | ".join(self.lines))
             await asyncio.sleep(0.02)
@@ -239,8 +239,8 @@
             product = PRODUCTS[self.chance.choices(range(3), (6, 1, 3))[0]]
             partner = self.chance.choice(list(self.partners))
             key = f"k{self.chance.randrange(20)}" if product == "charge" else "0"
-            text = HandedText(product, partner, VALID_MS, f"text {number}".encode(), key=key)
-            text.mark = text.id
+            text = Submission(product, partner, VALID_MS, f"text {number}".encode(), key=key)
+            text.idempotency_key = text.id
             self.fates[text.id] = Fate(partner)
             task = loop.create_task(self.one(pool, text))
             tasks.add(task)
@@ -248,12 +248,12 @@
         if tasks:
             await asyncio.wait(tasks)
 
-    async def one(self, pool: Pool, text: HandedText) -> None:
+    async def one(self, pool: Pool, text: Submission) -> None:
         self.handed += 1
         answer = await pool.submit(text)
-        if answer.ending is Ending.TAKEN:
+        if answer.kind is AnswerKind.ACCEPTED:
             self.fates[text.id].taken = True
-        elif answer.ending is Ending.BUSY:
+        elif answer.kind is AnswerKind.BUSY:
             self.busy += 1
         else:
             self.other += 1
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -15,7 +15,7 @@
 from conftest import SETTINGS, WAIT_TIMEOUT
 
 from limelatch.client import wire
-from limelatch.client.wire import Ending
+from limelatch.client.wire import AnswerKind
 from limelatch.relay.ledger import Ledger
 from limelatch.relay.records import RECORD_HEADER
 
@@ -289,20 +289,20 @@
 
 
 @pytest.mark.parametrize(
-    "reply, ending, wait",
+    "reply, kind, wait",
     [
-        (b"+OK\r\n", Ending.TAKEN, 0),
-        (b"-BUSY 250\r\n", Ending.BUSY, 250),
-        (b"-BUSY\r\n", Ending.BUSY, 0),
-        (b"-ERR no\r\n", Ending.ERROR, 0),
-        (b"$2\r\nOK\r\n", Ending.TAKEN, 0),
+        (b"+OK\r\n", AnswerKind.ACCEPTED, 0),
+        (b"-BUSY 250\r\n", AnswerKind.BUSY, 250),
+        (b"-BUSY\r\n", AnswerKind.BUSY, 0),
+        (b"-ERR no\r\n", AnswerKind.ERROR, 0),
+        (b"$2\r\nOK\r\n", AnswerKind.ACCEPTED, 0),
     ],
 )
-def test_a_relays_answers_are_read(reply, ending, wait):
+def test_a_relays_answers_are_read(reply, kind, wait):
     reader = wire.hiredis.Reader()
     reader.feed(reply)
     answer = wire.read_answer(reader.gets(), 0.1)
-    assert (answer.ending, answer.wait_ms) == (ending, wait)
+    assert (answer.kind, answer.wait_ms) == (kind, wait)
 
 
 def demo(folder, terminal=False):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,7 +11,7 @@
 from twisted.internet.task import Clock as Reactor
 from twisted.internet.testing import StringTransport
 
-from limelatch.client.wire import HandedText
+from limelatch.client.wire import Submission
 from limelatch.configuration import bench_settings, plan_of
 from limelatch.configuration.platform_form import read_platform
 from limelatch.interface import SECOND, Effect, Listing, Result
@@ -534,7 +534,7 @@
 
 @pytest.mark.parametrize("valid_for", [7_200_000, 0.5, 24_000, 999_999.125])
 def test_the_relay_reads_any_validity_as_the_client_writes_it(valid_for):
-    raw = HandedText("notice", 7, valid_for, b"x").command()
+    raw = Submission("notice", 7, valid_for, b"x").command()
     assert read_submit(raw.split(b"\r\n")[2::2][:5]).valid_for == int(valid_for * 10)
 
 
