--- a/limelatch/lab/scale/control.py
+++ b/limelatch/lab/scale/control.py
@@ -20,7 +20,7 @@
 
 from limelatch.lab.scale.results import Point
 from limelatch.lab.stages.errors import StageError
-from limelatch.standin.agent import LIST, QUIET
+from limelatch.standin.agent import LIST_PATH, KEEPALIVE_INTERVAL
 from limelatch.standin.http import Connection, Request, Server, answer_bytes
 
 LOOPBACK = "127.0.0.1"
@@ -57,12 +57,12 @@
 class Fed(Connection):
     """A connection that takes long answers piece by piece, as fast as the other side reads."""
 
-    def __init__(self, face) -> None:
-        super().__init__(face)
+    def __init__(self, handler) -> None:
+        super().__init__(handler)
         self.rest, self.flows = memoryview(b""), True
 
     def write(self, raw: bytes) -> None:
-        self.face.face.sent += len(raw)
+        self.handler.handler.sent += len(raw)
         super().write(raw)
 
     def write_long(self, raw: bytes) -> None:
@@ -126,12 +126,12 @@
     def quiet(self) -> None:
         for connection in self.watches:
             connection.chunk(b"\n")
-        self._beat = asyncio.get_running_loop().call_later(QUIET, self.quiet)
+        self._beat = asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self.quiet)
 
-    def requested(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         parts, connection = urlsplit(request.target), request.connection
         query = parse_qs(parts.query)
-        if parts.path != LIST:
+        if parts.path != LIST_PATH:
             connection.answer(404)
         elif query.get("stream") != ["1"]:
             body, self.lists = self.whole(), self.lists + 1
@@ -145,15 +145,15 @@
                 connection.chunk(self.since(known))
             self.watches.add(connection)
             if self._beat is None:
-                self._beat = asyncio.get_running_loop().call_later(QUIET, self.quiet)
+                self._beat = asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self.quiet)
 
-    def opened(self, connection: Connection) -> None:
+    def connection_opened(self, connection: Connection) -> None:
         pass
 
-    def garbled(self, connection: Connection) -> None:
+    def unreadable_input(self, connection: Connection) -> None:
         pass
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         self.watches.discard(connection)
 
 
@@ -172,7 +172,7 @@
         self.ask()
 
     def ask(self) -> None:
-        target = f"{LIST}?stream=1&index={self.index}" if self.index else LIST
+        target = f"{LIST_PATH}?stream=1&index={self.index}" if self.index else LIST_PATH
         self.transport.write(f"GET {target} HTTP/1.1\r\nHost: catalog\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
@@ -520,7 +520,8 @@
             "bytes a change and watcher",
             "B",
             [round(run.read / each, 2) for run in runs],
-            f"objects; beside them 6 B of framing, and empty lines of {BEAT / QUIET:.0f} B a second",
+            "objects; beside them 6 B of framing, and empty lines of "
+            f"{BEAT / KEEPALIVE_INTERVAL:.0f} B a second",
         ),
         point(
             "processor a change and watcher",
--- a/limelatch/lab/scale/partners.py
+++ b/limelatch/lab/scale/partners.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from urllib.parse import parse_qs, urlsplit
 
-from limelatch.standin.agent import LIST, QUIET, REPORTS
-from limelatch.standin.host import ONE
+from limelatch.standin.agent import LIST_PATH, KEEPALIVE_INTERVAL, REPORTS_PATH
+from limelatch.standin.host import SINGLE_PATH
 from limelatch.standin.http import Connection, Request, Server, answer_bytes
 
 LOOPBACK = "127.0.0.1"
@@ -34,20 +34,20 @@
     """Counts its payload with its server."""
 
     def data_received(self, data: bytes) -> None:
-        self.face.received += len(data)
+        self.handler.received += len(data)
         super().data_received(data)
 
     def write(self, raw: bytes) -> None:
         if self.open:
-            self.face.sent += len(raw)
+            self.handler.sent += len(raw)
         super().write(raw)
 
 
 class CountedServer(Server):
     """`received` and `sent`: bytes of payload of all its connections so far."""
 
-    def __init__(self, face: object, host: str = LOOPBACK) -> None:
-        super().__init__(face, host)
+    def __init__(self, handler: object, host: str = LOOPBACK) -> None:
+        super().__init__(handler, host)
         self.received = self.sent = 0
 
     def _connection(self) -> Connection:
@@ -99,15 +99,15 @@
             connection.chunk(told)
         return len(b"%x\r\n%s\r\n" % (len(told), told)) if self.watches else 0
 
-    def opened(self, connection: Connection) -> None:
+    def connection_opened(self, connection: Connection) -> None:
         pass
 
-    def requested(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         parts = urlsplit(request.target)
-        if request.method == "POST" and parts.path == REPORTS:
+        if request.method == "POST" and parts.path == REPORTS_PATH:
             self.notices += len(request.body.splitlines())
             request.connection.answer(204)
-        elif request.method != "GET" or parts.path != LIST:
+        elif request.method != "GET" or parts.path != LIST_PATH:
             request.connection.answer(404)
         elif (query := parse_qs(parts.query)).get("stream") == ["1"]:
             self._watch(request.connection, query.get("index", [""])[0])
@@ -137,12 +137,14 @@
     def _watches(self, connection: Connection) -> None:
         self.watches.add(connection)
         if self._beat is None:
-            self._beat = asyncio.get_running_loop().call_later(QUIET, self._quiet)
+            self._beat = asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self._quiet)
 
     def _quiet(self) -> None:
         for connection in self.watches:
             connection.chunk(b"\n")
-        self._beat = asyncio.get_running_loop().call_later(QUIET, self._quiet) if self.watches else None
+        self._beat = (
+            asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self._quiet) if self.watches else None
+        )
 
     def _write(self, connection: Connection, raw: bytes, then: Callable[[], None]) -> None:
         if not self.trickle:
@@ -166,10 +168,10 @@
             self.whole_sent += 1
             then()
 
-    def garbled(self, connection: Connection) -> None:
+    def unreadable_input(self, connection: Connection) -> None:
         pass
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         self.watches.discard(connection)
         if not self.watches and self._beat is not None:
             self._beat.cancel()
@@ -183,11 +185,11 @@
         self.answer, self.texts, self.calls = answer, set[bytes](), 0
         self._waiter: tuple[int, asyncio.Future] | None = None
 
-    def opened(self, connection: Connection) -> None:
+    def connection_opened(self, connection: Connection) -> None:
         pass
 
-    def requested(self, request: Request) -> None:
-        if request.target != ONE:
+    def request_received(self, request: Request) -> None:
+        if request.target != SINGLE_PATH:
             request.connection.answer(400)
             return
         self.calls += 1
@@ -196,10 +198,10 @@
         if self._waiter is not None and len(self.texts) >= self._waiter[0] and not self._waiter[1].done():
             self._waiter[1].set_result(None)
 
-    def garbled(self, connection: Connection) -> None:
+    def unreadable_input(self, connection: Connection) -> None:
         pass
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         pass
 
     async def reach(self, texts: int, seconds: float) -> bool:
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -70,9 +70,9 @@
 from limelatch.lab.stages.terms import idle_time, terms_of
 from limelatch.lab.world.endpoint import Endpoint, Reply, Route, WorldCall, WorldText
 from limelatch.lab.world.world import World
-from limelatch.standin.agent import AgentFace, Notice, Row
-from limelatch.standin.host import Call, HostFace, State
-from limelatch.standin.http import Connection, Face, Server
+from limelatch.standin.agent import AgentHandler, Notice, HostEntry
+from limelatch.standin.host import Call, HostHandler, TextState
+from limelatch.standin.http import Connection, Handler, Server
 
 READY_WAIT, STOP_WAIT, START_PAUSE = 15.0, 4.0, 0.6  # seconds
 GAUGE_EACH, SWEEP_EACH = 0.5, 0.5
@@ -82,11 +82,11 @@
 STATUS = {Listing.READY: "active", Listing.DRAINING: "leaving", Listing.GONE: "left"}
 LISTED = {Listing.READY: 0, Listing.DRAINING: 1, Listing.GONE: 2}
 STATE_OF = {
-    Fate.DELIVERED: State.DELIVERED,
-    Fate.FAILED: State.FAILED,
-    Fate.REFUSED: State.REFUSED,
-    Fate.OVER: State.OVER,
-    Fate.SPENT: State.SPENT,
+    Fate.DELIVERED: TextState.DELIVERED,
+    Fate.FAILED: TextState.FAILED,
+    Fate.REFUSED: TextState.REFUSED,
+    Fate.OVER: TextState.OVER,
+    Fate.SPENT: TextState.SPENT,
 }
 GARBAGE = b"\x00\xff garbage \r\n\r\n"
 NAMELESS = "any"  # a scenario without kinds or floors has one of each
@@ -107,10 +107,10 @@
 
     async def open(self) -> None:
         for relay in range(self.stage.scenario.relays.count):
-            face = HostFace(
+            handler = HostHandler(
                 lambda call, relay=relay: self.called(relay, call), self.closed, self.came, self.bad
             )
-            server = self.stage.server(face)
+            server = self.stage.server(handler)
             self.servers.append(server)
             await server.start()
 
@@ -136,18 +136,18 @@
         if endpoint.silent or endpoint.number in stage.cut[relay]:
             self.caught.add(connection)
             return
-        if call.probe:
+        if call.is_probe:
             connection.answer(503 if endpoint.out else 200)
             return
         texts = []
-        for item in call.items:
+        for text in call.texts:
             try:
-                mark = read_body(item.body, stage.address.host)
+                mark = read_body(text.body, stage.address.host)
             except NotOurs as error:
                 connection.answer(400)
                 stage.foreign_call(endpoint, str(error))
                 return
-            texts.append(WorldText(item.id, mark.first, mark.product))
+            texts.append(WorldText(text.id, mark.first, mark.product))
         now = stage.clock.now()
         stage.calls += 1
         stage.writer.add(
@@ -197,7 +197,7 @@
                 server.down()
         elif endpoint.silent:
             for server in self.servers:
-                server.silence()
+                server.stop_accepting()
         else:
             for connection in list(self.caught):
                 connection.reset()
@@ -226,7 +226,7 @@
         self.name = f"relay-{number}"
         self.path, self.state = folder / f"{self.name}.json", folder / f"{self.name}-state"
         self.state.mkdir()
-        self.agent = AgentFace(lambda notice: stage.noticed(number, notice))
+        self.agent = AgentHandler(lambda notice: stage.noticed(number, notice))
         self.server = stage.server(self.agent)
         self.process: asyncio.subprocess.Process | None = None
         self.watch: psutil.Process | None = None
@@ -429,9 +429,9 @@
         )
         return Membership(on=True, listen=listens[relay], peers=peers, address=peers[relay])
 
-    def server(self, face: Face) -> Server:
+    def server(self, handler: Handler) -> Server:
         """A server for a party of this play, at a port of its own that stays its own."""
-        return Server(face, self.address.host, self.address.port())
+        return Server(handler, self.address.host, self.address.port())
 
     def foreign_call(self, endpoint: Endpoint, why: str) -> None:
         """A call that is none of this play's: it is counted and told, and no rule is judged by it."""
@@ -589,12 +589,12 @@
         if self.datagrams is not None:
             self.datagrams.stop()
 
-    def row(self, endpoint: Endpoint, relay: int, listing: Listing) -> Row:
+    def row(self, endpoint: Endpoint, relay: int, listing: Listing) -> HostEntry:
         """An endpoint as this relay's catalog tells it."""
         doors, destination = self.doors[endpoint.number], endpoint.destination
         floors = [each.name for each in self.scenario.floors] or [NAMELESS]
         kind = self.world.kinds[destination.kind] if self.world.kinds else NAMELESS
-        return Row(
+        return HostEntry(
             endpoint.name,
             doors.servers[relay].address,
             floors[endpoint.floor],
@@ -692,7 +692,7 @@
             if fault.what is What.LIST_LATE:
                 relay.factor = fault.times if on else 1.0
             else:
-                relay.agent.hush(on)
+                relay.agent.set_silent(on)
                 untold, relay.untold = relay.untold, []
                 for host, listing in untold:
                     self.writer.add(rec.Told(self.clock.now(), relay.number, host, LISTED[listing]))
--- a/limelatch/standin/agent.py
+++ b/limelatch/standin/agent.py
@@ -10,12 +10,12 @@
 
 from limelatch.standin.http import Connection, Request
 
-LIST, REPORTS = "/catalog/members", "/reports"
-QUIET = 2.0  # seconds after which a watch gets an empty line
+LIST_PATH, REPORTS_PATH = "/catalog/members", "/reports"
+KEEPALIVE_INTERVAL = 2.0  # seconds after which a watch gets an empty line
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class HostEntry:
     """One host on the list."""
 
     name: str
@@ -37,22 +37,22 @@
     wait_ms: int | None
 
 
-class AgentFace:
+class AgentHandler:
     """Keeps a list of hosts, tells its changes to whoever watches, takes notices.
 
     `noticed` is told each notice; `status` is what notices are answered with."""
 
-    def __init__(self, noticed: Callable[[Notice], None] = lambda notice: None) -> None:
-        self.noticed, self.status = noticed, 204
-        self.rows: dict[str, Row] = {}
+    def __init__(self, on_notice: Callable[[Notice], None] = lambda notice: None) -> None:
+        self.on_notice, self.status = on_notice, 204
+        self.rows: dict[str, HostEntry] = {}
         self.index = 1
-        self.changed: dict[str, tuple[int, Row]] = {}  # the last change of each host
+        self.changed: dict[str, tuple[int, HostEntry]] = {}  # the last change of each host
         self.watches: dict[Connection, int] = {}  # what each has been told
         self.silent = False  # answers nothing about the list, and opens no watch
         self._waiting: list[Request] = []  # that came in a silence, for its end
         self._beat: asyncio.TimerHandle | None = None
 
-    def put(self, *rows: Row) -> None:
+    def put(self, *rows: HostEntry) -> None:
         """Add or change hosts; a row whose status is `left` takes its host off the list."""
         self.index += 1
         for row in rows:
@@ -71,7 +71,7 @@
                 connection.chunk(self._since(index))
                 self.watches[connection] = self.index
 
-    def hush(self, silent: bool) -> None:
+    def set_silent(self, silent: bool) -> None:
         """Say nothing of the list for a while; afterwards all that has changed is told, and what was asked
         meanwhile is answered."""
         self.silent = silent
@@ -79,9 +79,9 @@
         waiting, self._waiting = self._waiting, []
         for request in waiting:
             if request.connection.open:
-                self.requested(request)
+                self.request_received(request)
 
-    def _page(self, rows: list[Row], whole: bool) -> bytes:
+    def _page(self, rows: list[HostEntry], whole: bool) -> bytes:
         page = {"index": self.index, "snapshot": whole, "endpoints": [asdict(row) for row in rows]}
         return json.dumps(page).encode() + b"\n"
 
@@ -91,18 +91,20 @@
     def _quiet(self) -> None:
         for connection in self.watches:
             connection.chunk(b"\n")
-        self._beat = asyncio.get_running_loop().call_later(QUIET, self._quiet) if self.watches else None
+        self._beat = (
+            asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self._quiet) if self.watches else None
+        )
 
-    def opened(self, connection: Connection) -> None:
+    def connection_opened(self, connection: Connection) -> None:
         pass
 
-    def requested(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         parts = urlsplit(request.target)
-        if request.method == "POST" and parts.path == REPORTS:
+        if request.method == "POST" and parts.path == REPORTS_PATH:
             self._report(request)
         elif self.silent:
             self._waiting = [each for each in self._waiting if each.connection.open] + [request]
-        elif request.method == "GET" and parts.path == LIST:
+        elif request.method == "GET" and parts.path == LIST_PATH:
             query = parse_qs(parts.query)
             if query.get("stream") == ["1"]:
                 self._watch(request.connection, query.get("index", [""])[0])
@@ -120,7 +122,7 @@
             connection.chunk(self._since(index))
         self.watches[connection] = self.index
         if self._beat is None:
-            self._beat = asyncio.get_running_loop().call_later(QUIET, self._quiet)
+            self._beat = asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self._quiet)
 
     def _report(self, request: Request) -> None:
         try:
@@ -131,13 +133,13 @@
             return
         if self.status == 204:
             for notice in notices:
-                self.noticed(notice)
+                self.on_notice(notice)
         request.connection.answer(self.status)
 
-    def garbled(self, connection: Connection) -> None:
+    def unreadable_input(self, connection: Connection) -> None:
         pass
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         self.watches.pop(connection, None)
         if not self.watches and self._beat is not None:
             self._beat.cancel()
--- a/limelatch/standin/demo.py
+++ b/limelatch/standin/demo.py
@@ -19,8 +19,8 @@
 from random import Random
 
 from limelatch.client import AnswerKind, Pool, Submission
-from limelatch.standin.agent import AgentFace, Notice, Row
-from limelatch.standin.host import Call, HostFace, State
+from limelatch.standin.agent import AgentHandler, Notice, HostEntry
+from limelatch.standin.host import Call, HostHandler, TextState
 from limelatch.standin.http import Server
 
 LOOPBACK = "127.0.0.1"
@@ -118,7 +118,7 @@
     up: bool = True
     calls: int = 0
     refused: int = 0
-    seen_marks: set[str] = field(default_factory=set)
+    seen_idempotency_keys: set[str] = field(default_factory=set)
 
 
 class Demo:
@@ -127,7 +127,7 @@
     def __init__(self, seconds: float, say: Callable[[str], None]) -> None:
         self.seconds, self.say, self.chance = seconds, say, Random(SEED)
         self.flow = max(1.0, seconds - SETTLE)  # seconds in which texts come
-        self.agent = AgentFace(self.noticed)
+        self.agent = AgentHandler(self.noticed)
         self.partners = {number: Partner(number, habit) for number, habit in PARTNERS.items()}
         self.fates: dict[str, Fate] = {}
         self.handed = self.busy = self.other = 0
@@ -139,23 +139,23 @@
 
     def called(self, partner: Partner, call: Call) -> None:
         partner.calls += 1
-        for item in call.items:
-            if fate := self.fates.get(item.id):
+        for text in call.texts:
+            if fate := self.fates.get(text.id):
                 fate.arrivals += 1
         if partner.habit is Habit.REFUSES and partner.calls % REFUSE_EACH == 0:
             partner.refused += 1
-            call.answer([State.REFUSED] * len(call.items), wait=REFUSE_WAIT)
+            call.answer([TextState.REFUSED] * len(call.texts), wait=REFUSE_WAIT)
             return
         asyncio.get_running_loop().call_later(self.chance.uniform(*LATENCY), self.deliver, partner, call)
 
     def deliver(self, partner: Partner, call: Call) -> None:
         if not call.connection.open:
             return
-        for item in call.items:
-            partner.seen_marks.add(item.mark)
-            if fate := self.fates.get(item.id):
+        for text in call.texts:
+            partner.seen_idempotency_keys.add(text.idempotency_key)
+            if fate := self.fates.get(text.id):
                 fate.delivered += 1
-        call.answer([State.DELIVERED] * len(call.items))
+        call.answer([TextState.DELIVERED] * len(call.texts))
 
     def noticed(self, notice: Notice) -> None:
         if fate := self.fates.get(notice.text):
@@ -169,12 +169,14 @@
         await agent.start()
         for partner in self.partners.values():
             for name in ("a", "b"):
-                face = HostFace(lambda call, partner=partner: self.called(partner, call))
-                server = Server(face, LOOPBACK)
+                handler = HostHandler(lambda call, partner=partner: self.called(partner, call))
+                server = Server(handler, LOOPBACK)
                 await server.start()
                 partner.servers.append(server)
                 self.agent.put(
-                    Row(f"host-{partner.number}{name}", server.address, "ground", "partner", partner.number)
+                    HostEntry(
+                        f"host-{partner.number}{name}", server.address, "ground", "partner", partner.number
+                    )
                 )
         address = await self.start_relay(folder, agent.address)
         host, _, port = address.partition(":")
--- a/limelatch/standin/host.py
+++ b/limelatch/standin/host.py
@@ -11,10 +11,10 @@
 
 from limelatch.standin.http import Connection, Request
 
-ONE, BATCH, PING, LOAD = "/v1/messages", "/v1/messages:batch", "/ping", "/_load"
+SINGLE_PATH, BATCH_PATH, PING_PATH, LOAD_PATH = "/v1/messages", "/v1/messages:batch", "/ping", "/_load"
 
 
-class State(Enum):
+class TextState(Enum):
     """A text's end at a host, in a batch's words and as the status of a call with one text."""
 
     DELIVERED = ("delivered", 200)
@@ -33,11 +33,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Item:
+class CallText:
     """One text of a call."""
 
     id: str
-    mark: str
+    idempotency_key: str
     body: bytes
 
 
@@ -49,16 +49,16 @@
 class Call:
     """One call at a host, with one text or several; a probe has none."""
 
-    items: list[Item]
+    texts: list[CallText]
     batch: bool
     at: float
     remaining_ms: float
     connection: Connection
-    probe: bool = False
+    is_probe: bool = False
 
     def answer(
         self,
-        states: list[State],
+        states: list[TextState],
         wait: float | None = None,
         report: dict[str, float] | None = None,
         status: int | None = None,
@@ -68,11 +68,11 @@
         if report:
             headers["X-Pressure"] = ",".join(f"{name}={value:.4g}" for name, value in report.items())
         if status is None and not self.batch:
-            status = 429 if states[0] is State.REFUSED and wait is not None else states[0].status
+            status = 429 if states[0] is TextState.REFUSED and wait is not None else states[0].status
         if status is not None:
             self.connection.answer(status, **headers)
             return
-        rows = [{"id": item.id, "state": state.word} for item, state in zip(self.items, states, strict=True)]
+        rows = [{"id": text.id, "state": state.word} for text, state in zip(self.texts, states, strict=True)]
         self.connection.answer(200, json.dumps(rows).encode(), **headers)
 
 
@@ -88,52 +88,65 @@
 def read_call(request: Request) -> Call:
     """The call that a request makes; BadCall where it makes none."""
     connection, headers = request.connection, request.headers
-    if request.method == "GET" and request.target in (PING, LOAD):
-        return Call([], False, request.at, 0.0, connection, probe=True)
-    if request.method != "POST" or request.target not in (ONE, BATCH):
+    if request.method == "GET" and request.target in (PING_PATH, LOAD_PATH):
+        return Call([], False, request.at, 0.0, connection, is_probe=True)
+    if request.method != "POST" or request.target not in (SINGLE_PATH, BATCH_PATH):
         raise BadCall(f"{request.method} {request.target}")
-    if request.target == ONE:
-        text = headers.get(b"x-txn", b"").decode("latin-1")
-        if not text:
+    if request.target == SINGLE_PATH:
+        text_id = headers.get(b"x-txn", b"").decode("latin-1")
+        if not text_id:
             raise BadCall("no X-Txn")
-        mark = headers.get(b"idempotency-key", b"").decode("latin-1")
-        return Call([Item(text, mark, request.body)], False, request.at, remaining(headers), connection)
+        idempotency_key = headers.get(b"idempotency-key", b"").decode("latin-1")
+        return Call(
+            [CallText(text_id, idempotency_key, request.body)],
+            False,
+            request.at,
+            remaining(headers),
+            connection,
+        )
     try:
         rows = json.loads(request.body)
-        items = [Item(row["id"], row.get("key", ""), b64decode(row["body"], validate=True)) for row in rows]
+        texts = [
+            CallText(row["id"], row.get("key", ""), b64decode(row["body"], validate=True)) for row in rows
+        ]
     except (ValueError, KeyError, TypeError, AttributeError, BadBase64) as error:
         raise BadCall(f"batch: {error!r}") from None
-    if not items or len({item.id for item in items}) < len(items):
+    if not texts or len({text.id for text in texts}) < len(texts):
         raise BadCall("an empty batch, or a text twice in it")
-    return Call(items, True, request.at, remaining(headers), connection)
+    return Call(texts, True, request.at, remaining(headers), connection)
 
 
-class HostFace:
+class HostHandler:
     """A host: `called` is told each call, `lost` of each connection's end, `bad` of what is no call."""
 
     def __init__(
         self,
-        called: Callable[[Call], None],
-        lost: Callable[[Connection], None] = lambda connection: None,
-        opened: Callable[[Connection], None] = lambda connection: None,
-        bad: Callable[[str], None] = lambda why: None,
+        on_call: Callable[[Call], None],
+        on_closed: Callable[[Connection], None] = lambda connection: None,
+        on_opened: Callable[[Connection], None] = lambda connection: None,
+        on_bad_request: Callable[[str], None] = lambda why: None,
     ) -> None:
-        self.called, self.lost, self.came, self.bad = called, lost, opened, bad
+        self.on_call, self.on_closed, self.on_opened, self.on_bad_request = (
+            on_call,
+            on_closed,
+            on_opened,
+            on_bad_request,
+        )
 
-    def opened(self, connection: Connection) -> None:
-        self.came(connection)
+    def connection_opened(self, connection: Connection) -> None:
+        self.on_opened(connection)
 
-    def requested(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         try:
             call = read_call(request)
         except BadCall as error:
-            self.bad(str(error))
+            self.on_bad_request(str(error))
             request.connection.answer(400)
             return
-        self.called(call)
+        self.on_call(call)
 
-    def garbled(self, connection: Connection) -> None:
-        self.bad("what can't be read")
+    def unreadable_input(self, connection: Connection) -> None:
+        self.on_bad_request("what can't be read")
 
-    def closed(self, connection: Connection) -> None:
-        self.lost(connection)
+    def connection_closed(self, connection: Connection) -> None:
+        self.on_closed(connection)
--- a/limelatch/standin/http.py
+++ b/limelatch/standin/http.py
@@ -38,19 +38,19 @@
     connection: Connection
 
 
-class Face(Protocol):
+class Handler(Protocol):
     """What a server stands in for."""
 
-    def opened(self, connection: Connection) -> None:
+    def connection_opened(self, connection: Connection) -> None:
         """A connection has come up; it may be closed at once."""
 
-    def requested(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         """A whole request has come; it is answered now, later or never."""
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         """The connection is over, from either side."""
 
-    def garbled(self, connection: Connection) -> None:
+    def unreadable_input(self, connection: Connection) -> None:
         """What came can't be read; the connection is closed."""
 
 
@@ -66,8 +66,8 @@
 class Connection(asyncio.Protocol):
     """One connection to a stand-in."""
 
-    def __init__(self, face: Face) -> None:
-        self.face, self.open, self.transport = face, False, None
+    def __init__(self, handler: Handler) -> None:
+        self.handler, self.open, self.transport = handler, False, None
         self.parser = httptools.HttpRequestParser(self)
         self.loop = asyncio.get_running_loop()
         self.requests = 0
@@ -78,19 +78,19 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport, self.open = transport, True
-        self.face.opened(self)
+        self.handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             if self.open:
-                self.face.garbled(self)
+                self.handler.unreadable_input(self)
                 self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.open = False
-        self.face.closed(self)
+        self.handler.connection_closed(self)
 
     # What the parser tells.
 
@@ -114,7 +114,7 @@
         )
         self.requests += 1
         self._clear()
-        self.face.requested(request)
+        self.handler.request_received(request)
 
     # What a face does.
 
@@ -150,8 +150,8 @@
 class Server:
     """A face at an address; it can go down, as a process that dies, and come up there again."""
 
-    def __init__(self, face: Face, host: str = "127.0.0.1", port: int = 0) -> None:
-        self.face, self.host, self.port = face, host, port
+    def __init__(self, handler: Handler, host: str = "127.0.0.1", port: int = 0) -> None:
+        self.handler, self.host, self.port = handler, host, port
         self.connections: set[Connection] = set()
         self._server: asyncio.Server | None = None
         self._plugs: list[socket.socket] = []
@@ -184,7 +184,7 @@
         while self._plugs:
             self._plugs.pop().close()
 
-    def silence(self) -> None:
+    def stop_accepting(self) -> None:
         """Let no connection come up from now on: the queue of those not accepted is full, so that the kernel
         drops what asks. Open ones stay as they are. `start` ends it."""
         self._close()
@@ -201,15 +201,15 @@
 
     # Its face sees all that its connections see; it keeps count of them.
 
-    def opened(self, connection: Connection) -> None:
-        self.face.opened(connection)
+    def connection_opened(self, connection: Connection) -> None:
+        self.handler.connection_opened(connection)
 
-    def requested(self, request: Request) -> None:
-        self.face.requested(request)
+    def request_received(self, request: Request) -> None:
+        self.handler.request_received(request)
 
-    def garbled(self, connection: Connection) -> None:
-        self.face.garbled(connection)
+    def unreadable_input(self, connection: Connection) -> None:
+        self.handler.unreadable_input(connection)
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         self.connections.discard(connection)
-        self.face.closed(connection)
+        self.handler.connection_closed(connection)
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -15,7 +15,7 @@
 from limelatch.lab.stages.address import FIRST_PORT, LAST_PORT, PlayAddress, PortsUsedUp
 from limelatch.lab.stages.real import NotOurs, TextMark, body_of, read_body
 from limelatch.lab.stages.sockets import Doors, Sockets
-from limelatch.standin.host import Call, Item
+from limelatch.standin.host import Call, CallText
 
 MARK = TextMark(1, "t7", 2, "127.64.0.9")
 
@@ -85,7 +85,7 @@
         doors, connection = Doors(stage.world.endpoints[0], stage), Answered()
         for play in ("127.64.0.9", stage.address.host):
             mark = TextMark(0, "t1", 0, play)
-            doors.called(0, Call([Item("t1", "", body_of(mark, 60))], False, 0.0, 0.0, connection))
+            doors.called(0, Call([CallText("t1", "", body_of(mark, 60))], False, 0.0, 0.0, connection))
         writer.close()
         return stage, connection
 
