--- a/limelatch/__main__.py
+++ b/limelatch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m limelatch` is the command `limelatch`."""
+"""Runs the command `limelatch` as `python -m limelatch`."""
 
 from limelatch.command import main
 
--- a/limelatch/client/pool.py
+++ b/limelatch/client/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one relay, kept between commands, as many as commands wait at once."""
+"""A pool of connections to one relay, which are kept between commands."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from limelatch.client.wire import Answer, AnswerKind, Submission, RelayConnection
 
-TIMEOUT = 0.4  # seconds that a client waits for an answer
+TIMEOUT = 0.4  # seconds to wait for an answer
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
 class Pool:
-    """Hands in texts; `most` connections at once, and those beyond wait their turn."""
+    """Sends commands over at most `max_connections` connections; further commands wait for a free one."""
 
     def __init__(self, host: str, port: int, max_connections: int = 64, timeout: float = TIMEOUT) -> None:
         self.host, self.port, self.timeout = host, port, timeout
         self.idle: list[RelayConnection] = []
         self.free_connections = asyncio.Semaphore(max_connections)
-        self.opened_count = 0  # connections so far
+        self.opened_count = 0  # connections opened so far
 
     async def __aenter__(self) -> Pool:
         return self
@@ -27,19 +27,23 @@
         self.close()
 
     def close(self) -> None:
+        """Close the idle connections."""
         while self.idle:
             self.idle.pop().close()
 
     async def submit(self, text: Submission) -> Answer:
-        """Hand in one text."""
+        """Hand in one text and return the relay's answer."""
         return await self.ask(text.command())
 
     async def ping(self) -> Answer:
+        """Ask whether the relay serves."""
         return await self.ask(PING)
 
     async def ask(self, command: bytes) -> Answer:
-        """One command. A kept connection that the relay has closed between commands costs a second try: what
-        crossed its closing was not read (the platform's protocol)."""
+        """Send one command and return its answer; a failure to connect is an answer of kind LOST.
+
+        The command is sent again where a kept connection turns out to be closed: by the platform's protocol
+        the relay has not read what crossed its closing."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         async with self.free_connections:
--- a/limelatch/client/wire.py
+++ b/limelatch/client/wire.py
@@ -1,4 +1,4 @@
-"""One connection to a relay: a command at a time, RESP2 by hiredis."""
+"""One connection to a relay, with one command at a time; RESP2 is encoded and decoded by hiredis."""
 
 from __future__ import annotations
 
@@ -12,22 +12,25 @@
 
 ID_BYTES = 8
 BUSY_PATTERN = re.compile(r"BUSY(?: ([0-9]+))?\Z")
-NO_KEY = "0"
+NO_KEY = "0"  # the ordering key of texts without one
 
 
 class AnswerKind(Enum):
-    """What became of a command."""
+    """How a command ended."""
 
-    ACCEPTED = "taken"  # the relay owes the text its end
-    BUSY = "busy"  # nacked: coming again is harmless
-    ERROR = "error"  # it can't be carried out
+    ACCEPTED = "taken"  # the relay is now responsible for the text
+    BUSY = "busy"  # nacked: the text may be handed in again
+    ERROR = "error"  # the command can't be carried out
     NO_ANSWER = "silent"  # no answer in time
-    LOST = "lost"  # the connection broke, or never came up
+    LOST = "lost"  # the connection broke or could not be established
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The relay's answer; `wait_ms` is when to come again, 0 where it told none; `took` is in seconds."""
+    """The relay's answer, with its text as `message`.
+
+    `elapsed`: seconds from the command to the answer. `wait_ms`: when to hand in the text again;
+    0 where the relay named no time."""
 
     kind: AnswerKind
     message: str
@@ -36,12 +39,15 @@
 
 
 def new_id() -> str:
+    """A random id for one submission."""
     return secrets.token_hex(ID_BYTES)
 
 
 @dataclass(slots=True)
 class Submission:
-    """One text to hand in; its id is new each time it is handed in, its mark stays the same."""
+    """One text to hand in.
+
+    Each submission of a text has a new id; its idempotency key stays the same."""
 
     product: str
     destination: int
@@ -51,10 +57,10 @@
     key: str = NO_KEY
     idempotency_key: str = ""
     id: str = field(default_factory=new_id)
-    resubmitted: bool = False  # handed in before, and nacked
+    resubmitted: bool = False  # handed in before and nacked
 
     def command(self) -> bytes:
-        """The bytes of its SUBMIT."""
+        """The encoded SUBMIT command."""
         names = f"c={self.product},t={self.customer},d={self.valid_for_ms:.3f},dest={self.destination}"
         names += (f",k={self.idempotency_key}" if self.idempotency_key else "") + (
             ",r=1" if self.resubmitted else ""
@@ -63,7 +69,7 @@
 
 
 def read_answer(reply: object, elapsed: float) -> Answer:
-    """What a relay's reply says."""
+    """The answer that a decoded reply stands for."""
     if isinstance(reply, hiredis.ReplyError):
         message = str(reply)
         if match := BUSY_PATTERN.match(message):
@@ -74,7 +80,7 @@
 
 
 class RelayConnection(asyncio.Protocol):
-    """One connection; it is used again only after a whole answer."""
+    """One connection; it is used again only after a complete answer."""
 
     def __init__(self) -> None:
         self.reader, self.transport, self.open = hiredis.Reader(), None, False
@@ -102,10 +108,10 @@
             self.waiter.set_result(Answer(AnswerKind.LOST, "the connection ended", elapsed))
 
     async def ask(self, command: bytes, timeout: float) -> Answer:
-        """Send a command and wait for its answer; after a silence the connection is closed."""
+        """Send a command and wait for its answer; after `timeout` seconds the connection is closed."""
         loop = asyncio.get_running_loop()
         self._asked_at, self.waiter = loop.time(), loop.create_future()
-        handle = loop.call_later(timeout, self._silent, timeout)
+        handle = loop.call_later(timeout, self._time_out, timeout)
         self.transport.write(command)
         try:
             return await self.waiter
@@ -113,12 +119,13 @@
             handle.cancel()
             self.waiter = None
 
-    def _silent(self, timeout: float) -> None:
+    def _time_out(self, timeout: float) -> None:
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(Answer(AnswerKind.NO_ANSWER, "no answer in time", timeout))
         self.close()
 
     def close(self) -> None:
+        """Close the connection at once."""
         self.open = False
         if self.transport is not None:
             self.transport.abort()
--- a/limelatch/command/__init__.py
+++ b/limelatch/command/__init__.py
@@ -1,6 +1,6 @@
-"""The command `limelatch`: a file a group, each loaded when it is named; they parse, call and print.
+"""The command line `limelatch`. Each group of commands has a module of its own, which is loaded when needed.
 
-Exit codes, the same everywhere: 0 done, 1 found wrong, 2 bad use or configuration.
+Exit codes of all commands: 0 success, 1 a check failed, 2 wrong usage or configuration.
 """
 
 from __future__ import annotations
@@ -11,7 +11,9 @@
 
 from limelatch import __version__
 
-DONE, WRONG, BAD_USE = 0, 1, 2
+SUCCESS = 0
+CHECK_FAILED = 1
+USAGE_ERROR = 2
 GROUPS = {
     "relay": ("limelatch.command.relay", "relay"),
     "config": ("limelatch.command.config", "config"),
@@ -24,40 +26,44 @@
 }
 
 
-class Wrong(click.ClickException):
-    """What was looked at is not as it should be: exit 1."""
+class CheckFailed(click.ClickException):
+    """What the command examined is not as it should be: exit code 1."""
 
-    exit_code = WRONG
+    exit_code = CHECK_FAILED
 
 
-class BadUse(click.ClickException):
-    """The command, or a configuration that it names, can't be used: exit 2."""
+class UsageError(click.ClickException):
+    """The command line, or a file that it names, can't be used: exit code 2."""
 
-    exit_code = BAD_USE
+    exit_code = USAGE_ERROR
 
 
-class Groups(click.Group):
-    """Loads a group's module when it is asked for, so that `relay run` carries none of the others."""
+class LazyGroup(click.Group):
+    """Loads a group's module on first use, so that `relay run` does not load the other groups."""
 
     def list_commands(self, context: click.Context) -> list[str]:
+        """The names of all groups, without loading them."""
         return list(GROUPS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """The command of a name, loaded; None for an unknown name."""
         if name not in GROUPS:
             return None
         module, attribute = GROUPS[name]
         return getattr(importlib.import_module(module), attribute)
 
 
-@click.command(cls=Groups, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
+@click.command(
+    cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100}
+)
 @click.version_option(__version__, message="limelatch %(version)s")
 def main() -> None:
-    """A relay of texts to outside partners, through limits, outages, drains and restarts.
+    """Delivers texts to outside partners through rate limits, outages, drains and restarts.
 
     \b
-    Begin with     limelatch demo
+    Start with     limelatch demo
     then           limelatch config check FILE
                    limelatch relay run --config FILE
 
-    Exit codes: 0 done, 1 found wrong, 2 bad use or configuration.
+    Exit codes: 0 success, 1 a check failed, 2 wrong usage or configuration.
     """
--- a/limelatch/command/completion.py
+++ b/limelatch/command/completion.py
@@ -1,4 +1,4 @@
-"""`limelatch completion`: for the shell."""
+"""`limelatch completion`: scripts that complete the command in a shell."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 @click.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
-    """Print a script that completes this command in a shell.
+    """Print the completion script for a shell.
 
     \b
     bash:  eval "$(limelatch completion bash)"
--- a/limelatch/command/config.py
+++ b/limelatch/command/config.py
@@ -6,20 +6,22 @@
 
 import click
 
-from limelatch.command import BAD_USE, WRONG
+from limelatch.command import USAGE_ERROR, CHECK_FAILED
 
 FORM = click.option(
-    "--form", type=click.Choice(["toml", "json"]), help="Of the file; by default by its name."
+    "--form",
+    type=click.Choice(["toml", "json"]),
+    help="The form of the file; by default taken from its name.",
 )
 
 
 @click.group()
 def config() -> None:
-    """Check, show, compare and convert configurations, in either form."""
+    """Check, show, compare and convert configurations in both forms, TOML and the platform's JSON."""
 
 
 def read(path: str, form: str | None = None):
-    """The file as it was read; faults end the command with exit 2, a line each."""
+    """Read a file; errors are printed, one a line, and end the command with exit code 2."""
     from limelatch.configuration import ConfigurationError, Form, load
     from limelatch.configuration.files import error_lines, form_of
 
@@ -29,43 +31,43 @@
     except ConfigurationError as error:
         for line in error_lines(error, path, chosen):
             click.echo(line, err=True)
-        raise SystemExit(BAD_USE) from None
+        raise SystemExit(USAGE_ERROR) from None
 
 
 @config.command()
 @click.argument("paths", metavar="FILE...", nargs=-1, required=True)
 @FORM
 def check(paths: tuple[str, ...], form: str | None) -> None:
-    """Tell all that is wrong with each FILE: its line, its key, what is wanted and what stood there.
+    """Report every error in each FILE: its line, its key, the expected value and the one found.
 
-    What is taken, though it can't be right, is told as a doubt. Exit 2 where a file can't be used.
+    A value that is accepted but is probably wrong is reported as a doubt. Exit 2 where a file can't be used.
 
     \b
     Example:  limelatch config check relay.toml
     """
     from limelatch.configuration.files import error_line
 
-    bad = False
+    any_unusable = False
     for path in paths:
         try:
             found = read(path, form)
         except SystemExit:
-            bad = True
+            any_unusable = True
             continue
-        for doubt in found.warnings():
-            click.echo(f"doubt: {error_line(path, doubt)}", err=True)
-        click.echo(f"{path}: good ({found.form.value}, {len(found.given)} keys told)")
-    if bad:
-        raise SystemExit(BAD_USE)
+        for warning in found.warnings():
+            click.echo(f"doubt: {error_line(path, warning)}", err=True)
+        click.echo(f"{path}: good ({found.form.value}, {len(found.given)} keys given)")
+    if any_unusable:
+        raise SystemExit(USAGE_ERROR)
 
 
 @config.command()
 @click.argument("path", metavar="FILE")
 @FORM
-@click.option("--secrets", is_flag=True, help="Show secrets too.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a key.")
+@click.option("--secrets", is_flag=True, help="Show secret values too.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per key.")
 def show(path: str, form: str | None, secrets: bool, as_json: bool) -> None:
-    """Print what would be in force with FILE: every key, defaults marked, secrets hidden.
+    """Print the complete configuration that FILE gives: every key, defaults marked, secrets hidden.
 
     \b
     Example:  limelatch config show relay.toml | grep -v '# default'
@@ -86,10 +88,10 @@
     type=click.Choice(["toml", "json"]),
     default="toml",
     show_default=True,
-    help="Which form to describe.",
+    help="The form to describe.",
 )
 def schema(form: str) -> None:
-    """Print the JSON Schema of a form, for editors.
+    """Print the JSON Schema of a form, for use in editors.
 
     \b
     Example:  limelatch config schema > limelatch.schema.json
@@ -102,9 +104,9 @@
 @config.command()
 @click.argument("before", metavar="A")
 @click.argument("after", metavar="B")
-@click.option("--exit-code", is_flag=True, help="Exit 1 where they differ.")
+@click.option("--exit-code", is_flag=True, help="Exit with 1 if they differ.")
 def diff(before: str, after: str, exit_code: bool) -> None:
-    """Print what changes from A to B: what a relay takes at once on SIGHUP, and what waits for a restart.
+    """Print what changes from A to B, and whether a relay applies it on SIGHUP or only after a restart.
 
     \b
     Example:  limelatch config diff /etc/limelatch/relay.toml new.toml
@@ -118,15 +120,17 @@
     if not found:
         click.echo("no difference")
     if found and exit_code:
-        raise SystemExit(WRONG)
+        raise SystemExit(CHECK_FAILED)
 
 
 @config.command()
 @click.argument("path", metavar="FILE")
-@click.option("--to", type=click.Choice(["toml", "json"]), help="The form wanted; by default the other one.")
+@click.option(
+    "--to", type=click.Choice(["toml", "json"]), help="The form to write; by default the other one."
+)
 @FORM
 def convert(path: str, to: str | None, form: str | None) -> None:
-    """Print FILE in the other form. What its form has alone is named on standard error.
+    """Print FILE in the other form. What that form can't express is named on standard error.
 
     \b
     Example:  limelatch config convert relay.json > relay.toml
@@ -140,13 +144,13 @@
         click.echo(json.dumps(write_platform(found.installation), indent=2))
         return
     if found.installation.known:
-        click.echo("left out: known (the platform's JSON alone has it)", err=True)
+        click.echo("left out: known (only the platform's JSON has it)", err=True)
     click.echo(write_toml(found.installation, found.given), nl=False)
 
 
 @config.command(hidden=True)
 def page() -> None:
-    """Print docs/operators/configuration.md, which is made from the model."""
+    """Print docs/operators/configuration.md, which is generated from the configuration model."""
     from limelatch.configuration.page import page
 
     click.echo(page(), nl=False)
--- a/limelatch/command/lab.py
+++ b/limelatch/command/lab.py
@@ -10,12 +10,12 @@
 
 import click
 
-from limelatch.command import BAD_USE, WRONG, BadUse, Wrong
+from limelatch.command import USAGE_ERROR, CHECK_FAILED, UsageError, CheckFailed
 from limelatch.command.membership import membership
 from limelatch.command.mutants import mutants
 from limelatch.command.scale import scale
 from limelatch.command.soak import soak
-from limelatch.command.text import Span, address_of
+from limelatch.command.text import Duration, address_of
 
 SCENARIO = click.argument("scenario", metavar="SCENARIO")
 STAGE = click.option(
@@ -49,7 +49,7 @@
         import numpy  # noqa: F401
         import zstandard  # noqa: F401
     except ImportError as error:
-        raise BadUse(f"the laboratory is an extra: pip install 'limelatch[lab]' ({error})") from None
+        raise UsageError(f"the laboratory is an extra: pip install 'limelatch[lab]' ({error})") from None
 
 
 def scenario_of(name: str) -> tuple[str, str]:
@@ -65,7 +65,7 @@
     except ConfigurationError as error:
         for line in error_lines(error, path, Form.TOML):
             click.echo(line, err=True)
-        raise SystemExit(BAD_USE) from None
+        raise SystemExit(USAGE_ERROR) from None
 
 
 def seeds(word: str) -> list[int]:
@@ -74,7 +74,7 @@
     try:
         return seeds_of(word)
     except ValueError:
-        raise BadUse(f"{word!r} is no list of seeds such as 1-8 or 1,5,9") from None
+        raise UsageError(f"{word!r} is no list of seeds such as 1-8 or 1,5,9") from None
 
 
 @contextmanager
@@ -106,7 +106,7 @@
         with progress(quiet) as told:
             return run_all(plans, processes, told)
     except (RunFailed, StageError) as error:
-        raise Wrong(str(error)) from None
+        raise CheckFailed(str(error)) from None
     except KeyboardInterrupt:
         click.echo("interrupted; the record holds what has been played", err=True)
         raise SystemExit(130) from None
@@ -146,7 +146,7 @@
             click.echo(f"doubt: {error_line(path, doubt)}", err=True)
         click.echo(f"{path}: good ({name})")
     if bad:
-        raise SystemExit(BAD_USE)
+        raise SystemExit(USAGE_ERROR)
 
 
 @lab.command()
@@ -195,7 +195,7 @@
     if report:
         write_report(record or str(plan.target), report)
     if not (figures.kept and figures.usable):
-        raise SystemExit(WRONG)
+        raise SystemExit(CHECK_FAILED)
 
 
 def subject_of(word: str) -> str:
@@ -204,12 +204,12 @@
     if word in SUBJECTS:
         return word
     if not os.path.isdir(os.path.join(word, "limelatch")):
-        raise BadUse(f"{word!r} is none of {', '.join(SUBJECTS)}, and no checkout of limelatch")
+        raise UsageError(f"{word!r} is none of {', '.join(SUBJECTS)}, and no checkout of limelatch")
     return os.path.join(word, "")
 
 
 def judged(path: str):
-    """A record's figures and its checker; BadUse where it is none."""
+    """A record's figures and its checker; UsageError where it is none."""
     from limelatch.lab.figures import judge
     from limelatch.lab.record import NoRecord, Reader
 
@@ -217,7 +217,7 @@
         reader = Reader(path)
         figures, checker = judge(reader.head, reader)
     except NoRecord as error:
-        raise BadUse(str(error)) from None
+        raise UsageError(str(error)) from None
     return figures, checker, reader
 
 
@@ -248,7 +248,7 @@
                 click.echo(f"  {line}")
         bad = bad or bool(broken)
     if bad:
-        raise SystemExit(WRONG)
+        raise SystemExit(CHECK_FAILED)
 
 
 @lab.command()
@@ -380,7 +380,7 @@
     key, equals, words = setting.partition("=")
     values = [word for word in words.split(",") if word]
     if not equals or not values:
-        raise BadUse(f"{setting!r} is not KEY=V,V,V")
+        raise UsageError(f"{setting!r} is not KEY=V,V,V")
     numbers, chosen = globals()["seeds"](seeds), [subject_of(each) for each in subjects]
     plans = []
     for value in values:
@@ -417,7 +417,7 @@
         parse("scenario", varied)
         return varied
     except ConfigurationError as error:
-        raise BadUse("; ".join(str(fault) for fault in error.errors)) from None
+        raise UsageError("; ".join(str(fault) for fault in error.errors)) from None
 
 
 @lab.command()
@@ -432,9 +432,9 @@
 @click.option("--step", type=click.FloatRange(0), default=0.0, help="So much more with each further rate.")
 @click.option("--times", type=click.FloatRange(1), default=1.0, help="Or so many times as much.")
 @click.option("--most", type=float, default=5000.0, show_default=True, help="The last rate.")
-@click.option("--each", type=Span(), default="10s", show_default=True, help="How long each rate lasts.")
+@click.option("--each", type=Duration(), default="10s", show_default=True, help="How long each rate lasts.")
 @click.option(
-    "--sla", type=Span(), default="100ms", show_default=True, help="Within which an answer is wanted."
+    "--sla", type=Duration(), default="100ms", show_default=True, help="Within which an answer is wanted."
 )
 @click.option(
     "--until",
@@ -504,7 +504,7 @@
     for line in found[-1].summary.lines():
         click.echo(line)
     if found[0].sla_share < until:
-        raise SystemExit(WRONG)
+        raise SystemExit(CHECK_FAILED)
 
 
 @lab.command()
@@ -547,7 +547,7 @@
         found = search(trial, share, first, most, told)
     click.echo(f"one relay holds {found.rate:.0f} texts a second at an SLA share of {share} ({found.why})")
     if not found.rate:
-        raise SystemExit(WRONG)
+        raise SystemExit(CHECK_FAILED)
 
 
 @lab.command(hidden=True)
--- a/limelatch/command/membership.py
+++ b/limelatch/command/membership.py
@@ -4,17 +4,17 @@
 
 import click
 
-from limelatch.command import BadUse, Wrong
+from limelatch.command import UsageError, CheckFailed
 
 
 def names(word: str, known: list[str], what: str) -> list[str]:
-    """`a,b` of the known ones, or `all`; BadUse for any other."""
+    """`a,b` of the known ones, or `all`; UsageError for any other."""
     if word == "all":
         return known
     found = word.split(",")
     for name in found:
         if name not in known:
-            raise BadUse(f"{name!r} is no {what}; there are {', '.join(known)}")
+            raise UsageError(f"{name!r} is no {what}; there are {', '.join(known)}")
     return found
 
 
@@ -67,4 +67,4 @@
         try:
             save(out, joined(before, load(out)))
         except ValueError as error:
-            raise Wrong(f"{out} holds the new points alone: {error}") from None
+            raise CheckFailed(f"{out} holds the new points alone: {error}") from None
--- a/limelatch/command/mutants.py
+++ b/limelatch/command/mutants.py
@@ -9,7 +9,7 @@
 
 import click
 
-from limelatch.command import WRONG, BadUse
+from limelatch.command import CHECK_FAILED, UsageError
 from limelatch.command.soak import INTERRUPTED, JOBS_MOST, Soak, seeds_of
 
 
@@ -34,7 +34,7 @@
     chosen = seeds_of(seeds)
     wanted = [each for each in MUTANTS if not only or any(words in each.name for words in only)]
     if not wanted:
-        raise BadUse(f"no mutant's name has any of {', '.join(only)}")
+        raise UsageError(f"no mutant's name has any of {', '.join(only)}")
     soaks: list[Soak] = []
     signal.signal(signal.SIGINT, signal.default_int_handler)  # also where a shell has it ignored
     with ThreadPoolExecutor(jobs) as pool:
@@ -48,7 +48,7 @@
             raise SystemExit(INTERRUPTED) from None
     click.echo(f"{sum(caught)} of {len(wanted)} caught")
     if not all(caught):
-        raise SystemExit(WRONG)
+        raise SystemExit(CHECK_FAILED)
 
 
 def first_seed(mutant, seeds: list[int], seconds: float, soaks: list[Soak]) -> bool:
--- a/limelatch/command/relay.py
+++ b/limelatch/command/relay.py
@@ -1,4 +1,4 @@
-"""`limelatch relay`: one relay."""
+"""`limelatch relay`: run one relay, and list the events that it logs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @click.group()
 def relay() -> None:
-    """Run a relay."""
+    """Run a relay, or list the events that it logs."""
 
 
 @relay.command()
@@ -19,14 +19,16 @@
     metavar="FILE",
     envvar="RELAY_CONFIG",
     show_envvar=True,
-    help="The configuration, TOML or the platform's JSON.",
+    help="The configuration file, in TOML or the platform's JSON.",
 )
 @click.option(
-    "--form", type=click.Choice(["toml", "json"]), help="Its form; by default what its name ends with."
+    "--form",
+    type=click.Choice(["toml", "json"]),
+    help="The form of the file; by default taken from its name.",
 )
-@click.option("--tied", is_flag=True, help="Stop, as by SIGTERM, when standard input ends.")
+@click.option("--tied", is_flag=True, help="Stop, as on SIGTERM, when standard input ends.")
 def run(path: str | None, form: str | None, tied: bool) -> None:
-    """Run one relay in the foreground until SIGTERM; SIGHUP reads its configuration again.
+    """Run one relay in the foreground until SIGTERM; SIGHUP reloads its configuration.
 
     \b
     Example:  limelatch relay run --config /etc/limelatch/relay.toml
@@ -38,7 +40,7 @@
 
 
 @relay.command()
-@click.option("--json", "as_json", is_flag=True, help="One JSON object an event.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per event.")
 @click.option("--page", is_flag=True, hidden=True)
 def events(as_json: bool, page: bool) -> None:
     """List the events that a relay logs, with their fields."""
--- a/limelatch/command/scale.py
+++ b/limelatch/command/scale.py
@@ -4,7 +4,7 @@
 
 import click
 
-from limelatch.command import BadUse, Wrong
+from limelatch.command import UsageError, CheckFailed
 
 
 @click.group()
@@ -58,21 +58,21 @@
 
 
 def counts(word: str) -> list[int]:
-    """`7,40,700`; BadUse where it is no such list of whole numbers above 0."""
+    """`7,40,700`; UsageError where it is no such list of whole numbers above 0."""
     found = [int(each) for each in word.split(",") if each.isdigit() and int(each)]
     if len(found) != len(word.split(",")):
-        raise BadUse(f"{word!r} is no list of sizes such as 7,40,150")
+        raise UsageError(f"{word!r} is no list of sizes such as 7,40,150")
     return found
 
 
 def seeds_in(word: str) -> list[int]:
-    """`1-3` or `1,5`; BadUse where it is no such list."""
+    """`1-3` or `1,5`; UsageError where it is no such list."""
     from limelatch.lab.experiments import seeds_of
 
     try:
         return seeds_of(word)
     except ValueError:
-        raise BadUse(f"{word!r} is no list of seeds such as 1-3 or 1,5") from None
+        raise UsageError(f"{word!r} is no list of seeds such as 1-3 or 1,5") from None
 
 
 def save_points(out: str, command: str, points: list) -> None:
@@ -85,7 +85,7 @@
     try:
         save(out, Results("limelatch", command, commit_of(), at, machine(), points))
     except OSError as error:
-        raise Wrong(f"{out}: {error.strerror}") from None
+        raise CheckFailed(f"{out}: {error.strerror}") from None
     click.echo(f"{len(points)} points in {out}")
 
 
@@ -124,7 +124,7 @@
         if form in ("all", "fidelity"):
             points += measure_fidelity(numbers, told)
     except StageError as error:
-        raise Wrong(str(error)) from None
+        raise CheckFailed(str(error)) from None
     save_points(out, f"limelatch lab scale hollow --relays {relays} --seeds {seeds} --form {form}", points)
 
 
@@ -157,7 +157,7 @@
             measure(counts(watchers), counts(rows), runs, lambda line: click.echo(line, err=True))
         )
     except StageError as error:
-        raise Wrong(str(error)) from None
+        raise CheckFailed(str(error)) from None
     save_points(out, f"limelatch lab scale control --watchers {watchers} --rows {rows} --runs {runs}", points)
 
 
@@ -227,17 +227,17 @@
     import asyncio
     from pathlib import Path
 
-    from limelatch.command import BadUse
+    from limelatch.command import UsageError
     from limelatch.lab.scale import one
 
     chosen = tuple(scenarios.split(",")) if scenarios else one.SIZED
     if unknown := set(chosen) - set(one.ALL):
-        raise BadUse(f"no such scenario: {', '.join(sorted(unknown))}; there are {', '.join(one.ALL)}")
+        raise UsageError(f"no such scenario: {', '.join(sorted(unknown))}; there are {', '.join(one.ALL)}")
     if ("pair" in chosen) != (against is not None):
-        raise BadUse("pair wants --against, and nothing else does")
+        raise UsageError("pair wants --against, and nothing else does")
     for folder in (tree, against or tree):
         if not (Path(folder) / "limelatch" / "relay").is_dir():
-            raise BadUse(f"no program in {folder}")
+            raise UsageError(f"no program in {folder}")
     words = f"limelatch lab scale relay --sizes {','.join(map(str, sizes))} --runs {runs}"
     words += f" --scenarios {','.join(chosen)} --subject '{subject}'"
 
@@ -258,7 +258,7 @@
             )
         )
     except one.OtherRun as error:
-        raise BadUse(str(error)) from None
+        raise UsageError(str(error)) from None
     except asyncio.CancelledError:
         raise click.Abort from None
     for each in points:
@@ -283,10 +283,10 @@
     Exit 2 where roles.toml or a file of results can't be read, or names what is not there."""
     import msgspec
 
-    from limelatch.command import BadUse
+    from limelatch.command import UsageError
     from limelatch.lab.scale.page import page
 
     try:
         click.echo(page(folder), nl=False)
     except (OSError, msgspec.MsgspecError, ValueError) as error:
-        raise BadUse(f"{folder}: {error}") from None
+        raise UsageError(f"{folder}: {error}") from None
--- a/limelatch/command/soak.py
+++ b/limelatch/command/soak.py
@@ -16,7 +16,7 @@
 import click
 import msgspec
 
-from limelatch.command import WRONG, BadUse
+from limelatch.command import CHECK_FAILED, UsageError
 
 INTERRUPTED = 130
 JOBS_MOST = 16
@@ -63,15 +63,15 @@
 
 
 def seeds_of(words: str) -> list[int]:
-    """The seeds that are named; BadUse for what is no list, or too long a one."""
+    """The seeds that are named; UsageError for what is no list, or too long a one."""
     from limelatch.lab.experiments import seeds_of as read
 
     try:
         chosen = read(words)
     except ValueError:
-        raise BadUse(f"{words!r} is no list of seeds such as 1-8 or 1,5,9") from None
+        raise UsageError(f"{words!r} is no list of seeds such as 1-8 or 1,5,9") from None
     if not 1 <= len(chosen) <= SEEDS_MOST:
-        raise BadUse(f"{words!r} names {len(chosen)} seeds, 1 to {SEEDS_MOST} are wanted")
+        raise UsageError(f"{words!r} names {len(chosen)} seeds, 1 to {SEEDS_MOST} are wanted")
     return chosen
 
 
@@ -82,7 +82,7 @@
         try:
             os.makedirs(keep, exist_ok=True)
         except OSError as error:
-            raise BadUse(f"{keep}: {error.strerror}") from None
+            raise UsageError(f"{keep}: {error.strerror}") from None
         yield Path(keep)
         return
     made = Path(tempfile.mkdtemp(prefix="limelatch-soaks-"))
@@ -93,16 +93,20 @@
 
 
 def check_room(folder: Path, jobs: int) -> None:
-    """BadUse where the machine can't bear so many plays at once."""
+    """UsageError where the machine can't bear so many plays at once."""
     import resource
 
     if (free := shutil.disk_usage(folder).free) < DISK_LEAST:
-        raise BadUse(f"{folder}: {free // 1_000_000} MB are free, {DISK_LEAST // 1_000_000} MB are needed")
+        raise UsageError(
+            f"{folder}: {free // 1_000_000} MB are free, {DISK_LEAST // 1_000_000} MB are needed"
+        )
     most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     if most != resource.RLIM_INFINITY and most < jobs * DESCRIPTORS_EACH:
-        raise BadUse(f"{jobs} plays need {jobs * DESCRIPTORS_EACH} descriptors, a process may hold {most}")
+        raise UsageError(
+            f"{jobs} plays need {jobs * DESCRIPTORS_EACH} descriptors, a process may hold {most}"
+        )
     if jobs > (cores := os.cpu_count() or 1):
-        raise BadUse(f"{jobs} plays at once want as many cores, there are {cores}")
+        raise UsageError(f"{jobs} plays at once want as many cores, there are {cores}")
 
 
 def play_here(seed: int, seconds: float, keep: str | None, subject: Path | None) -> int:
@@ -117,10 +121,10 @@
         except KeyboardInterrupt:
             return INTERRUPTED
         except (StageError, NoCompiler, OSError) as error:
-            raise BadUse(f"seed {seed} was not played: {error}") from None
+            raise UsageError(f"seed {seed} was not played: {error}") from None
         (folder / VERDICT).write_bytes(msgspec.json.encode(verdict))
         show(verdict)
-    return 0 if verdict.kept else WRONG
+    return 0 if verdict.kept else CHECK_FAILED
 
 
 def show(verdict) -> None:
@@ -164,7 +168,7 @@
         self._sum_up()
         if self.interrupted:
             return INTERRUPTED
-        return 0 if not self.unplayed and all(verdict.kept for verdict in self.verdicts) else WRONG
+        return 0 if not self.unplayed and all(verdict.kept for verdict in self.verdicts) else CHECK_FAILED
 
     def play(self, seed: int):
         """One seed's verdict; None where it was not played to its end."""
@@ -198,7 +202,7 @@
         finally:
             del self.running[seed]
         path = folder / VERDICT
-        if process.returncode in (0, WRONG) and path.exists():
+        if process.returncode in (0, CHECK_FAILED) and path.exists():
             return msgspec.json.decode(path.read_bytes(), type=Verdict)
         if not self.interrupted:
             last = said.strip().splitlines()[-1:] or [f"exit code {process.returncode}"]
--- a/limelatch/command/text.py
+++ b/limelatch/command/text.py
@@ -1,4 +1,4 @@
-"""`limelatch text` and `limelatch ping`: speak to a relay from the shell."""
+"""`limelatch text` and `limelatch ping`: a client of the relay for the shell."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 import click
 
-from limelatch.command import WRONG, BadUse
+from limelatch.command import CHECK_FAILED, UsageError
 
-SHOWN_MOST = 20  # texts whose answers are printed one by one
+MAX_SHOWN = 20  # up to so many texts, each answer is printed
 RELAY = click.option(
     "--relay",
     "address",
@@ -19,16 +19,17 @@
     show_default=True,
     envvar="LIMELATCH_RELAY",
     show_envvar=True,
-    help="Where the relay listens.",
+    help="The address at which the relay listens.",
 )
 
 
-class Span(click.ParamType):
-    """`250ms`, `2s`: in milliseconds."""
+class Duration(click.ParamType):
+    """A duration such as `250ms` or `2s`, converted to milliseconds."""
 
     name = "span"
 
     def convert(self, value: object, parameter, context) -> float:
+        """The milliseconds; a value that is not a duration ends the command as wrong usage."""
         from limelatch.configuration.units import read_span
 
         if not isinstance(value, str):
@@ -36,18 +37,19 @@
         try:
             return read_span(value) / 10
         except ValueError:
-            self.fail(f"{value!r} is no span such as 250ms or 2s", parameter, context)
+            self.fail(f"{value!r} is not a duration such as 250ms or 2s", parameter, context)
 
 
 TIMEOUT = click.option(
-    "--timeout", type=Span(), default="400ms", show_default=True, help="How long to wait for an answer."
+    "--timeout", type=Duration(), default="400ms", show_default=True, help="How long to wait for an answer."
 )
 
 
 def address_of(word: str) -> tuple[str, int]:
+    """Host and port of HOST:PORT. Raises UsageError for anything else."""
     host, colon, port = word.rpartition(":")
     if not colon or not port.isdigit() or int(port) > 65535:
-        raise BadUse(f"{word!r} is no address such as 127.0.0.1:6379")
+        raise UsageError(f"{word!r} is not an address such as 127.0.0.1:6379")
     return host, int(port)
 
 
@@ -57,31 +59,38 @@
 
 
 def body_of(body: str | None) -> bytes:
+    """The given body, else standard input. Raises UsageError where that is a terminal."""
     if body is not None:
         return body.encode()
     if sys.stdin is None or sys.stdin.isatty():
-        raise BadUse("a body is wanted: --body WORDS, or standard input")
+        raise UsageError("a body is required: --body TEXT, or standard input")
     return sys.stdin.buffer.read()
 
 
 @text.command()
 @RELAY
-@click.option("--product", required=True, help="As the relay's configuration names it.")
+@click.option("--product", required=True, help="A product of the relay's configuration.")
 @click.option("--dest", type=click.IntRange(0, 999_999_999), required=True, help="The destination's number.")
-@click.option("--customer", default="", help="As the relay's configuration names it.")
-@click.option("--key", default="0", help="Of the order, for products in order.")
-@click.option("--mark", help="By which a repeat is known; by default the id of each text.")
-@click.option("--valid-for", type=Span(), default="24s", show_default=True, help="Its validity period.")
-@click.option("--body", help="Its body; standard input else.")
+@click.option("--customer", default="", help="A customer of the relay's configuration.")
+@click.option("--key", default="0", help="The ordering key, for products with in_order.")
+@click.option("--mark", help="The idempotency key; by default the id of each text.")
+@click.option("--valid-for", type=Duration(), default="24s", show_default=True, help="The validity period.")
+@click.option("--body", help="The body; by default standard input.")
 @click.option(
-    "--count", type=click.IntRange(1), default=1, show_default=True, help="So many, alike but for ids."
+    "--count",
+    type=click.IntRange(1),
+    default=1,
+    show_default=True,
+    help="How many texts, equal but for ids.",
+)
+@click.option(
+    "--rate", type=click.FloatRange(0, min_open=True), help="Texts a second; by default all at once."
 )
-@click.option("--rate", type=click.FloatRange(0, min_open=True), help="So many a second; all at once else.")
 @click.option(
-    "--connections", type=click.IntRange(1), default=64, show_default=True, help="At once, at most."
+    "--connections", type=click.IntRange(1), default=64, show_default=True, help="At most so many at once."
 )
 @TIMEOUT
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a text, and one for the summary.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per text and for the summary.")
 def submit(
     address: str,
     product: str,
@@ -99,8 +108,8 @@
 ) -> None:
     """Hand in a text, or many, and print what the relay answered and how long it took.
 
-    With --count and --rate each text goes when it is due by the clock, answered or not; a summary with
-    percentiles ends it. Exit 0 if the relay took all of them on, else 1.
+    With --count and --rate each text is sent when it is due, even if earlier ones are unanswered; a summary
+    with percentiles follows. Exit 0 if the relay accepted all texts, else 1.
 
     \b
     Examples:  echo hello | limelatch text submit --product notice --dest 1
@@ -112,17 +121,17 @@
     host, port = address_of(address)
     content = body_of(body)
 
-    def made(number: int) -> Submission:
-        found = Submission(product, dest, valid_for, content, customer, key, mark or "")
-        found.idempotency_key = found.idempotency_key or found.id
-        return found
+    def make_text(number: int) -> Submission:
+        submission = Submission(product, dest, valid_for, content, customer, key, mark or "")
+        submission.idempotency_key = submission.idempotency_key or submission.id
+        return submission
 
-    def told(handed: Submission, answer: Answer) -> None:
+    def print_answer(submission: Submission, answer: Answer) -> None:
         if as_json:
             click.echo(
                 json.dumps(
                     {
-                        "id": handed.id,
+                        "id": submission.id,
                         "ending": answer.kind.value,
                         "words": answer.message,
                         "wait_ms": answer.wait_ms,
@@ -130,15 +139,16 @@
                     }
                 )
             )
-        elif count <= SHOWN_MOST:
-            wait = f", come again after {answer.wait_ms} ms" if answer.wait_ms else ""
+        elif count <= MAX_SHOWN:
+            wait = f", retry after {answer.wait_ms} ms" if answer.wait_ms else ""
             click.echo(
-                f"{handed.id}  {answer.kind.value}{wait}  ({answer.message})  {answer.elapsed * 1000:.1f} ms"
+                f"{submission.id}  {answer.kind.value}{wait}  ({answer.message})  "
+                f"{answer.elapsed * 1000:.1f} ms"
             )
 
     async def run():
         async with Pool(host, port, connections, timeout / 1000) as pool:
-            return await submit_all(pool, made, count, rate, told)
+            return await submit_all(pool, make_text, count, rate, print_answer)
 
     summary = asyncio.run(run())
     if as_json:
@@ -155,15 +165,15 @@
         for line in summary.lines():
             click.echo(line)
     if summary.count_by_kind[AnswerKind.ACCEPTED] < count:
-        raise SystemExit(WRONG)
+        raise SystemExit(CHECK_FAILED)
 
 
 @click.command()
 @RELAY
 @TIMEOUT
-@click.option("--wait", type=Span(), default="0s", help="Try again for so long until it answers.")
+@click.option("--wait", type=Duration(), default="0s", help="How long to retry until the relay answers.")
 def ping(address: str, timeout: float, wait: float) -> None:
-    """Ask a relay whether it serves; exit 1 where it does not.
+    """Check whether a relay serves; exit 1 if it does not.
 
     \b
     Example:  limelatch ping --wait 10s && echo ready
@@ -183,4 +193,4 @@
     answer = asyncio.run(run())
     click.echo(f"{address}: {answer.message} after {answer.elapsed * 1000:.1f} ms")
     if answer.kind is not AnswerKind.ACCEPTED:
-        raise SystemExit(WRONG)
+        raise SystemExit(CHECK_FAILED)
--- a/limelatch/standin/__init__.py
+++ b/limelatch/standin/__init__.py
@@ -1,5 +1,4 @@
-"""Stand-ins for whom a relay speaks to, on loopback sockets: hosts, catalog, platform (asyncio; httptools
-parses).
+"""Stand-ins for the hosts, the catalog and the platform that a relay talks to, on loopback sockets.
 
-They hold no opinion: whoever starts them says how each call is answered.
+They use asyncio and httptools. The code that starts a stand-in decides how each call is answered.
 """
--- a/limelatch/standin/agent.py
+++ b/limelatch/standin/agent.py
@@ -1,4 +1,4 @@
-"""Catalog and platform at one address, as a relay meets them: the list, its watch, and notices."""
+"""A stand-in for the catalog and the platform at one address: the host list, its watch, and notices."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 from limelatch.standin.http import Connection, Request
 
-LIST_PATH, REPORTS_PATH = "/catalog/members", "/reports"
-KEEPALIVE_INTERVAL = 2.0  # seconds after which a watch gets an empty line
+LIST_PATH = "/catalog/members"
+REPORTS_PATH = "/reports"
+KEEPALIVE_INTERVAL = 2.0  # seconds between the empty lines that keep a watch alive
 
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One host on the list."""
+    """One host on the list, with the fields that the catalog sends."""
 
     name: str
     address: str
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """One notice of a relay."""
+    """One notice from a relay: the final answer for a text."""
 
     text: str
     result: str
@@ -38,19 +39,19 @@
 
 
 class AgentHandler:
-    """Keeps a list of hosts, tells its changes to whoever watches, takes notices.
+    """Keeps a list of hosts, sends its changes to the watches, and accepts notices.
 
-    `noticed` is told each notice; `status` is what notices are answered with."""
+    `on_notice` is called with each notice; `status` is the HTTP status that notices are answered with."""
 
     def __init__(self, on_notice: Callable[[Notice], None] = lambda notice: None) -> None:
         self.on_notice, self.status = on_notice, 204
         self.rows: dict[str, HostEntry] = {}
         self.index = 1
         self.changed: dict[str, tuple[int, HostEntry]] = {}  # the last change of each host
-        self.watches: dict[Connection, int] = {}  # what each has been told
-        self.silent = False  # answers nothing about the list, and opens no watch
-        self._waiting: list[Request] = []  # that came in a silence, for its end
-        self._beat: asyncio.TimerHandle | None = None
+        self.watches: dict[Connection, int] = {}  # the index that each has been sent
+        self.silent = False  # requests for the list and watches stay unanswered
+        self._waiting: list[Request] = []  # requests to answer once the silence ends
+        self._keepalive_timer: asyncio.TimerHandle | None = None
 
     def put(self, *rows: HostEntry) -> None:
         """Add or change hosts; a row whose status is `left` takes its host off the list."""
@@ -61,21 +62,22 @@
                 self.rows.pop(row.name, None)
             else:
                 self.rows[row.name] = row
-        self._tell()
+        self._send_changes()
 
-    def _tell(self) -> None:
+    def _send_changes(self) -> None:
         if self.silent:
             return
         for connection, index in self.watches.items():
             if index < self.index:
-                connection.chunk(self._since(index))
+                connection.chunk(self._changes_since(index))
                 self.watches[connection] = self.index
 
     def set_silent(self, silent: bool) -> None:
-        """Say nothing of the list for a while; afterwards all that has changed is told, and what was asked
-        meanwhile is answered."""
+        """Begin or end a silence about the list.
+
+        Its end sends all changes to the watches and answers the requests that arrived meanwhile."""
         self.silent = silent
-        self._tell()
+        self._send_changes()
         waiting, self._waiting = self._waiting, []
         for request in waiting:
             if request.connection.open:
@@ -85,20 +87,24 @@
         page = {"index": self.index, "snapshot": whole, "endpoints": [asdict(row) for row in rows]}
         return json.dumps(page).encode() + b"\n"
 
-    def _since(self, index: int) -> bytes:
+    def _changes_since(self, index: int) -> bytes:
         return self._page([row for at, row in self.changed.values() if at > index], False)
 
-    def _quiet(self) -> None:
+    def _send_keepalive(self) -> None:
         for connection in self.watches:
             connection.chunk(b"\n")
-        self._beat = (
-            asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self._quiet) if self.watches else None
+        self._keepalive_timer = (
+            asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self._send_keepalive)
+            if self.watches
+            else None
         )
 
     def connection_opened(self, connection: Connection) -> None:
+        """Nothing to do: a connection counts once it opens a watch."""
         pass
 
     def request_received(self, request: Request) -> None:
+        """Answer a request for the list, a watch or notices; 404 for anything else."""
         parts = urlsplit(request.target)
         if request.method == "POST" and parts.path == REPORTS_PATH:
             self._report(request)
@@ -116,13 +122,15 @@
     def _watch(self, connection: Connection, word: str) -> None:
         index = int(word) if word.isdigit() else -1
         connection.stream()
-        if not 0 <= index <= self.index:  # of another list, or none
+        if not 0 <= index <= self.index:  # the index belongs to another list, or is missing
             connection.chunk(self._page(list(self.rows.values()), True))
         elif index < self.index:
-            connection.chunk(self._since(index))
+            connection.chunk(self._changes_since(index))
         self.watches[connection] = self.index
-        if self._beat is None:
-            self._beat = asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL, self._quiet)
+        if self._keepalive_timer is None:
+            self._keepalive_timer = asyncio.get_running_loop().call_later(
+                KEEPALIVE_INTERVAL, self._send_keepalive
+            )
 
     def _report(self, request: Request) -> None:
         try:
@@ -137,10 +145,12 @@
         request.connection.answer(self.status)
 
     def unreadable_input(self, connection: Connection) -> None:
+        """Nothing to do: the connection is closed by its own class."""
         pass
 
     def connection_closed(self, connection: Connection) -> None:
+        """Forget its watch; without watches no keep-alive is sent."""
         self.watches.pop(connection, None)
-        if not self.watches and self._beat is not None:
-            self._beat.cancel()
-            self._beat = None
+        if not self.watches and self._keepalive_timer is not None:
+            self._keepalive_timer.cancel()
+            self._keepalive_timer = None
--- a/limelatch/standin/demo.py
+++ b/limelatch/standin/demo.py
@@ -1,7 +1,7 @@
-"""The main job on an embedded stand-in: partners, catalog, platform and one relay on loopback, texts flowing.
+"""The demo: one relay with stand-ins for partners, catalog and platform on loopback, and a stream of texts.
 
-One partner is steady, one refuses every third call and tells a wait, one dies in the middle and comes back.
-What became of each text is counted by the stand-ins, not by the relay.
+One partner works steadily, one refuses every third call with a Retry-After, one goes down in the middle and
+returns. The outcome of each text is counted by the stand-ins, not by the relay.
 """
 
 from __future__ import annotations
@@ -24,25 +24,29 @@
 from limelatch.standin.http import Server
 
 LOOPBACK = "127.0.0.1"
-SEED, RATE = 7, 40.0
-SETTLE, STOP_WAIT, READY_WAIT = 6.0, 5.0, 10.0  # seconds
-OUTAGE = (0.3, 0.55)  # of the time in which texts come: when the failing partner is down
-VALID_MS = 8000
-REFUSE_EACH, REFUSE_WAIT = 3, 0.4
-LATENCY = (0.02, 0.12)
-LOG_LINES = 6
-RESULTS = {"bounced": "nacked", "dead": "undeliverable"}
-
-
-class Habit(Enum):
-    """How a partner behaves."""
+SEED = 7  # of the random numbers, so that each demo hands in the same texts
+RATE = 40.0  # texts a second
+SETTLE_TIME = 6.0  # seconds at the end in which no new texts are handed in
+STOP_TIMEOUT = 5.0  # seconds for the relay to stop in order
+READY_TIMEOUT = 10.0  # seconds for the relay to answer its first PING
+OUTAGE = (0.3, 0.55)  # begin and end of the outage, as shares of the time in which texts are handed in
+VALID_MS = 8000  # the validity period in the configuration below
+REFUSE_EACH = 3  # calls
+REFUSE_WAIT = 0.4  # seconds of Retry-After
+LATENCY = (0.02, 0.12)  # seconds, least and most, for a partner to deliver
+LOG_LINES = 6  # the last lines of the relay's log that are shown
+RESULTS = {"bounced": "nacked", "dead": "undeliverable"}  # names shown for the results of notices
+
+
+class Behaviour(Enum):
+    """How a partner behaves; the value is shown."""
 
     STEADY = "steady"
     REFUSES = "refuses every third call"
     FAILS = "fails, and returns"
 
 
-PARTNERS = {1: Habit.STEADY, 2: Habit.REFUSES, 3: Habit.FAILS}
+PARTNERS = {1: Behaviour.STEADY, 2: Behaviour.REFUSES, 3: Behaviour.FAILS}
 PRODUCTS = ("notice", "charge", "report")
 CONFIGURATION = """
 [relay]
@@ -94,26 +98,27 @@
 
 
 @dataclass(slots=True)
-class Fate:
-    """What the stand-ins saw of one text that the relay took on."""
+class TextRecord:
+    """What the stand-ins saw of one text."""
 
     partner: int
-    taken: bool = False
-    arrivals: int = 0  # calls at a host
+    accepted: bool = False
+    arrivals: int = 0  # calls that carried it to a host
     delivered: int = 0
     notices: list[str] = field(default_factory=list)
 
     @property
-    def ends(self) -> int:
+    def end_count(self) -> int:
+        """How many final answers the text has; deliveries count as one."""
         return min(1, self.delivered) + len(self.notices)
 
 
 @dataclass
 class Partner:
-    """One destination: its habit, its hosts, and the counts of what came."""
+    """One destination: its behaviour, its hosts, and counts of their calls."""
 
     number: int
-    habit: Habit
+    behaviour: Behaviour
     servers: list[Server] = field(default_factory=list)
     up: bool = True
     calls: int = 0
@@ -122,49 +127,57 @@
 
 
 class Demo:
-    """All that stands around the relay, and what became of each text."""
+    """The relay and the stand-ins around it, with the record of each text."""
 
-    def __init__(self, seconds: float, say: Callable[[str], None]) -> None:
-        self.seconds, self.say, self.chance = seconds, say, Random(SEED)
-        self.flow = max(1.0, seconds - SETTLE)  # seconds in which texts come
+    def __init__(self, seconds: float, write_line: Callable[[str], None]) -> None:
+        self.seconds, self.write_line, self.random_source = seconds, write_line, Random(SEED)
+        self.submit_time = max(1.0, seconds - SETTLE_TIME)  # seconds in which texts are handed in
         self.agent = AgentHandler(self.noticed)
-        self.partners = {number: Partner(number, habit) for number, habit in PARTNERS.items()}
-        self.fates: dict[str, Fate] = {}
-        self.handed = self.busy = self.other = 0
+        self.partners = {number: Partner(number, behaviour) for number, behaviour in PARTNERS.items()}
+        self.records: dict[str, TextRecord] = {}
+        self.submitted = self.busy = self.other = 0
         self.lines: deque[str] = deque(maxlen=LOG_LINES)
-        self.began = 0.0
+        self.started_at = 0.0
         self.relay: asyncio.subprocess.Process | None = None
 
-    # What the stand-ins tell.
+    # Callbacks of the stand-ins.
 
     def called(self, partner: Partner, call: Call) -> None:
+        """Refuse a call, or deliver its texts after a random latency."""
         partner.calls += 1
         for text in call.texts:
-            if fate := self.fates.get(text.id):
-                fate.arrivals += 1
-        if partner.habit is Habit.REFUSES and partner.calls % REFUSE_EACH == 0:
+            if record := self.records.get(text.id):
+                record.arrivals += 1
+        if partner.behaviour is Behaviour.REFUSES and partner.calls % REFUSE_EACH == 0:
             partner.refused += 1
             call.answer([TextState.REFUSED] * len(call.texts), wait=REFUSE_WAIT)
             return
-        asyncio.get_running_loop().call_later(self.chance.uniform(*LATENCY), self.deliver, partner, call)
+        asyncio.get_running_loop().call_later(
+            self.random_source.uniform(*LATENCY), self.deliver, partner, call
+        )
 
     def deliver(self, partner: Partner, call: Call) -> None:
+        """Count the texts of a call as delivered and answer it, if its connection still stands."""
         if not call.connection.open:
             return
         for text in call.texts:
             partner.seen_idempotency_keys.add(text.idempotency_key)
-            if fate := self.fates.get(text.id):
-                fate.delivered += 1
+            if record := self.records.get(text.id):
+                record.delivered += 1
         call.answer([TextState.DELIVERED] * len(call.texts))
 
     def noticed(self, notice: Notice) -> None:
-        if fate := self.fates.get(notice.text):
-            fate.notices.append(RESULTS.get(notice.result, notice.result))
+        """Record the result in a notice."""
+        if record := self.records.get(notice.text):
+            record.notices.append(RESULTS.get(notice.result, notice.result))
 
-    # The course of it.
+    # The course of the demo.
 
     async def run(self, folder: str) -> bool:
-        """Play it all; whether each text that was taken on got its one end."""
+        """Run the whole demo, with its files in `folder`.
+
+        Returns whether each accepted text got exactly one final answer. Raises RuntimeError where the relay
+        does not start."""
         agent = Server(self.agent, LOOPBACK)
         await agent.start()
         for partner in self.partners.values():
@@ -180,13 +193,13 @@
                 )
         address = await self.start_relay(folder, agent.address)
         host, _, port = address.partition(":")
-        self.say(
+        self.write_line(
             f"relay at {address}, catalog and platform at {agent.address}, "
             f"{len(self.partners)} partners with two hosts each"
         )
         async with Pool(host, int(port)) as pool:
-            await self.ready(pool)
-            self.began = asyncio.get_running_loop().time()
+            await self.wait_until_ready(pool)
+            self.started_at = asyncio.get_running_loop().time()
             outage = asyncio.create_task(self.outage())
             try:
                 await self.hand_in(pool)
@@ -194,9 +207,10 @@
             finally:
                 outage.cancel()
         await self.stop_relay()
-        return all(fate.ends == 1 for fate in self.fates.values() if fate.taken)
+        return all(record.end_count == 1 for record in self.records.values() if record.accepted)
 
     async def start_relay(self, folder: str, agent: str) -> str:
+        """Start the relay on a free port; returns its address."""
         probe = await asyncio.get_running_loop().create_server(asyncio.Protocol, LOOPBACK, 0)
         listen = "{}:{}".format(*probe.sockets[0].getsockname())
         probe.close()
@@ -221,72 +235,77 @@
         return listen
 
     async def read_log(self) -> None:
+        """Keep the last lines of the relay's log, without time and level."""
         async for raw in self.relay.stderr:
             line = raw.decode(errors="replace").rstrip()
             self.lines.append(line.partition(" level=")[2].partition(" ")[2] or line)
 
-    async def ready(self, pool: Pool) -> None:
-        until = asyncio.get_running_loop().time() + READY_WAIT
+    async def wait_until_ready(self, pool: Pool) -> None:
+        """Wait until the relay answers PING. Raises RuntimeError where it ends or takes too long."""
+        until = asyncio.get_running_loop().time() + READY_TIMEOUT
         while (await pool.ping()).kind is not AnswerKind.ACCEPTED:
             if self.relay.returncode is not None or asyncio.get_running_loop().time() > until:
                 raise RuntimeError("the relay did not start: " + " | ".join(self.lines))
             await asyncio.sleep(0.02)
 
     async def hand_in(self, pool: Pool) -> None:
-        """Texts by the clock, to all partners, of all products."""
+        """Hand in texts at a fixed rate, for random partners and products, and wait for the answers."""
         loop, tasks = asyncio.get_running_loop(), set()
-        for number in range(int(self.flow * RATE)):
-            due = self.began + number / RATE
+        for number in range(int(self.submit_time * RATE)):
+            due = self.started_at + number / RATE
             await asyncio.sleep(max(0.0, due - loop.time()))
-            product = PRODUCTS[self.chance.choices(range(3), (6, 1, 3))[0]]
-            partner = self.chance.choice(list(self.partners))
-            key = f"k{self.chance.randrange(20)}" if product == "charge" else "0"
+            product = PRODUCTS[self.random_source.choices(range(3), (6, 1, 3))[0]]
+            partner = self.random_source.choice(list(self.partners))
+            key = f"k{self.random_source.randrange(20)}" if product == "charge" else "0"
             text = Submission(product, partner, VALID_MS, f"text {number}".encode(), key=key)
             text.idempotency_key = text.id
-            self.fates[text.id] = Fate(partner)
-            task = loop.create_task(self.one(pool, text))
+            self.records[text.id] = TextRecord(partner)
+            task = loop.create_task(self.submit(pool, text))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
             await asyncio.wait(tasks)
 
-    async def one(self, pool: Pool, text: Submission) -> None:
-        self.handed += 1
+    async def submit(self, pool: Pool, text: Submission) -> None:
+        """Hand in one text and count the answer."""
+        self.submitted += 1
         answer = await pool.submit(text)
         if answer.kind is AnswerKind.ACCEPTED:
-            self.fates[text.id].taken = True
+            self.records[text.id].accepted = True
         elif answer.kind is AnswerKind.BUSY:
             self.busy += 1
         else:
             self.other += 1
 
     async def outage(self) -> None:
-        failing = next(each for each in self.partners.values() if each.habit is Habit.FAILS)
-        await asyncio.sleep(self.flow * OUTAGE[0])
+        """Take the hosts of the failing partner down for a while."""
+        failing = next(each for each in self.partners.values() if each.behaviour is Behaviour.FAILS)
+        await asyncio.sleep(self.submit_time * OUTAGE[0])
         failing.up = False
         for server in failing.servers:
             server.down()
-        await asyncio.sleep(self.flow * (OUTAGE[1] - OUTAGE[0]))
+        await asyncio.sleep(self.submit_time * (OUTAGE[1] - OUTAGE[0]))
         for server in failing.servers:
             await server.start()
         failing.up = True
 
     async def settle(self) -> None:
-        """Until every text has its end, or its validity must be over."""
+        """Wait until every accepted text has its final answer, or its validity period must have ended."""
         until = asyncio.get_running_loop().time() + VALID_MS / 1000 + 1
-        while any(fate.taken and not fate.ends for fate in self.fates.values()):
+        while any(record.accepted and not record.end_count for record in self.records.values()):
             if asyncio.get_running_loop().time() > until:
                 return
             await asyncio.sleep(0.05)
 
     async def stop_relay(self) -> None:
+        """Stop the relay by SIGTERM and wait for its end, at most STOP_TIMEOUT."""
         if self.relay is not None and self.relay.returncode is None:
             self.relay.send_signal(signal.SIGTERM)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.relay.wait(), STOP_WAIT)
+                await asyncio.wait_for(self.relay.wait(), STOP_TIMEOUT)
 
     def end(self) -> None:
-        """Leave nothing running, whatever happened."""
+        """Kill the relay if it still runs, and take all servers down."""
         if self.relay is not None and self.relay.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.relay.kill()
@@ -294,19 +313,22 @@
             for server in partner.servers:
                 server.down()
 
-    # What is shown.
+    # Output.
 
     def row(self, partner: Partner) -> tuple[str, ...]:
-        fates = [fate for fate in self.fates.values() if fate.partner == partner.number and fate.taken]
-        delivered = sum(fate.delivered > 0 for fate in fates)
-        repeated = sum(max(0, fate.arrivals - 1) for fate in fates)
-        ends = [end for fate in fates for end in fate.notices]
-        held = sum(not fate.ends for fate in fates)
+        """A partner's cells in the order of COLUMNS."""
+        records = [
+            record for record in self.records.values() if record.partner == partner.number and record.accepted
+        ]
+        delivered = sum(record.delivered > 0 for record in records)
+        repeated = sum(max(0, record.arrivals - 1) for record in records)
+        ends = [end for record in records for end in record.notices]
+        held = sum(not record.end_count for record in records)
         return (
             str(partner.number),
-            partner.habit.value,
+            partner.behaviour.value,
             "up" if partner.up else "DOWN",
-            str(len(fates)),
+            str(len(records)),
             str(delivered),
             str(repeated),
             str(ends.count("nacked")),
@@ -315,12 +337,14 @@
         )
 
     def rows(self) -> list[tuple[str, ...]]:
+        """A row for each partner."""
         return [self.row(partner) for partner in self.partners.values()]
 
     def summary(self) -> Iterator[str]:
-        taken = [fate for fate in self.fates.values() if fate.taken]
+        """The lines that end the demo."""
+        accepted = [record for record in self.records.values() if record.accepted]
         yield (
-            f"{self.handed} texts handed in: {len(taken)} taken on, {self.busy} nacked at once, "
+            f"{self.submitted} texts handed in: {len(accepted)} taken on, {self.busy} nacked at once, "
             f"{self.other} otherwise answered"
         )
         for row in self.rows():
@@ -328,11 +352,16 @@
                 f"partner {row[0]} ({row[1]}): {row[3]} taken on, {row[4]} delivered, {row[5]} repeated "
                 f"calls, {row[6]} nacked, {row[7]} undeliverable"
             )
-        wrong = sum(fate.ends != 1 for fate in taken)
-        twice = sum(fate.delivered > 1 for fate in taken)
+        wrong = sum(record.end_count != 1 for record in accepted)
+        twice = sum(record.delivered > 1 for record in accepted)
         yield (
-            f"each text got its one end: {'yes' if not wrong else f'NO, {wrong} did not'}"
-            + (f"; {twice} were delivered again, by a mark that the partner knows" if twice else "")
+            "each accepted text got exactly one final answer: "
+            f"{'yes' if not wrong else f'NO, {wrong} did not'}"
+            + (
+                f"; {twice} were delivered again, with an idempotency key that the partner knows"
+                if twice
+                else ""
+            )
         )
 
 
@@ -340,12 +369,12 @@
 
 
 def table_of(demo: Demo):
-    """The state of things, for a terminal (rich)."""
+    """The current counts and the end of the relay's log, as a rich table."""
     from rich.console import Group
     from rich.table import Table
     from rich.text import Text
 
-    table = Table(title=f"limelatch demo, {demo.handed} texts handed in")
+    table = Table(title=f"limelatch demo, {demo.submitted} texts handed in")
     for name in COLUMNS:
         table.add_column(name, justify="left" if name in ("partner", "habit", "") else "right")
     for row in demo.rows():
@@ -356,7 +385,7 @@
 
 
 async def show(demo: Demo, terminal: bool) -> None:
-    """A live table on a terminal, a plain line a second elsewhere; until it is cancelled."""
+    """Show the state until cancelled: a live table on a terminal, else a plain line every second."""
     if terminal:
         from rich.live import Live
 
@@ -367,15 +396,18 @@
     while True:
         await asyncio.sleep(1.0)
         states = "  ".join(f"{row[0]}:{row[2]} delivered {row[4]} held {row[8]}" for row in demo.rows())
-        demo.say(f"{demo.handed} handed in  {states}")
+        demo.write_line(f"{demo.submitted} handed in  {states}")
+
 
+async def play(seconds: float, write_line: Callable[[str], None], terminal: bool) -> bool:
+    """Run the demo for so many seconds; returns whether each accepted text got exactly one final answer.
 
-async def play(seconds: float, say: Callable[[str], None], terminal: bool) -> bool:
-    """The whole demo; whether each text got its one end. Interrupted, it leaves no process and no folder."""
+    SIGINT, SIGTERM and SIGHUP end it with CancelledError, once the relay has ended and the folder is removed.
+    """
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         loop.add_signal_handler(number, task.cancel)
-    demo = Demo(seconds, say)
+    demo = Demo(seconds, write_line)
     with tempfile.TemporaryDirectory(prefix="limelatch-demo-") as folder:
         shown = asyncio.create_task(show(demo, terminal))
         try:
@@ -388,5 +420,5 @@
             if demo.relay is not None:
                 await demo.relay.wait()
     for line in demo.summary():
-        say(line)
+        write_line(line)
     return good
--- a/limelatch/standin/host.py
+++ b/limelatch/standin/host.py
@@ -1,4 +1,4 @@
-"""A host of a destination: takes calls with one text or a batch, and answers as whoever started it says."""
+"""A stand-in for a host of a destination, which receives calls with one text or a batch of texts."""
 
 from __future__ import annotations
 
@@ -11,30 +11,35 @@
 
 from limelatch.standin.http import Connection, Request
 
-SINGLE_PATH, BATCH_PATH, PING_PATH, LOAD_PATH = "/v1/messages", "/v1/messages:batch", "/ping", "/_load"
+SINGLE_PATH = "/v1/messages"
+BATCH_PATH = "/v1/messages:batch"
+PING_PATH = "/ping"
+LOAD_PATH = "/_load"
 
 
 class TextState(Enum):
-    """A text's end at a host, in a batch's words and as the status of a call with one text."""
+    """The result of a text at a host: its name in a batch answer, and its status for a single text."""
 
     DELIVERED = ("delivered", 200)
-    FAILED = ("failed", 500)  # it may have run
+    FAILED = ("failed", 500)  # the text may have run
     REFUSED = ("refused", 503)
     OVER = ("over", 410)
     SPENT = ("spent", 504)
 
     @property
     def word(self) -> str:
+        """The state's name in a batch answer."""
         return self.value[0]
 
     @property
     def status(self) -> int:
+        """The HTTP status of a call with one text."""
         return self.value[1]
 
 
 @dataclass(frozen=True, slots=True)
 class CallText:
-    """One text of a call."""
+    """One text in a call."""
 
     id: str
     idempotency_key: str
@@ -42,12 +47,14 @@
 
 
 class BadCall(Exception):
-    """The request is no call."""
+    """The request is not a valid call."""
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call at a host, with one text or several; a probe has none."""
+    """One call at a host, with one text or several; a probe has none.
+
+    `at`: the loop's clock when the request was complete. `remaining_ms`: how long the relay still waits."""
 
     texts: list[CallText]
     batch: bool
@@ -63,7 +70,10 @@
         report: dict[str, float] | None = None,
         status: int | None = None,
     ) -> None:
-        """End it: a state for each text, in order; `wait` in seconds is told, `status` stands for all."""
+        """Answer the call with one state for each text, in order.
+
+        `wait`: seconds for Retry-After. `report`: values for X-Pressure. `status`: an HTTP status that
+        answers the whole call in place of the states."""
         headers = {} if wait is None else {"Retry-After": f"{wait:.3f}"}
         if report:
             headers["X-Pressure"] = ",".join(f"{name}={value:.4g}" for name, value in report.items())
@@ -77,7 +87,7 @@
 
 
 def remaining(headers: dict[bytes, bytes]) -> float:
-    """How long the relay will wait, in milliseconds; 0 where it does not say."""
+    """How long the relay will wait, in milliseconds, by X-Remaining; 0 without a valid header."""
     raw = headers.get(b"x-remaining", b"").decode("latin-1")
     number, unit = raw[:-1], raw[-1:]
     if not number.isdigit() or unit not in ("m", "u"):
@@ -86,7 +96,7 @@
 
 
 def read_call(request: Request) -> Call:
-    """The call that a request makes; BadCall where it makes none."""
+    """The call in a request. Raises BadCall where the request is not a valid call."""
     connection, headers = request.connection, request.headers
     if request.method == "GET" and request.target in (PING_PATH, LOAD_PATH):
         return Call([], False, request.at, 0.0, connection, is_probe=True)
@@ -112,12 +122,15 @@
     except (ValueError, KeyError, TypeError, AttributeError, BadBase64) as error:
         raise BadCall(f"batch: {error!r}") from None
     if not texts or len({text.id for text in texts}) < len(texts):
-        raise BadCall("an empty batch, or a text twice in it")
+        raise BadCall("the batch is empty, or has the same text twice")
     return Call(texts, True, request.at, remaining(headers), connection)
 
 
 class HostHandler:
-    """A host: `called` is told each call, `lost` of each connection's end, `bad` of what is no call."""
+    """Passes events of a host's connections to callbacks.
+
+    `on_call` gets each valid call, `on_bad_request` the reason why another request is not one (it is answered
+    with 400), `on_opened` and `on_closed` each connection that opens or closes."""
 
     def __init__(
         self,
@@ -134,9 +147,11 @@
         )
 
     def connection_opened(self, connection: Connection) -> None:
+        """Pass on a new connection."""
         self.on_opened(connection)
 
     def request_received(self, request: Request) -> None:
+        """Pass on a call; answer 400 to anything else."""
         try:
             call = read_call(request)
         except BadCall as error:
@@ -146,7 +161,9 @@
         self.on_call(call)
 
     def unreadable_input(self, connection: Connection) -> None:
-        self.on_bad_request("what can't be read")
+        """Pass on that a connection sent input that is not HTTP."""
+        self.on_bad_request("unreadable input")
 
     def connection_closed(self, connection: Connection) -> None:
+        """Pass on the end of a connection."""
         self.on_closed(connection)
--- a/limelatch/standin/http.py
+++ b/limelatch/standin/http.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server for stand-ins: it answers as told, and may hang, break off or talk nonsense as well."""
+"""An HTTP/1.1 server for stand-ins, which can also hang, reset connections or send invalid bytes."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-PLUGS = 3  # connections that fill the queue of a listening socket with room for none
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset
+BACKLOG_FILLERS = 3  # connections that fill the accept queue of a socket that listens with backlog 0
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER with no time: closing the socket sends a reset
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One whole request; `at` is the loop's clock when its last byte had come."""
+    """One complete request; `at` is the loop's clock when its last byte arrived."""
 
     method: str
     target: str
@@ -39,23 +39,23 @@
 
 
 class Handler(Protocol):
-    """What a server stands in for."""
+    """Receives the events of a server's connections."""
 
     def connection_opened(self, connection: Connection) -> None:
-        """A connection has come up; it may be closed at once."""
+        """A connection was established; the handler may close it at once."""
 
     def request_received(self, request: Request) -> None:
-        """A whole request has come; it is answered now, later or never."""
+        """A complete request arrived; the handler answers it now, later or never."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """The connection is over, from either side."""
+        """The connection was closed by either side."""
 
     def unreadable_input(self, connection: Connection) -> None:
-        """What came can't be read; the connection is closed."""
+        """Input that is not HTTP arrived; the connection is closed afterwards."""
 
 
 def answer_bytes(status: int, body: bytes = b"", headers: dict[str, str] | None = None) -> bytes:
-    """A whole answer."""
+    """The bytes of a complete response."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Other')}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if status != 204:
@@ -64,7 +64,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a stand-in."""
+    """One connection to a stand-in, with what it can do to the client."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler, self.open, self.transport = handler, False, None
@@ -92,7 +92,7 @@
         self.open = False
         self.handler.connection_closed(self)
 
-    # What the parser tells.
+    # Callbacks of the HTTP parser.
 
     def on_url(self, url: bytes) -> None:
         self._target += url.decode("latin-1")
@@ -116,31 +116,35 @@
         self._clear()
         self.handler.request_received(request)
 
-    # What a face does.
+    # Actions for handlers.
 
     def write(self, raw: bytes) -> None:
+        """Send raw bytes, if the connection is still open."""
         if self.open:
             self.transport.write(raw)
 
     def answer(self, status: int, body: bytes = b"", **headers: str) -> None:
+        """Send a complete response; an underscore in a header's keyword stands for a hyphen."""
         self.write(
             answer_bytes(status, body, {name.replace("_", "-"): value for name, value in headers.items()})
         )
 
     def stream(self) -> None:
-        """Begin a chunked answer that stays open."""
+        """Start a chunked response that stays open."""
         self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     def chunk(self, raw: bytes) -> None:
+        """Send one chunk of a chunked response."""
         self.write(b"%x\r\n%s\r\n" % (len(raw), raw))
 
     def close(self) -> None:
+        """Close the connection in an orderly way."""
         if self.open:
             self.open = False
             self.transport.close()
 
     def reset(self) -> None:
-        """End it as a dead process does."""
+        """Reset the connection, as the kernel does for a process that died."""
         if self.open:
             self.open = False
             self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -148,16 +152,17 @@
 
 
 class Server:
-    """A face at an address; it can go down, as a process that dies, and come up there again."""
+    """Serves a handler at one address; it can go down like a process that died, and start again there."""
 
     def __init__(self, handler: Handler, host: str = "127.0.0.1", port: int = 0) -> None:
         self.handler, self.host, self.port = handler, host, port
         self.connections: set[Connection] = set()
         self._server: asyncio.Server | None = None
-        self._plugs: list[socket.socket] = []
+        self._backlog_sockets: list[socket.socket] = []
 
     @property
     def address(self) -> str:
+        """The address as HOST:PORT."""
         return f"{self.host}:{self.port}"
 
     def _connection(self) -> Connection:
@@ -166,13 +171,14 @@
         return connection
 
     async def start(self) -> None:
+        """Listen, on the port of an earlier start if there was one; also ends `stop_accepting`."""
         self._close()
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._connection, self.host, self.port, backlog=1024)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def down(self) -> None:
-        """Refuse connections from now on, and reset those that are open."""
+        """Refuse new connections and reset the open ones."""
         self._close()
         for connection in list(self.connections):
             connection.reset()
@@ -181,25 +187,26 @@
         if self._server is not None:
             self._server.close()
             self._server = None
-        while self._plugs:
-            self._plugs.pop().close()
+        while self._backlog_sockets:
+            self._backlog_sockets.pop().close()
 
     def stop_accepting(self) -> None:
-        """Let no connection come up from now on: the queue of those not accepted is full, so that the kernel
-        drops what asks. Open ones stay as they are. `start` ends it."""
+        """Let new connections hang until `start`: the accept queue is full, and the kernel drops their SYNs.
+
+        Open connections stay as they are."""
         self._close()
-        plug = socket.socket()
-        plug.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        plug.bind((self.host, self.port))
-        plug.listen(0)
-        self._plugs.append(plug)
-        for _ in range(PLUGS):
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((self.host, self.port))
+        listener.listen(0)
+        self._backlog_sockets.append(listener)
+        for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((self.host, self.port))
-            self._plugs.append(filler)
+            self._backlog_sockets.append(filler)
 
-    # Its face sees all that its connections see; it keeps count of them.
+    # Events of the connections, passed on to the handler; the server keeps the set of open connections.
 
     def connection_opened(self, connection: Connection) -> None:
         self.handler.connection_opened(connection)
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -20,7 +20,7 @@
 from limelatch.relay.records import RECORD_HEADER
 
 ROOT = Path(__file__).parent.parent
-DONE, WRONG, BAD_USE = 0, 1, 2
+SUCCESS, CHECK_FAILED, USAGE_ERROR = 0, 1, 2
 
 
 def start(*words, **more):
@@ -73,12 +73,12 @@
 
 def test_help_names_every_group_and_usage_is_exit_2():
     code, out, _ = run("-h")
-    assert code == DONE
+    assert code == SUCCESS
     assert all(each in out for each in ("relay", "config", "ledger", "text", "ping", "demo", "completion"))
     assert run("--version")[1].startswith("limelatch 0.")
     code, out, err = run("ledger", "list")
-    assert (code, out) == (BAD_USE, "") and "FOLDER" in err
-    assert run("nonsense")[0] == BAD_USE
+    assert (code, out) == (USAGE_ERROR, "") and "FOLDER" in err
+    assert run("nonsense")[0] == USAGE_ERROR
     assert "_LIMELATCH_COMPLETE=bash_complete" in run("completion", "bash")[1]
 
 
@@ -92,10 +92,10 @@
     }
     good.write_text(json.dumps(raw))
     code, out, err = run("config", "check", good)
-    assert code == DONE and "good" in out and err.startswith(f"doubt: {good}:1: settings.zones")
+    assert code == SUCCESS and "good" in out and err.startswith(f"doubt: {good}:1: settings.zones")
     bad.write_text("[relay]\nlisten = 3\n")
     code, out, err = run("config", "check", good, bad)
-    assert code == BAD_USE and f"{bad}:2: relay.listen" in err and "Traceback" not in err
+    assert code == USAGE_ERROR and f"{bad}:2: relay.listen" in err and "Traceback" not in err
 
 
 def test_config_shows_what_is_in_force_and_hides_secrets(tmp_path):
@@ -112,7 +112,7 @@
         )
     )
     code, out, _ = run("config", "show", path)
-    assert code == DONE and "5ec2e7" not in out
+    assert code == SUCCESS and "5ec2e7" not in out
     assert 'silence = "4.5s" # default' in out and "slots = 8\n" in out
     assert "5ec2e7" in run("config", "show", path, "--secrets")[1]
     rows = [json.loads(line) for line in run("config", "show", path, "--json")[1].splitlines()]
@@ -125,10 +125,10 @@
     first.write_text(json.dumps(raw))
     own.write_text(run("config", "convert", first)[1])
     back.write_text(run("config", "convert", own)[1])
-    assert run("config", "diff", first, back, "--exit-code") == (DONE, "no difference\n", "")
+    assert run("config", "diff", first, back, "--exit-code") == (SUCCESS, "no difference\n", "")
     back.write_text(json.dumps(raw | {"discovery": "127.0.0.1:3", "limits": {"sockets": 99}}))
     code, out, _ = run("config", "diff", own, back, "--exit-code")
-    assert code == WRONG and out.splitlines() == [
+    assert code == CHECK_FAILED and out.splitlines() == [
         "catalog.address: 127.0.0.1:2 -> 127.0.0.1:3 (at once on SIGHUP)",
         "limits.sockets: 1024 -> 99 (after a restart)",
     ]
@@ -137,7 +137,7 @@
 def test_the_ledger_is_listed_beside_the_relay_that_writes_it(folder):
     before = files_of(path_of(folder))
     code, out, err = run("ledger", "list", path_of(folder))
-    assert (code, err) == (DONE, "")
+    assert (code, err) == (SUCCESS, "")
     rows = [line.split()[:6] for line in out.splitlines()[1:-1]]
     assert rows == [
         ["t1", "held", "report", "1", "0", "no"],
@@ -147,12 +147,12 @@
     shown = json.loads(run("ledger", "list", path_of(folder), "--json", "--may-have-run")[1])
     assert (shown["id"], shown["first_may_have_run_floor"]) == ("t2", 1)
     assert run("ledger", "show", path_of(folder), "t2", "--body")[1] == "body of t2"
-    assert run("ledger", "show", path_of(folder), "t9")[0] == WRONG
+    assert run("ledger", "show", path_of(folder), "t9")[0] == CHECK_FAILED
     code, out, err = run("ledger", "export", path_of(folder))
     assert [json.loads(line)["body"] for line in out.splitlines()][
         0
     ] == "Ym9keSBvZiB0MQ==" and "3 texts" in err
-    assert run("ledger", "verify", path_of(folder))[0] == DONE
+    assert run("ledger", "verify", path_of(folder))[0] == SUCCESS
     assert files_of(path_of(folder)) == before
 
 
@@ -161,12 +161,12 @@
         file.write(RECORD_HEADER.pack(99, 0) + b"torn")
     before = files_of(path_of(folder))
     code, out, err = run("ledger", "verify", path_of(folder))
-    assert code == WRONG and "5 records" in out and "12 bytes are no whole record" in err
+    assert code == CHECK_FAILED and "5 records" in out and "12 bytes are not a complete record" in err
     assert "12 bytes torn" in run("ledger", "list", path_of(folder))[1]
     assert files_of(path_of(folder)) == before
     Path(folder.path).write_bytes(b"something else altogether")
     code, out, err = run("ledger", "list", path_of(folder))
-    assert (code, out) == (BAD_USE, "") and "no ledger" in err
+    assert (code, out) == (USAGE_ERROR, "") and "no ledger" in err
 
 
 @pytest.mark.parametrize("name", ["none", "a_file", "empty"])
@@ -174,7 +174,7 @@
     (tmp_path / "a_file").write_text("x")
     (tmp_path / "empty").mkdir()
     code, out, err = run("ledger", "verify", tmp_path / name)
-    assert (code, out) == (BAD_USE, "") and err.startswith("Error: ") and err.count("\n") == 1
+    assert (code, out) == (USAGE_ERROR, "") and err.startswith("Error: ") and err.count("\n") == 1
 
 
 def test_a_ledger_that_is_compacted_at_that_moment_is_read_whole(folder):
@@ -229,20 +229,20 @@
     relay = start("relay", "run", "--config", path, "--tied", stdin=subprocess.PIPE)
     try:
         code, out, _ = run("ping", "--relay", address, "--wait", "8s")
-        assert code == DONE and "PONG" in out
+        assert code == SUCCESS and "PONG" in out
         beside = start("relay", "run", "--config", path, "--tied", stdin=subprocess.PIPE)  # as in an upgrade
         while (line := beside.stderr.readline()) and "serving" not in line:
             pass
         assert "serving" in line
         third = run("relay", "run", "--config", path)
-        assert third[0] == BAD_USE and third[2].count("\n") == 1 and "another relay uses" in third[2]
+        assert third[0] == USAGE_ERROR and third[2].count("\n") == 1 and "another relay uses" in third[2]
         beside.stdin.close()
-        assert beside.wait(WAIT_TIMEOUT) == DONE
+        assert beside.wait(WAIT_TIMEOUT) == SUCCESS
         beside.stdout.close(), beside.stderr.close()
         code, out, err = run(
             "text", "submit", "--relay", address, "--product", "report", "--dest", "1", given="hi"
         )
-        assert code == DONE and " taken " in out and host.next().body == b"hi"
+        assert code == SUCCESS and " taken " in out and host.next().body == b"hi"
         code, out, _ = run(
             "text",
             "submit",
@@ -259,13 +259,13 @@
             "--rate",
             "200",
         )
-        assert code == DONE and "30 texts in 0." in out and "p99" in out
+        assert code == SUCCESS and "30 texts in 0." in out and "p99" in out
         code, out, _ = run(
             "text", "submit", "--relay", address, "--product", "none", "--dest", "1", "--body", "x", "--json"
         )
-        assert code == WRONG and json.loads(out.splitlines()[0])["ending"] == "error"
+        assert code == CHECK_FAILED and json.loads(out.splitlines()[0])["ending"] == "error"
         relay.stdin.close()  # whoever started it has ended
-        assert relay.wait(WAIT_TIMEOUT) == DONE
+        assert relay.wait(WAIT_TIMEOUT) == SUCCESS
         events = [json.loads(line)["event"] for line in relay.stderr]
         assert events[0] == "started" and "serving" in events and events[-1] == "stopped"
     finally:
@@ -273,7 +273,7 @@
         relay.wait()
         relay.stdout.close(), relay.stderr.close()
     code, out, _ = run("ping", "--relay", address)
-    assert code == WRONG and "refused" in out
+    assert code == CHECK_FAILED and "refused" in out
 
 
 def test_relay_run_says_plainly_what_it_cannot_use(tmp_path, agent, program):
@@ -282,10 +282,10 @@
     path, state = tmp_path / "second.json", tmp_path / "other"
     path.write_text(json.dumps(raw | {"state": str(state)}))
     code, _, err = run("relay", "run", "--config", path)
-    assert code == BAD_USE and err.count("\n") == 1 and "No such file" in err
+    assert code == USAGE_ERROR and err.count("\n") == 1 and "No such file" in err
     state.mkdir()
     code, _, err = run("relay", "run", "--config", path)  # the port is taken
-    assert code == BAD_USE and "event=not-serving" in err
+    assert code == USAGE_ERROR and "event=not-serving" in err
 
 
 @pytest.mark.parametrize(
@@ -348,8 +348,8 @@
 def test_the_demo_ends_by_itself_each_text_with_its_one_end(tmp_path, terminal):
     process, master = demo(tmp_path, terminal)
     shown = output(master)
-    assert process.wait(WAIT_TIMEOUT) == DONE, shown
-    assert "each text got its one end: yes" in shown and left_behind(tmp_path) == []
+    assert process.wait(WAIT_TIMEOUT) == SUCCESS, shown
+    assert "each accepted text got exactly one final answer: yes" in shown and left_behind(tmp_path) == []
     assert ("\x1b[" in shown) == terminal and re.search(r"partner 3 .* [1-9]\d* delivered", shown)
 
 
--- a/tests/test_scale_one.py
+++ b/tests/test_scale_one.py
@@ -7,7 +7,7 @@
 import pytest
 from click.testing import CliRunner
 
-from limelatch.command import BAD_USE, main
+from limelatch.command import USAGE_ERROR, main
 from limelatch.lab.scale import one, process
 from limelatch.lab.scale import session as session_module
 from limelatch.lab.scale.partners import row_of
@@ -168,7 +168,9 @@
     ]
     assert results.command.count("; ") == 2 and str(tmp_path) not in out.read_text()
     before = out.read_bytes()
-    assert command("--scenarios", "rest", "--subject", "another") == BAD_USE and out.read_bytes() == before
-    assert command("--scenarios", "nonsense") == BAD_USE and command("--sizes", "39") == BAD_USE
-    assert command("--scenarios", "pair") == BAD_USE  # against what?
+    assert (
+        command("--scenarios", "rest", "--subject", "another") == USAGE_ERROR and out.read_bytes() == before
+    )
+    assert command("--scenarios", "nonsense") == USAGE_ERROR and command("--sizes", "39") == USAGE_ERROR
+    assert command("--scenarios", "pair") == USAGE_ERROR  # against what?
     assert json.loads(before)["subject"] == "this tree"
