--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -31,7 +31,7 @@
     write_call,
 )
 from limelatch.relay.http import HttpClientProtocol, Response
-from limelatch.relay.ledger import BLOCK, FolderInUse, ForeignLedger, Ledger
+from limelatch.relay.ledger import BLOCK, DirectoryInUse, IncompatibleLedger, Ledger
 from limelatch.relay.records import STATE_RESERVE, RecordKind, encode_record
 from limelatch.relay.ring_buffer import RingBuffer, RingBufferFull
 from limelatch.relay.slots import Slots
@@ -169,9 +169,9 @@
         accept_text(ledger, text, b"body of " + text)
     ledger.record_submit(b"a", 5, 1)
     ledger.record_submit(b"b", 6, 0)
-    ledger.record_submit_end(b"b", ran=True)
+    ledger.record_submit_end(b"b", may_have_run=True)
     ledger.record_submit(b"b", 7, 2)
-    ledger.record_submit_end(b"b", ran=False)
+    ledger.record_submit_end(b"b", may_have_run=False)
     ledger.record_notice(b"c", {"result": "dead"})
     ledger.record_finished(b"d")
     a, b, c = reopen(ledger).entries.values()
@@ -192,7 +192,7 @@
     accept_text(ledger, b"a" * 64)
     for at in range(40):
         ledger.record_submit(b"a" * 64, at, 1)
-        ledger.record_submit_end(b"a" * 64, ran=at > 2)
+        ledger.record_submit_end(b"a" * 64, may_have_run=at > 2)
     ledger.record_submit(b"a" * 64, 99, 2)
     before = ledger.entries[b"a" * 64]
     ledger.compact()
@@ -217,7 +217,7 @@
 def test_a_submit_that_did_not_run_leaves_no_run_time(ledger):
     accept_text(ledger, b"a")
     ledger.record_submit(b"a", 5, 1)
-    ledger.record_submit_end(b"a", ran=False)
+    ledger.record_submit_end(b"a", may_have_run=False)
     assert reopen(ledger).entries[b"a"].first_run_at is None
 
 
@@ -225,7 +225,7 @@
     folder = ledger.path.removesuffix("/ledger")
     standby = Ledger(folder, 100_000, 10_000_000)  # an upgrade's new process
     assert standby.is_standby and ledger.has_successor()
-    with pytest.raises(FolderInUse):
+    with pytest.raises(DirectoryInUse):
         Ledger(folder, 100_000, 10_000_000)
     assert standby.take_over() is None  # the first still locks the state directory
     ledger.close()
@@ -239,7 +239,7 @@
     before = ledger.size
     with open(ledger.path, "ab") as file:
         file.write(encode_record(RecordKind.STATE, b"a", {"tries": 3}))
-    with pytest.raises(ForeignLedger):
+    with pytest.raises(IncompatibleLedger):
         reopen(ledger)
     assert os.path.getsize(ledger.path) > before
 
