--- a/limelatch/client/__init__.py
+++ b/limelatch/client/__init__.py
@@ -8,4 +8,4 @@
 from limelatch.client.pool import Pool
 from limelatch.client.wire import Answer, AnswerKind, Submission
 
-__all__ = ["Answer", "AnswerKind", "Submission", "Pool"]
+__all__ = ["Answer", "AnswerKind", "Pool", "Submission"]
--- a/limelatch/client/pool.py
+++ b/limelatch/client/pool.py
@@ -5,7 +5,7 @@
 import asyncio
 import os
 
-from limelatch.client.wire import Answer, AnswerKind, Submission, RelayConnection
+from limelatch.client.wire import Answer, AnswerKind, RelayConnection, Submission
 
 TIMEOUT = 0.4  # seconds to wait for an answer
 PING = b"*1\r\n$4\r\nPING\r\n"
--- a/limelatch/command/config.py
+++ b/limelatch/command/config.py
@@ -6,7 +6,7 @@
 
 import click
 
-from limelatch.command import USAGE_ERROR, CHECK_FAILED
+from limelatch.command import CHECK_FAILED, USAGE_ERROR
 
 FORM = click.option(
     "--form",
--- a/limelatch/command/lab.py
+++ b/limelatch/command/lab.py
@@ -1,4 +1,4 @@
-"""`limelatch lab`: the laboratory (extra `limelatch[lab]`)."""
+"""`limelatch lab`: the test laboratory, which needs the extra `limelatch[lab]`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import click
 
-from limelatch.command import USAGE_ERROR, CHECK_FAILED, UsageError, CheckFailed
+from limelatch.command import CHECK_FAILED, USAGE_ERROR, CheckFailed, UsageError
 from limelatch.command.membership import membership
 from limelatch.command.mutants import mutants
 from limelatch.command.scale import scale
@@ -23,7 +23,7 @@
     type=click.Choice(["fleet", "sockets"]),
     default="fleet",
     show_default=True,
-    help="Modules alone in virtual time, or processes on loopback.",
+    help="Decision modules in virtual time, or relay processes on loopback.",
 )
 SEEDS = click.option(
     "--seeds", default="1-4", show_default=True, metavar="LIST", help="Such as 1-8 or 1,5,9."
@@ -33,17 +33,17 @@
     type=click.IntRange(1),
     default=os.cpu_count() or 1,
     show_default=True,
-    help="At once, on the fleet stage.",
+    help="Runs at once, on the fleet stage.",
 )
-FOLDER = click.option("--folder", default="runs", show_default=True, help="Where records go.")
-QUIET = click.option("--quiet", is_flag=True, help="No progress.")
+FOLDER = click.option("--folder", default="runs", show_default=True, help="The directory for records.")
+QUIET = click.option("--quiet", is_flag=True, help="Show no progress.")
 
 
 @click.group()
 def lab() -> None:
-    """Play fleets of relays among partners that fail, and see what a change does.
+    """Run fleets of relays against failing partners, and measure the effect of a change.
 
-    SCENARIO is a file, or a name of the library (`limelatch lab scenarios`).
+    SCENARIO is a file, or a name in the library (`limelatch lab scenarios`).
     """
     try:
         import numpy  # noqa: F401
@@ -53,7 +53,7 @@
 
 
 def scenario_of(name: str) -> tuple[str, str]:
-    """What a scenario is called, and its text; all its faults end the command."""
+    """Name and text of a scenario; its errors are printed, and end the command with exit code 2."""
     from limelatch.configuration import ConfigurationError, Form
     from limelatch.configuration.files import error_lines
     from limelatch.lab.scenario.load import parse, text_of
@@ -69,6 +69,7 @@
 
 
 def seeds(word: str) -> list[int]:
+    """The seeds in a list. Raises UsageError for an invalid list."""
     from limelatch.lab.experiments import seeds_of
 
     try:
@@ -79,7 +80,7 @@
 
 @contextmanager
 def progress(quiet: bool):
-    """A bar that is told a label and the part that is done."""
+    """A progress bar: a function that takes a label and the share that is done."""
     from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
     if quiet or not sys.stderr.isatty():
@@ -99,22 +100,23 @@
 
 
 def play(plans: list, processes: int, quiet: bool) -> list:
+    """Run the plans and return their figures. Raises CheckFailed where a run fails."""
     from limelatch.lab.experiments import RunFailed, run_all
     from limelatch.lab.stages.errors import StageError
 
     try:
-        with progress(quiet) as told:
-            return run_all(plans, processes, told)
+        with progress(quiet) as bar:
+            return run_all(plans, processes, bar)
     except (RunFailed, StageError) as error:
         raise CheckFailed(str(error)) from None
     except KeyboardInterrupt:
-        click.echo("interrupted; the record holds what has been played", err=True)
+        click.echo("interrupted; the record has the part that was run", err=True)
         raise SystemExit(130) from None
 
 
 @lab.command()
 def scenarios() -> None:
-    """List the library, each with what it is for."""
+    """List the scenarios of the library, each with its purpose."""
     from limelatch.lab.scenario import library, load
 
     for name, _ in library():
@@ -131,21 +133,21 @@
 @lab.command()
 @click.argument("paths", metavar="SCENARIO...", nargs=-1, required=True)
 def check(paths: tuple[str, ...]) -> None:
-    """Tell all that is wrong with scenarios, with lines; exit 2 where one can't be played."""
+    """Report every error in scenarios, with its line; exit 2 if one can't be run."""
     from limelatch.configuration.files import error_line
     from limelatch.lab.scenario.load import doubts, parse
 
-    bad = False
+    any_unusable = False
     for path in paths:
         try:
             name, text = scenario_of(path)
         except SystemExit:
-            bad = True
+            any_unusable = True
             continue
-        for doubt in doubts(parse(path, text)):
-            click.echo(f"doubt: {error_line(path, doubt)}", err=True)
+        for warning in doubts(parse(path, text)):
+            click.echo(f"doubt: {error_line(path, warning)}", err=True)
         click.echo(f"{path}: good ({name})")
-    if bad:
+    if any_unusable:
         raise SystemExit(USAGE_ERROR)
 
 
@@ -160,7 +162,7 @@
     help="On the fleet stage: module, one-try, fixed-retries, or another checkout's path.",
 )
 @click.option(
-    "--record", type=click.Path(dir_okay=False), help="Where the record goes; by default into --folder."
+    "--record", type=click.Path(dir_okay=False), help="The record's file; by default one in --folder."
 )
 @FOLDER
 @click.option("--report", type=click.Path(dir_okay=False), help="Write a page of HTML too.")
@@ -175,7 +177,7 @@
     report: str | None,
     quiet: bool,
 ) -> None:
-    """Play a scenario once, judge it and sum it up; exit 1 where a rule was broken or the run can't be used.
+    """Run a scenario once, judge it and sum it up; exit 1 if a rule was broken or the run is unusable.
 
     \b
     Example:  limelatch lab run hang --stage sockets --report hang.html
@@ -199,17 +201,18 @@
 
 
 def subject_of(word: str) -> str:
+    """The subject of a name, or a checkout's directory. Raises UsageError for anything else."""
     from limelatch.lab.subjects import SUBJECTS
 
     if word in SUBJECTS:
         return word
     if not os.path.isdir(os.path.join(word, "limelatch")):
-        raise UsageError(f"{word!r} is none of {', '.join(SUBJECTS)}, and no checkout of limelatch")
+        raise UsageError(f"{word!r} is neither one of {', '.join(SUBJECTS)} nor a checkout of limelatch")
     return os.path.join(word, "")
 
 
 def judged(path: str):
-    """A record's figures and its checker; UsageError where it is none."""
+    """A record's figures, its checker and its reader. Raises UsageError where the file is no record."""
     from limelatch.lab.figures import judge
     from limelatch.lab.record import NoRecord, Reader
 
@@ -222,6 +225,7 @@
 
 
 def write_report(path: str, target: str) -> None:
+    """Write the HTML report on a record."""
     from limelatch.lab.report.page import run_page
 
     figures, _, reader = judged(path)
@@ -233,8 +237,8 @@
 @lab.command()
 @click.argument("records", metavar="RECORD...", nargs=-1, required=True)
 def verify(records: tuple[str, ...]) -> None:
-    """Judge records by the six rules; exit 1 where one is broken, each breach with what led to it."""
-    bad = False
+    """Judge records by the six rules, and print each breach with its events; exit 1 if a rule is broken."""
+    any_broken = False
     for path in records:
         _, checker, reader = judged(path)
         broken = {rule.name.lower(): count for rule, count in checker.counts.items() if count}
@@ -246,8 +250,8 @@
         for breach in checker.breaches:
             for line in breach.lines():
                 click.echo(f"  {line}")
-        bad = bad or bool(broken)
-    if bad:
+        any_broken = any_broken or bool(broken)
+    if any_broken:
         raise SystemExit(CHECK_FAILED)
 
 
@@ -255,10 +259,12 @@
 @click.argument("record", metavar="RECORD")
 @click.option("-o", "--output", default="report.html", show_default=True, help="The page.")
 @click.option(
-    "--pictures", type=click.Path(file_okay=False), help="Write each plot as a file of SVG here too."
+    "--pictures",
+    type=click.Path(file_okay=False),
+    help="The directory in which each plot is written as SVG too.",
 )
 def report(record: str, output: str, pictures: str | None) -> None:
-    """Make one self-contained page of HTML from a record, and sum it up here."""
+    """Write a self-contained HTML page on a record, and print a summary."""
     from limelatch.lab.report.terminal import console, run_summary
 
     figures, _, _ = judged(record)
@@ -279,7 +285,7 @@
 @click.option(
     "-a", "first", default="one-try", show_default=True, help="A subject, or another checkout's path."
 )
-@click.option("-b", "second", default="module", show_default=True, help="The other one.")
+@click.option("-b", "second", default="module", show_default=True, help="The other subject.")
 @STAGE
 @SEEDS
 @PROCESSES
@@ -297,8 +303,8 @@
     report: str | None,
     quiet: bool,
 ) -> None:
-    """Play scenarios with two subjects on the same seeds, and say plainly: better, worse, or no difference
-    seen.
+    """Run scenarios with two subjects on the same seeds, and print for each measure whether the second is
+    better, worse, or not seen to differ.
 
     \b
     Example:  limelatch lab compare hang shut -a ../before -b module --seeds 1-8
@@ -367,7 +373,7 @@
     report: str,
     quiet: bool,
 ) -> None:
-    """Vary one key of a scenario and plot what it does.
+    """Vary one key of a scenario and plot the effect.
 
     \b
     Example:  limelatch lab sweep deadline-flood --set faults[0].times=2,3,4,5 --subject module --subject
@@ -401,13 +407,14 @@
 
 
 def load_about(text: str) -> str:
+    """A scenario's description."""
     from limelatch.lab.scenario.load import parse
 
     return parse("scenario", text).scenario.about
 
 
 def with_key(text: str, key: str, value: str) -> str:
-    """The scenario with one key set, checked."""
+    """The scenario's text with one key set. Raises UsageError where that is invalid."""
     from limelatch.configuration import ConfigurationError
     from limelatch.lab.experiments import with_value
     from limelatch.lab.scenario.load import parse
@@ -417,33 +424,49 @@
         parse("scenario", varied)
         return varied
     except ConfigurationError as error:
-        raise UsageError("; ".join(str(fault) for fault in error.errors)) from None
+        raise UsageError("; ".join(str(each) for each in error.errors)) from None
 
 
 @lab.command()
 @click.argument("address", metavar="HOST:PORT")
-@click.option("--product", required=True, help="As the relay's configuration names it.")
+@click.option("--product", required=True, help="A product of the relay's configuration.")
 @click.option("--dests", default="1", show_default=True, metavar="LIST", help="Destinations, such as 1-8.")
 @click.option("--customer", default="")
-@click.option("--zipf", type=float, default=0.0, show_default=True, help="Law of their traffic; 0: even.")
 @click.option(
-    "--rate", type=click.FloatRange(0, min_open=True), default=50.0, show_default=True, help="At first."
+    "--zipf",
+    type=float,
+    default=0.0,
+    show_default=True,
+    help="The exponent of their Zipf distribution; 0: even.",
+)
+@click.option(
+    "--rate",
+    type=click.FloatRange(0, min_open=True),
+    default=50.0,
+    show_default=True,
+    help="The first rate, in texts a second.",
+)
+@click.option("--step", type=click.FloatRange(0), default=0.0, help="The increase from one rate to the next.")
+@click.option(
+    "--times", type=click.FloatRange(1), default=1.0, help="Or the factor from one rate to the next."
 )
-@click.option("--step", type=click.FloatRange(0), default=0.0, help="So much more with each further rate.")
-@click.option("--times", type=click.FloatRange(1), default=1.0, help="Or so many times as much.")
 @click.option("--most", type=float, default=5000.0, show_default=True, help="The last rate.")
 @click.option("--each", type=Duration(), default="10s", show_default=True, help="How long each rate lasts.")
 @click.option(
-    "--sla", type=Duration(), default="100ms", show_default=True, help="Within which an answer is wanted."
+    "--sla",
+    type=Duration(),
+    default="100ms",
+    show_default=True,
+    help="The time in which an answer should arrive.",
 )
 @click.option(
     "--until",
     type=click.FloatRange(0, 1),
     default=0.99,
     show_default=True,
-    help="Stop when fewer are taken on within it.",
+    help="Stop when a smaller share is accepted within it.",
 )
-@click.option("--size", type=int, default=200, show_default=True, help="Bytes of a body.")
+@click.option("--size", type=int, default=200, show_default=True, help="Bytes in a body.")
 @click.option("--connections", type=click.IntRange(1), default=512, show_default=True)
 @QUIET
 def load(
@@ -463,9 +486,9 @@
     connections: int,
     quiet: bool,
 ) -> None:
-    """Hand in texts to any relay by the clock, at rates that step up until its answers are too late.
+    """Hand in texts to any relay at rising rates, until its answers are too late.
 
-    Latency counts from when a text was due. Exit 1 where not even the first rate was carried.
+    Latency counts from when a text was due. Exit 1 if even the first rate is too high.
 
     \b
     Example:  limelatch lab load 127.0.0.1:6379 --product notice --dests 1-4 --rate 100 --times 1.5 --each 5s
@@ -477,7 +500,7 @@
     host, port = address_of(address)
     shape = Shape(product, tuple(seeds(dests)), zipf, customer, size=size)
 
-    def told(done: Step) -> None:
+    def print_step(done: Step) -> None:
         spread = done.summary.percentiles()
         click.echo(
             f"{done.rate:>8.0f}/s  SLA {done.sla_share:.4f}  p50 {spread[50.0]:.1f}  p99 "
@@ -497,7 +520,7 @@
                 sla,
                 until,
                 connections,
-                told,
+                print_step,
                 lambda at, done, count: bar(f"{at:.0f} a second", done / count),
             )
         )
@@ -508,15 +531,17 @@
 
 
 @lab.command()
-@click.option("--scenario", default="capacity", show_default=True, help="Whose rate is varied, on sockets.")
 @click.option(
-    "--share", type=click.FloatRange(0, 1), default=0.99, show_default=True, help="SLA share to keep."
+    "--scenario", default="capacity", show_default=True, help="The scenario whose rate is varied, on sockets."
+)
+@click.option(
+    "--share", type=click.FloatRange(0, 1), default=0.99, show_default=True, help="The SLA share to keep."
 )
 @click.option("--first", type=float, default=200.0, show_default=True, help="The first rate.")
 @click.option("--most", type=float, default=10_000.0, show_default=True, help="The highest rate to try.")
 @QUIET
 def capacity(scenario: str, share: float, first: float, most: float, quiet: bool) -> None:
-    """Find the highest rate that one relay holds at a stated SLA share."""
+    """Find the highest rate that one relay sustains at a given SLA share."""
     from limelatch.lab.capacity import search
     from limelatch.lab.experiments import Plan
 
@@ -534,7 +559,7 @@
             )
             return play([plan], 1, quiet)[0]
 
-        def told(rate: float, figures) -> None:
+        def print_trial(rate: float, figures) -> None:
             late = "" if figures.usable else "  (the stage itself was late)"
             click.echo(
                 f"{rate:>8.0f}/s  SLA {figures.sla_share:.4f}  "
@@ -544,8 +569,8 @@
             for line in figures.breach_lines:
                 click.echo(f"          {line}", err=True)
 
-        found = search(trial, share, first, most, told)
-    click.echo(f"one relay holds {found.rate:.0f} texts a second at an SLA share of {share} ({found.why})")
+        found = search(trial, share, first, most, print_trial)
+    click.echo(f"one relay sustains {found.rate:.0f} texts a second at an SLA share of {share} ({found.why})")
     if not found.rate:
         raise SystemExit(CHECK_FAILED)
 
@@ -553,10 +578,10 @@
 @lab.command(hidden=True)
 @click.option("--page", is_flag=True)
 def keys(page: bool) -> None:
-    """Print docs/operators/scenario.md, which is made from the model."""
-    from limelatch.lab.scenario.page import page as made
+    """Print docs/operators/scenario.md, which is generated from the scenario model."""
+    from limelatch.lab.scenario.page import page as scenario_page
 
-    click.echo(made(), nl=False)
+    click.echo(scenario_page(), nl=False)
 
 
 lab.add_command(membership)
--- a/limelatch/command/ledger.py
+++ b/limelatch/command/ledger.py
@@ -9,7 +9,7 @@
 
 import click
 
-from limelatch.command import UsageError, CheckFailed
+from limelatch.command import CheckFailed, UsageError
 from limelatch.interface import MS
 
 MAX_BODY_SHOWN = 200  # bytes of a body that `show` prints
--- a/limelatch/command/membership.py
+++ b/limelatch/command/membership.py
@@ -1,20 +1,20 @@
-"""`limelatch lab membership`: fleets of members under faults, measured."""
+"""`limelatch lab membership`: measures the membership protocol under faults, on a virtual clock."""
 
 from __future__ import annotations
 
 import click
 
-from limelatch.command import UsageError, CheckFailed
+from limelatch.command import CheckFailed, UsageError
 
 
 def names(word: str, known: list[str], what: str) -> list[str]:
-    """`a,b` of the known ones, or `all`; UsageError for any other."""
+    """The names in a list such as `a,b`, or all known ones for `all`. Raises UsageError for others."""
     if word == "all":
         return known
     found = word.split(",")
     for name in found:
         if name not in known:
-            raise UsageError(f"{name!r} is no {what}; there are {', '.join(known)}")
+            raise UsageError(f"{name!r} is not a {what}; known are {', '.join(known)}")
     return found
 
 
@@ -27,13 +27,17 @@
     metavar="LIST",
     help="`member`, and the baselines `plain-swim` and `heartbeats`.",
 )
-@click.option("--members", default="10", show_default=True, metavar="LIST", help="Sizes, as 10,100,700.")
+@click.option(
+    "--members", default="10", show_default=True, metavar="LIST", help="Fleet sizes, such as 10,100,700."
+)
 @click.option("--seeds", default="1-3", show_default=True, metavar="LIST")
 @click.option("--processes", default=2, show_default=True, type=click.IntRange(1))
 @click.option("--out", default="membership.json", show_default=True)
-@click.option("--keep", is_flag=True, help="Keep the points of the same commit that the file has already.")
+@click.option("--keep", is_flag=True, help="Keep the points of the same commit that are in the file.")
 def membership(cells: str, ways: str, members: str, seeds: str, processes: int, out: str, keep: bool) -> None:
-    """Play faults to fleets on a virtual clock: time to agree, wrong verdicts, bytes, processor, memory.
+    """Measure fleets under faults: time to agree, wrong verdicts, bytes, processor time and memory.
+
+    The fleets run on a virtual clock.
 
     \b
     Example:  limelatch lab membership --cells kill,halves --members 10,100 --seeds 1-10
@@ -43,28 +47,32 @@
     from limelatch.lab.membership.measure import Plan, joined, memory, outcomes, points
     from limelatch.lab.scale.results import load, save
 
-    played, found, sizes = names(cells, list(CELLS), "cell"), names(ways, list(WAYS), "way"), counts(members)
+    cell_names, way_names, sizes = (
+        names(cells, list(CELLS), "cell"),
+        names(ways, list(WAYS), "way"),
+        counts(members),
+    )
     plans = [
         Plan(cell, way, size, seed)
         for size in sizes
-        for cell in played
-        for way in found
+        for cell in cell_names
+        for way in way_names
         for seed in seeds_in(seeds)
     ]
 
-    def told(outcome: Outcome) -> None:
+    def print_outcome(outcome: Outcome) -> None:
         click.echo(
             f"{outcome.way:<11} {outcome.cell:<10} {outcome.members:>4} seed {outcome.seed:<3} "
             f"agreed {outcome.agreed:>5.1f} s  healed {outcome.healed:>5.1f} s  "
             f"wrong {outcome.wrong:>4}  {outcome.bytes_most:>6.0f} B/s at most"
         )
 
-    made = points(outcomes(plans, processes, told)) + memory(found, sizes)
-    words = f"--cells {cells} --ways {ways} --members {members} --seeds {seeds}"
+    made = points(outcomes(plans, processes, print_outcome)) + memory(way_names, sizes)
+    options = f"--cells {cells} --ways {ways} --members {members} --seeds {seeds}"
     before = load(out) if keep else None
-    save_points(out, f"lab membership {words}", made)
+    save_points(out, f"lab membership {options}", made)
     if before is not None:
         try:
             save(out, joined(before, load(out)))
         except ValueError as error:
-            raise CheckFailed(f"{out} holds the new points alone: {error}") from None
+            raise CheckFailed(f"{out} now has only the new points: {error}") from None
--- a/limelatch/command/mutants.py
+++ b/limelatch/command/mutants.py
@@ -1,4 +1,4 @@
-"""`limelatch lab mutants`: which seeds of the soak catch a relay with a guard taken out."""
+"""`limelatch lab mutants`: whether the soak catches a relay from which one guard was removed."""
 
 from __future__ import annotations
 
@@ -10,33 +10,38 @@
 import click
 
 from limelatch.command import CHECK_FAILED, UsageError
-from limelatch.command.soak import INTERRUPTED, JOBS_MOST, Soak, seeds_of
+from limelatch.command.soak import INTERRUPTED, MAX_JOBS, Soak, seeds_of
 
 
 @click.command()
 @click.option("--seeds", default="1-50", show_default=True, metavar="LIST", help="Such as 1-8 or 1,5,9.")
+@click.option("--jobs", default=2, show_default=True, type=click.IntRange(1, MAX_JOBS), help="Plays at once.")
 @click.option(
-    "--jobs", default=2, show_default=True, type=click.IntRange(1, JOBS_MOST), help="Plays at once."
+    "--seconds",
+    default=30.0,
+    show_default=True,
+    type=click.FloatRange(10, 600),
+    help="How long texts are handed in.",
 )
 @click.option(
-    "--seconds", default=30.0, show_default=True, type=click.FloatRange(10, 600), help="For which texts come."
-)
-@click.option(
-    "--only", multiple=True, metavar="WORDS", help="Mutants whose names have these words; again for more."
+    "--only",
+    multiple=True,
+    metavar="WORDS",
+    help="Only mutants whose names have these words; may be repeated.",
 )
 def mutants(seeds: str, jobs: int, seconds: float, only: tuple[str, ...]) -> None:
-    """Take guards out of the relay one at a time, and tell the first seed of the soak that catches each.
+    """Remove guards from the relay one at a time, and print the first seed of the soak that catches each.
 
-    Exit 1 where one is not caught.
+    Exit 1 if one is not caught.
     """
     from limelatch.lab.soak.mutants import MUTANTS
 
     chosen = seeds_of(seeds)
     wanted = [each for each in MUTANTS if not only or any(words in each.name for words in only)]
     if not wanted:
-        raise UsageError(f"no mutant's name has any of {', '.join(only)}")
+        raise UsageError(f"no mutant's name contains any of {', '.join(only)}")
     soaks: list[Soak] = []
-    signal.signal(signal.SIGINT, signal.default_int_handler)  # also where a shell has it ignored
+    signal.signal(signal.SIGINT, signal.default_int_handler)  # a shell may have it ignored
     with ThreadPoolExecutor(jobs) as pool:
         try:
             caught = list(pool.map(lambda mutant: first_seed(mutant, chosen, seconds, soaks), wanted))
@@ -52,7 +57,9 @@
 
 
 def first_seed(mutant, seeds: list[int], seconds: float, soaks: list[Soak]) -> bool:
-    """Play seeds until one catches the mutant; whether one has. A play whose stage was late catches none."""
+    """Play seeds until one catches the mutant; returns whether one did.
+
+    A play whose stage was late does not count."""
     from limelatch.lab.soak.mutants import write_mutant
     from limelatch.lab.soak.run import HERE, is_late
 
--- a/limelatch/command/scale.py
+++ b/limelatch/command/scale.py
@@ -1,30 +1,40 @@
-"""`limelatch lab scale`: what a relay, many hollow ones and a fleet's control cost, by size."""
+"""`limelatch lab scale`: measures by size a relay, fleets of simulated relays, and the control machines."""
 
 from __future__ import annotations
 
 import click
 
-from limelatch.command import UsageError, CheckFailed
+from limelatch.command import CheckFailed, UsageError
 
 
 @click.group()
 def scale() -> None:
-    """Measure the program by size, and make docs/CAPACITY.md from what was measured."""
+    """Measure the program by size, and generate docs/CAPACITY.md from the results."""
 
 
 @scale.command()
-@click.option("--relays", default=30, show_default=True, type=click.IntRange(1), help="Processes in all.")
 @click.option(
-    "--killed", default=0.7, show_default=True, type=click.FloatRange(0, 1), help="Of them, at once."
+    "--relays", default=30, show_default=True, type=click.IntRange(1), help="Relay processes in all."
+)
+@click.option(
+    "--killed",
+    default=0.7,
+    show_default=True,
+    type=click.FloatRange(0, 1),
+    help="The share that is killed at once.",
 )
 @click.option("--silent", default=8.0, show_default=True, help="Seconds for which discovery is silent.")
 @click.option(
-    "--share", default=0.4, show_default=True, type=click.FloatRange(0.01), help="Of a core that a relay has."
+    "--share",
+    default=0.4,
+    show_default=True,
+    type=click.FloatRange(0.01),
+    help="The share of a core that a relay has.",
 )
 @click.option("--seed", default=1, show_default=True)
 @click.option("--out", default="docs/capacity/ready.json", show_default=True)
 def ready(relays: int, killed: float, silent: float, share: float, seed: int, out: str) -> None:
-    """Kill relays with full folders while discovery is silent, and time them until they serve again."""
+    """Kill relays with full ledgers while discovery is silent, and measure how long they take to serve."""
     import asyncio
     from datetime import UTC, datetime
     from pathlib import Path
@@ -35,13 +45,13 @@
 
     starts = asyncio.run(restarts(relays, max(1, round(relays * killed)), silent, seed))
     found = points(starts, relays, share)
-    words = f"--relays {relays} --killed {killed} --silent {silent} --share {share} --seed {seed}"
+    options = f"--relays {relays} --killed {killed} --silent {silent} --share {share} --seed {seed}"
     Path(out).parent.mkdir(parents=True, exist_ok=True)
     save(
         out,
         Results(
             "program",
-            f"lab scale ready {words}",
+            f"lab scale ready {options}",
             commit_of(),
             datetime.now(UTC).isoformat(timespec="seconds"),
             machine(),
@@ -58,7 +68,7 @@
 
 
 def counts(word: str) -> list[int]:
-    """`7,40,700`; UsageError where it is no such list of whole numbers above 0."""
+    """The sizes in a list such as `7,40,700`. Raises UsageError for anything but whole numbers above 0."""
     found = [int(each) for each in word.split(",") if each.isdigit() and int(each)]
     if len(found) != len(word.split(",")):
         raise UsageError(f"{word!r} is no list of sizes such as 7,40,150")
@@ -66,7 +76,7 @@
 
 
 def seeds_in(word: str) -> list[int]:
-    """`1-3` or `1,5`; UsageError where it is no such list."""
+    """The seeds in a list such as `1-3` or `1,5`. Raises UsageError for an invalid list."""
     from limelatch.lab.experiments import seeds_of
 
     try:
@@ -76,7 +86,7 @@
 
 
 def save_points(out: str, command: str, points: list) -> None:
-    """Write a file of results with the commit, the machine and the time."""
+    """Write a file of results with the commit, the machine and the time. Raises CheckFailed on failure."""
     from datetime import UTC, datetime
 
     from limelatch.lab.scale.results import Results, commit_of, machine, save
@@ -95,34 +105,34 @@
     default="7,40,150,400,700",
     show_default=True,
     metavar="LIST",
-    help="Numbers of hollow relays.",
+    help="Numbers of hollow (simulated) relays.",
 )
-@click.option("--seeds", default="1-3", show_default=True, metavar="LIST", help="A run each.")
+@click.option("--seeds", default="1-3", show_default=True, metavar="LIST", help="One run for each.")
 @click.option("--processes", type=click.IntRange(1, 16), default=2, show_default=True, help="Runs at once.")
 @click.option(
     "--form",
     type=click.Choice(["all", "short", "held", "fidelity"]),
     default="all",
     show_default=True,
-    help="Texts valid for seconds; for hours; or hollow beside 7 real relays.",
+    help="Texts valid for seconds, for hours, or hollow relays compared with 7 real ones.",
 )
 @click.option("--out", default="docs/capacity/hollow.json", show_default=True, help="The file of results.")
 def hollow(relays: str, seeds: str, processes: int, form: str, out: str) -> None:
-    """What a down, a returning and a lowered destination get from all relays together."""
+    """Measure what all relays together send to a destination that is down, returns or has less capacity."""
     from limelatch.lab.scale.hollow import LONG, SHORT, measure, measure_fidelity
     from limelatch.lab.stages.errors import StageError
 
     sizes, numbers, points = counts(relays), seeds_in(seeds), []
 
-    def told(line: str) -> None:
+    def print_progress(line: str) -> None:
         click.echo(line, err=True)
 
     try:
         for name, each in (("short", SHORT), ("held", LONG)):
             if form in ("all", name):
-                points += measure(each, sizes, numbers, processes, told)
+                points += measure(each, sizes, numbers, processes, print_progress)
         if form in ("all", "fidelity"):
-            points += measure_fidelity(numbers, told)
+            points += measure_fidelity(numbers, print_progress)
     except StageError as error:
         raise CheckFailed(str(error)) from None
     save_points(out, f"limelatch lab scale hollow --relays {relays} --seeds {seeds} --form {form}", points)
@@ -134,19 +144,19 @@
     default="35,100,350,700",
     show_default=True,
     metavar="LIST",
-    help="Numbers of hollow watchers; cuts are made with the most.",
+    help="Numbers of hollow watchers; cuts use the largest.",
 )
 @click.option(
     "--rows",
     default="2000,20000,60000,180000",
     show_default=True,
     metavar="LIST",
-    help="Rows of the list, for starts of a rack and a zone at once.",
+    help="Rows in the list, for simultaneous starts of a rack and a zone.",
 )
-@click.option("--runs", type=click.IntRange(1, 20), default=3, show_default=True, help="Of each.")
+@click.option("--runs", type=click.IntRange(1, 20), default=3, show_default=True, help="Runs of each.")
 @click.option("--out", default="docs/capacity/control.json", show_default=True, help="The file of results.")
 def control(watchers: str, rows: str, runs: int, out: str) -> None:
-    """A change's way through 5 control machines, cuts that end, starts of a rack and a zone."""
+    """Measure changes sent through 5 control machines, the end of cuts, and starts of a rack and a zone."""
     import asyncio
 
     from limelatch.lab.scale.control import measure
@@ -162,13 +172,13 @@
 
 
 def whole_numbers(context: click.Context, parameter: click.Parameter, word: str) -> list[int]:
-    """Such as 200,2000."""
+    """Click callback: the sizes in a list such as 200,2000, each 40 or more."""
     try:
         numbers = [int(each) for each in word.split(",")]
     except ValueError:
-        raise click.BadParameter("wanted are whole numbers, such as 200,2000") from None
+        raise click.BadParameter("expected whole numbers, such as 200,2000") from None
     if min(numbers) < 40:
-        raise click.BadParameter("40 destinations are the least")
+        raise click.BadParameter("at least 40 destinations are needed")
     return numbers
 
 
@@ -181,7 +191,7 @@
     callback=whole_numbers,
     help="Numbers of destinations.",
 )
-@click.option("--runs", default=1, show_default=True, type=click.IntRange(1), help="Of each scenario.")
+@click.option("--runs", default=1, show_default=True, type=click.IntRange(1), help="Runs of each scenario.")
 @click.option(
     "--scenarios",
     metavar="LIST",
@@ -193,20 +203,20 @@
     default=".",
     show_default=True,
     type=click.Path(exists=True, file_okay=False),
-    help="Folder of the program to be measured; another commit's, say.",
+    help="The directory of the program to measure, such as another commit's.",
 )
 @click.option(
     "--against",
     type=click.Path(exists=True, file_okay=False),
-    help="Folder of the other program of `pair`, which gives two relays the same texts by turns.",
+    help="The other program for `pair`, which gives two relays the same texts in turns.",
 )
-@click.option("--subject", default="this tree", show_default=True, help="What the results call it.")
+@click.option("--subject", default="this tree", show_default=True, help="The program's name in the results.")
 @click.option(
     "--out",
     type=click.Path(dir_okay=False),
-    help="File of results; what is measured again takes the place of earlier points.",
+    help="The file of results; new points replace earlier ones of the same measure.",
 )
-@click.option("--quiet", is_flag=True, help="No progress.")
+@click.option("--quiet", is_flag=True, help="Show no progress.")
 def relay(
     sizes: list[int],
     runs: int,
@@ -217,12 +227,13 @@
     out: str | None,
     quiet: bool,
 ) -> None:
-    """What one real relay costs by the number of its destinations, from outside.
+    """Measure from outside what one real relay costs by the number of its destinations.
 
-    Starts relay processes on loopback among stand-ins of its own: memory, processor time, descriptors and
-    control bytes at the start, from the folder, at rest, for a change, a burst, a new list, a trickling
-    list, a thousand woken at once, texts beside shut destinations, and a backlog. `walls` looks for where
-    it stops working. Exit 0 also where points have no values: these say why.
+    Starts relay processes on loopback with stand-ins of its own. It measures memory, processor time,
+    descriptors and control bytes at the start, from the state directory, at rest, for a change, a burst,
+    a new list, a slowly sent list, a thousand destinations woken at once, texts next to shut destinations,
+    and a backlog. `walls` searches for the size at which the relay stops working. Exit 0 also if points have
+    no values: these say why.
     """
     import asyncio
     from pathlib import Path
@@ -234,16 +245,16 @@
     if unknown := set(chosen) - set(one.ALL):
         raise UsageError(f"no such scenario: {', '.join(sorted(unknown))}; there are {', '.join(one.ALL)}")
     if ("pair" in chosen) != (against is not None):
-        raise UsageError("pair wants --against, and nothing else does")
+        raise UsageError("pair needs --against, and nothing else does")
     for folder in (tree, against or tree):
         if not (Path(folder) / "limelatch" / "relay").is_dir():
             raise UsageError(f"no program in {folder}")
-    words = f"limelatch lab scale relay --sizes {','.join(map(str, sizes))} --runs {runs}"
-    words += f" --scenarios {','.join(chosen)} --subject '{subject}'"
+    options = f"limelatch lab scale relay --sizes {','.join(map(str, sizes))} --runs {runs}"
+    options += f" --scenarios {','.join(chosen)} --subject '{subject}'"
 
     def keep(points: list) -> None:
         if out:
-            one.store(Path(out), subject, words, Path(tree), points)
+            one.store(Path(out), subject, options, Path(tree), points)
 
     try:
         points = asyncio.run(
@@ -275,12 +286,12 @@
     default="docs/capacity",
     show_default=True,
     type=click.Path(file_okay=False),
-    help="Where roles.toml and the files of results are.",
+    help="The directory of roles.toml and the files of results.",
 )
 def page_of(folder: str) -> None:
-    """Print docs/CAPACITY.md, made from the results of the other commands.
+    """Print docs/CAPACITY.md, which is generated from the results of the other commands.
 
-    Exit 2 where roles.toml or a file of results can't be read, or names what is not there."""
+    Exit 2 if roles.toml or a file of results can't be read, or refers to something that is missing."""
     import msgspec
 
     from limelatch.command import UsageError
--- a/limelatch/command/soak.py
+++ b/limelatch/command/soak.py
@@ -1,4 +1,4 @@
-"""`limelatch lab soak`: seeds of composed faults on real processes, each judged by the six rules."""
+"""`limelatch lab soak`: random faults on real processes, one run for each seed, judged by the six rules."""
 
 from __future__ import annotations
 
@@ -18,37 +18,43 @@
 
 from limelatch.command import CHECK_FAILED, UsageError
 
-INTERRUPTED = 130
-JOBS_MOST = 16
-SEEDS_MOST = 1000
-END_WAIT = 2.0  # seconds that a play is given to end after Ctrl-C
-DISK_LEAST = 200_000_000  # bytes that are free, for records and logs
-DESCRIPTORS_EACH = 512  # that a play may need
-PLAY_MOST = 10  # times the length of a play, after which it has hung
+INTERRUPTED = 130  # the exit code that shells use for an end by SIGINT
+MAX_JOBS = 16  # plays at once
+MAX_SEEDS = 1000
+END_TIMEOUT = 2.0  # seconds for a play to end after Ctrl-C
+MIN_FREE_DISK = 200_000_000  # free bytes for records and logs
+DESCRIPTORS_PER_PLAY = 512
+MAX_PLAY_FACTOR = 10  # a play that takes so many times its length hangs
 VERDICT = "verdict.json"
 
 
 @click.command()
 @click.option("--seeds", default="1-50", show_default=True, metavar="LIST", help="Such as 1-8 or 1,5,9.")
-@click.option("--seed", type=int, help="One seed, played here; with --keep its record and logs stay.")
 @click.option(
-    "--jobs", default=2, show_default=True, type=click.IntRange(1, JOBS_MOST), help="Plays at once."
+    "--seed", type=int, help="One seed, played in this process; with --keep its record and logs stay."
 )
+@click.option("--jobs", default=2, show_default=True, type=click.IntRange(1, MAX_JOBS), help="Plays at once.")
 @click.option(
-    "--seconds", default=40.0, show_default=True, type=click.FloatRange(10, 600), help="For which texts come."
+    "--seconds",
+    default=40.0,
+    show_default=True,
+    type=click.FloatRange(10, 600),
+    help="How long texts are handed in.",
+)
+@click.option(
+    "--keep", type=click.Path(file_okay=False), help="The directory in which records and logs stay."
 )
-@click.option("--keep", type=click.Path(file_okay=False), help="Where records and logs stay.")
 @click.option(
     "--subject",
     type=click.Path(exists=True, file_okay=False, resolve_path=True, path_type=Path),
-    help="Another checkout, whose relays are played.",
+    help="Another checkout, whose relays are run.",
 )
 def soak(
     seeds: str, seed: int | None, jobs: int, seconds: float, keep: str | None, subject: Path | None
 ) -> None:
-    """Draw faults of relays, partners, clients and the catalog from each seed, play them, judge the rules.
+    """Draw faults of relays, partners, clients and the catalog from each seed, run them and judge the rules.
 
-    Exit 1 where a rule was broken.
+    Exit 1 if a rule was broken.
 
     \b
     Example:  limelatch lab soak --seeds 1-50 --jobs 2
@@ -63,21 +69,21 @@
 
 
 def seeds_of(words: str) -> list[int]:
-    """The seeds that are named; UsageError for what is no list, or too long a one."""
+    """The seeds in a list. Raises UsageError for an invalid list or too long a one."""
     from limelatch.lab.experiments import seeds_of as read
 
     try:
         chosen = read(words)
     except ValueError:
         raise UsageError(f"{words!r} is no list of seeds such as 1-8 or 1,5,9") from None
-    if not 1 <= len(chosen) <= SEEDS_MOST:
-        raise UsageError(f"{words!r} names {len(chosen)} seeds, 1 to {SEEDS_MOST} are wanted")
+    if not 1 <= len(chosen) <= MAX_SEEDS:
+        raise UsageError(f"{words!r} names {len(chosen)} seeds, 1 to {MAX_SEEDS} are wanted")
     return chosen
 
 
 @contextlib.contextmanager
 def folder_for(keep: str | None):
-    """The folder that stays, or one that goes with the command."""
+    """The directory to keep, or a temporary one that is removed with the command."""
     if keep is not None:
         try:
             os.makedirs(keep, exist_ok=True)
@@ -93,24 +99,25 @@
 
 
 def check_room(folder: Path, jobs: int) -> None:
-    """UsageError where the machine can't bear so many plays at once."""
+    """Raise UsageError where the machine has too little disk, descriptors or cores for so many plays."""
     import resource
 
-    if (free := shutil.disk_usage(folder).free) < DISK_LEAST:
+    if (free := shutil.disk_usage(folder).free) < MIN_FREE_DISK:
         raise UsageError(
-            f"{folder}: {free // 1_000_000} MB are free, {DISK_LEAST // 1_000_000} MB are needed"
+            f"{folder}: {free // 1_000_000} MB are free, {MIN_FREE_DISK // 1_000_000} MB are needed"
         )
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    if most != resource.RLIM_INFINITY and most < jobs * DESCRIPTORS_EACH:
+    max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    if max_descriptors != resource.RLIM_INFINITY and max_descriptors < jobs * DESCRIPTORS_PER_PLAY:
         raise UsageError(
-            f"{jobs} plays need {jobs * DESCRIPTORS_EACH} descriptors, a process may hold {most}"
+            f"{jobs} plays need {jobs * DESCRIPTORS_PER_PLAY} descriptors, "
+            f"a process may hold {max_descriptors}"
         )
     if jobs > (cores := os.cpu_count() or 1):
-        raise UsageError(f"{jobs} plays at once want as many cores, there are {cores}")
+        raise UsageError(f"{jobs} plays at once need as many cores, there are {cores}")
 
 
 def play_here(seed: int, seconds: float, keep: str | None, subject: Path | None) -> int:
-    """Play one seed in this process; exit code."""
+    """Play one seed in this process; returns the exit code."""
     from limelatch.lab.machine.faults import NoCompiler
     from limelatch.lab.soak.run import play_seed
     from limelatch.lab.stages.errors import StageError
@@ -128,7 +135,7 @@
 
 
 def show(verdict) -> None:
-    """One seed's line, and what was found."""
+    """Print a line for one seed, and the breaches found."""
     from limelatch.lab.soak.run import is_late
 
     words = ", ".join(f"{kind} {count}" for kind, count in verdict.faults.items())
@@ -143,7 +150,7 @@
 
 
 class Soak:
-    """Several seeds, each in a process of its own."""
+    """Plays several seeds, each in a process of its own."""
 
     def __init__(
         self, seeds: list[int], jobs: int, seconds: float, folder: Path, subject: Path | None = None
@@ -155,7 +162,7 @@
         self.interrupted = False
 
     def run(self) -> int:
-        """Play them all; exit code."""
+        """Play all seeds and print a summary; returns the exit code."""
         signal.signal(signal.SIGINT, signal.default_int_handler)
         with ThreadPoolExecutor(self.jobs) as pool:
             try:
@@ -171,7 +178,7 @@
         return 0 if not self.unplayed and all(verdict.kept for verdict in self.verdicts) else CHECK_FAILED
 
     def play(self, seed: int):
-        """One seed's verdict; None where it was not played to its end."""
+        """The verdict on one seed; None where it was not played to its end."""
         from limelatch.lab.soak.run import Verdict
 
         if self.interrupted:
@@ -195,27 +202,27 @@
         )
         self.running[seed] = process
         try:
-            said = process.communicate(timeout=self.seconds * PLAY_MOST)[1]
+            stderr_text = process.communicate(timeout=self.seconds * MAX_PLAY_FACTOR)[1]
         except subprocess.TimeoutExpired:
             os.killpg(process.pid, signal.SIGKILL)
-            said = process.communicate()[1]
+            stderr_text = process.communicate()[1]
         finally:
             del self.running[seed]
         path = folder / VERDICT
         if process.returncode in (0, CHECK_FAILED) and path.exists():
             return msgspec.json.decode(path.read_bytes(), type=Verdict)
         if not self.interrupted:
-            last = said.strip().splitlines()[-1:] or [f"exit code {process.returncode}"]
+            last = stderr_text.strip().splitlines()[-1:] or [f"exit code {process.returncode}"]
             self.unplayed.append(f"seed {seed}: {last[0]}")
         return None
 
     def end(self) -> None:
-        """Ctrl-C: all plays end what they have started."""
+        """Interrupt all plays, so that each ends its processes, and kill those that take too long."""
         self.interrupted = True
         running = list(self.running.values())
         for process in running:
             process.send_signal(signal.SIGINT)
-        until = time.monotonic() + END_WAIT
+        until = time.monotonic() + END_TIMEOUT
         for process in running:
             with contextlib.suppress(subprocess.TimeoutExpired):
                 process.wait(max(0.0, until - time.monotonic()))
@@ -223,7 +230,7 @@
                 os.killpg(process.pid, signal.SIGKILL)
 
     def _sum_up(self) -> None:
-        """All seeds in a few lines."""
+        """Print a summary of all seeds."""
         from limelatch.lab.soak.run import is_late
 
         kinds: dict[str, int] = {}
--- a/limelatch/command/text.py
+++ b/limelatch/command/text.py
@@ -115,7 +115,7 @@
     Examples:  echo hello | limelatch text submit --product notice --dest 1
                limelatch text submit --product notice --dest 1 --body x --count 500 --rate 50
     """
-    from limelatch.client import Answer, AnswerKind, Submission, Pool
+    from limelatch.client import Answer, AnswerKind, Pool, Submission
     from limelatch.client.drive import submit_all
 
     host, port = address_of(address)
--- a/limelatch/lab/scale/control.py
+++ b/limelatch/lab/scale/control.py
@@ -20,7 +20,7 @@
 
 from limelatch.lab.scale.results import Point
 from limelatch.lab.stages.errors import StageError
-from limelatch.standin.agent import LIST_PATH, KEEPALIVE_INTERVAL
+from limelatch.standin.agent import KEEPALIVE_INTERVAL, LIST_PATH
 from limelatch.standin.http import Connection, Request, Server, answer_bytes
 
 LOOPBACK = "127.0.0.1"
--- a/limelatch/lab/scale/partners.py
+++ b/limelatch/lab/scale/partners.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from urllib.parse import parse_qs, urlsplit
 
-from limelatch.standin.agent import LIST_PATH, KEEPALIVE_INTERVAL, REPORTS_PATH
+from limelatch.standin.agent import KEEPALIVE_INTERVAL, LIST_PATH, REPORTS_PATH
 from limelatch.standin.host import SINGLE_PATH
 from limelatch.standin.http import Connection, Request, Server, answer_bytes
 
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -70,7 +70,7 @@
 from limelatch.lab.stages.terms import idle_time, terms_of
 from limelatch.lab.world.endpoint import Endpoint, Reply, Route, WorldCall, WorldText
 from limelatch.lab.world.world import World
-from limelatch.standin.agent import AgentHandler, Notice, HostEntry
+from limelatch.standin.agent import AgentHandler, HostEntry, Notice
 from limelatch.standin.host import Call, HostHandler, TextState
 from limelatch.standin.http import Connection, Handler, Server
 
--- a/limelatch/standin/demo.py
+++ b/limelatch/standin/demo.py
@@ -19,7 +19,7 @@
 from random import Random
 
 from limelatch.client import AnswerKind, Pool, Submission
-from limelatch.standin.agent import AgentHandler, Notice, HostEntry
+from limelatch.standin.agent import AgentHandler, HostEntry, Notice
 from limelatch.standin.host import Call, HostHandler, TextState
 from limelatch.standin.http import Server
 
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The command `limelatch`, run as a person runs it: its exit codes and both its streams."""
+"""The command `limelatch`, run as a separate process: its exit codes, standard output and standard error."""
 
 import json
 import os
@@ -20,30 +20,33 @@
 from limelatch.relay.records import RECORD_HEADER
 
 ROOT = Path(__file__).parent.parent
-SUCCESS, CHECK_FAILED, USAGE_ERROR = 0, 1, 2
+SUCCESS = 0
+CHECK_FAILED = 1
+USAGE_ERROR = 2
 
 
-def start(*words, **more):
+def start(*arguments, **options):
+    """Start the command with its streams as pipes."""
     return subprocess.Popen(
-        [sys.executable, "-m", "limelatch", *map(str, words)],
+        [sys.executable, "-m", "limelatch", *map(str, arguments)],
         cwd=ROOT,
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
-        **more,
+        **options,
     )
 
 
-def run(*words, given=None, wait=WAIT_TIMEOUT):
-    """Exit code, standard output and standard error."""
-    process = start(*words, stdin=subprocess.PIPE)
-    out, err = process.communicate(given, wait)
+def run(*arguments, stdin_text=None, timeout=WAIT_TIMEOUT):
+    """Run the command to its end: exit code, standard output and standard error."""
+    process = start(*arguments, stdin=subprocess.PIPE)
+    out, err = process.communicate(stdin_text, timeout)
     return process.returncode, out, err
 
 
 @pytest.fixture
-def folder(tmp_path):
-    """A relay's folder: one text held, one out, one ended."""
+def ledger(tmp_path):
+    """The ledger in a state directory, with one text that is held, one that is out and one that is ended."""
     ledger = Ledger(str(tmp_path), 100_000, 10_000_000)
     until = int(time.time() + 60) * 10_000
     for text, product in ((b"t1", "report"), (b"t2", "charge"), (b"t3", "notice")):
@@ -63,15 +66,17 @@
     ledger.close()
 
 
-def path_of(ledger):
+def directory_of(ledger):
+    """The state directory of a ledger."""
     return os.path.dirname(ledger.path)
 
 
-def files_of(folder):
+def file_states(folder):
+    """Content and time of change of each file, by name."""
     return {each.name: (each.read_bytes(), each.stat().st_mtime_ns) for each in Path(folder).iterdir()}
 
 
-def test_help_names_every_group_and_usage_is_exit_2():
+def test_help_names_every_group_and_wrong_usage_exits_with_2():
     code, out, _ = run("-h")
     assert code == SUCCESS
     assert all(each in out for each in ("relay", "config", "ledger", "text", "ping", "demo", "completion"))
@@ -82,7 +87,7 @@
     assert "_LIMELATCH_COMPLETE=bash_complete" in run("completion", "bash")[1]
 
 
-def test_config_check_tells_good_files_faults_and_doubts_apart(tmp_path):
+def test_config_check_distinguishes_good_files_errors_and_doubts(tmp_path):
     good, bad = tmp_path / "good.json", tmp_path / "bad.toml"
     raw = {
         "listen": "127.0.0.1:1",
@@ -98,7 +103,7 @@
     assert code == USAGE_ERROR and f"{bad}:2: relay.listen" in err and "Traceback" not in err
 
 
-def test_config_shows_what_is_in_force_and_hides_secrets(tmp_path):
+def test_config_show_prints_defaults_too_and_hides_secrets(tmp_path):
     path = tmp_path / "relay.json"
     path.write_text(
         json.dumps(
@@ -119,7 +124,7 @@
     assert {"key": "limits.slots", "value": 8, "default": False} in rows
 
 
-def test_config_converts_there_and_back_and_tells_differences(tmp_path):
+def test_config_convert_round_trips_and_diff_lists_changes(tmp_path):
     first, own, back = tmp_path / "a.json", tmp_path / "b.toml", tmp_path / "c.json"
     raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "s", "settings": SETTINGS}
     first.write_text(json.dumps(raw))
@@ -134,9 +139,9 @@
     ]
 
 
-def test_the_ledger_is_listed_beside_the_relay_that_writes_it(folder):
-    before = files_of(path_of(folder))
-    code, out, err = run("ledger", "list", path_of(folder))
+def test_ledger_commands_read_a_ledger_that_is_in_use_without_changing_it(ledger):
+    before = file_states(directory_of(ledger))
+    code, out, err = run("ledger", "list", directory_of(ledger))
     assert (code, err) == (SUCCESS, "")
     rows = [line.split()[:6] for line in out.splitlines()[1:-1]]
     assert rows == [
@@ -144,57 +149,58 @@
         ["t2", "out", "charge", "2", "1", "may"],
         ["t3", "ended", "notice", "3", "0", "no"],
     ]
-    shown = json.loads(run("ledger", "list", path_of(folder), "--json", "--may-have-run")[1])
+    shown = json.loads(run("ledger", "list", directory_of(ledger), "--json", "--may-have-run")[1])
     assert (shown["id"], shown["first_may_have_run_floor"]) == ("t2", 1)
-    assert run("ledger", "show", path_of(folder), "t2", "--body")[1] == "body of t2"
-    assert run("ledger", "show", path_of(folder), "t9")[0] == CHECK_FAILED
-    code, out, err = run("ledger", "export", path_of(folder))
+    assert run("ledger", "show", directory_of(ledger), "t2", "--body")[1] == "body of t2"
+    assert run("ledger", "show", directory_of(ledger), "t9")[0] == CHECK_FAILED
+    code, out, err = run("ledger", "export", directory_of(ledger))
     assert [json.loads(line)["body"] for line in out.splitlines()][
         0
     ] == "Ym9keSBvZiB0MQ==" and "3 texts" in err
-    assert run("ledger", "verify", path_of(folder))[0] == SUCCESS
-    assert files_of(path_of(folder)) == before
+    assert run("ledger", "verify", directory_of(ledger))[0] == SUCCESS
+    assert file_states(directory_of(ledger)) == before
 
 
-def test_a_torn_a_changed_and_a_foreign_ledger_are_told_apart(folder):
-    with open(folder.path, "ab") as file:
+def test_a_torn_ledger_and_a_file_that_is_none_are_reported(ledger):
+    with open(ledger.path, "ab") as file:
         file.write(RECORD_HEADER.pack(99, 0) + b"torn")
-    before = files_of(path_of(folder))
-    code, out, err = run("ledger", "verify", path_of(folder))
+    before = file_states(directory_of(ledger))
+    code, out, err = run("ledger", "verify", directory_of(ledger))
     assert code == CHECK_FAILED and "5 records" in out and "12 bytes are not a complete record" in err
-    assert "12 bytes torn" in run("ledger", "list", path_of(folder))[1]
-    assert files_of(path_of(folder)) == before
-    Path(folder.path).write_bytes(b"something else altogether")
-    code, out, err = run("ledger", "list", path_of(folder))
+    assert "12 bytes torn" in run("ledger", "list", directory_of(ledger))[1]
+    assert file_states(directory_of(ledger)) == before
+    Path(ledger.path).write_bytes(b"something else altogether")
+    code, out, err = run("ledger", "list", directory_of(ledger))
     assert (code, out) == (USAGE_ERROR, "") and "no ledger" in err
 
 
 @pytest.mark.parametrize("name", ["none", "a_file", "empty"])
-def test_what_is_no_ledgers_folder_is_said_to_be_none(tmp_path, name):
+def test_a_path_without_a_ledger_is_reported_in_one_line(tmp_path, name):
     (tmp_path / "a_file").write_text("x")
     (tmp_path / "empty").mkdir()
     code, out, err = run("ledger", "verify", tmp_path / name)
     assert (code, out) == (USAGE_ERROR, "") and err.startswith("Error: ") and err.count("\n") == 1
 
 
-def test_a_ledger_that_is_compacted_at_that_moment_is_read_whole(folder):
-    over = threading.Event()
+def test_a_ledger_is_read_completely_while_it_is_compacted(ledger):
+    """Guards against texts missing from a read during which the ledger's file is replaced."""
+    finished = threading.Event()
 
-    def churn():
+    def write_texts():
         number = 0
-        while not over.is_set():
+        while not finished.is_set():
             text = b"c%d" % (number := number + 1)
-            folder.record_accepted(
+            ledger.record_accepted(
                 text, b"x" * 3000, key="", mark="m", dest=1, product="report", customer=0, until=9
             )
-            folder.record_finished(text)
+            ledger.record_finished(text)
 
-    writer = threading.Thread(target=churn)
+    writer = threading.Thread(target=write_texts)
     writer.start()
     try:
-        views = [inspect_ledger(path_of(folder)) for _ in range(200)]
+        views = [inspect_ledger(directory_of(ledger)) for _ in range(200)]
     finally:
-        over.set()
+        finished.set()
         writer.join()
     assert all(list(view.entries)[:3] == [b"t1", b"t2", b"t3"] and not view.problems for view in views)
 
@@ -205,7 +211,7 @@
     return inspect_ledger(path)
 
 
-def test_relay_run_serves_a_toml_file_a_second_beside_it_and_a_third_is_kept_off(tmp_path, agent, make_host):
+def test_relay_run_accepts_a_second_process_of_a_relay_and_rejects_a_third(tmp_path, agent, make_host):
     agent.list((host := make_host()).address)
     address = f"127.77.1.{os.getpid() % 250 + 1}:{20000 + os.getpid() % 20000}"
     (tmp_path / "state").mkdir()
@@ -230,17 +236,17 @@
     try:
         code, out, _ = run("ping", "--relay", address, "--wait", "8s")
         assert code == SUCCESS and "PONG" in out
-        beside = start("relay", "run", "--config", path, "--tied", stdin=subprocess.PIPE)  # as in an upgrade
-        while (line := beside.stderr.readline()) and "serving" not in line:
+        second = start("relay", "run", "--config", path, "--tied", stdin=subprocess.PIPE)  # as in an upgrade
+        while (line := second.stderr.readline()) and "serving" not in line:
             pass
         assert "serving" in line
         third = run("relay", "run", "--config", path)
         assert third[0] == USAGE_ERROR and third[2].count("\n") == 1 and "another relay uses" in third[2]
-        beside.stdin.close()
-        assert beside.wait(WAIT_TIMEOUT) == SUCCESS
-        beside.stdout.close(), beside.stderr.close()
+        second.stdin.close()
+        assert second.wait(WAIT_TIMEOUT) == SUCCESS
+        second.stdout.close(), second.stderr.close()
         code, out, err = run(
-            "text", "submit", "--relay", address, "--product", "report", "--dest", "1", given="hi"
+            "text", "submit", "--relay", address, "--product", "report", "--dest", "1", stdin_text="hi"
         )
         assert code == SUCCESS and " taken " in out and host.next().body == b"hi"
         code, out, _ = run(
@@ -264,7 +270,7 @@
             "text", "submit", "--relay", address, "--product", "none", "--dest", "1", "--body", "x", "--json"
         )
         assert code == CHECK_FAILED and json.loads(out.splitlines()[0])["ending"] == "error"
-        relay.stdin.close()  # whoever started it has ended
+        relay.stdin.close()  # as when the process that started it has ended
         assert relay.wait(WAIT_TIMEOUT) == SUCCESS
         events = [json.loads(line)["event"] for line in relay.stderr]
         assert events[0] == "started" and "serving" in events and events[-1] == "stopped"
@@ -276,7 +282,7 @@
     assert code == CHECK_FAILED and "refused" in out
 
 
-def test_relay_run_says_plainly_what_it_cannot_use(tmp_path, agent, program):
+def test_relay_run_reports_an_unusable_state_directory_or_port_in_one_line(tmp_path, agent, program):
     program.start()
     raw = json.loads(program.file.read_text())
     path, state = tmp_path / "second.json", tmp_path / "other"
@@ -298,15 +304,15 @@
         (b"$2\r\nOK\r\n", AnswerKind.ACCEPTED, 0),
     ],
 )
-def test_a_relays_answers_are_read(reply, kind, wait):
+def test_replies_of_a_relay_are_decoded(reply, kind, wait):
     reader = wire.hiredis.Reader()
     reader.feed(reply)
     answer = wire.read_answer(reader.gets(), 0.1)
     assert (answer.kind, answer.wait_ms) == (kind, wait)
 
 
-def demo(folder, terminal=False):
-    """The demo with its temporary folder there; its output is read as it comes."""
+def start_demo(folder, terminal=False):
+    """Start the demo with its temporary files in `folder`; returns it and the descriptor of its output."""
     master, slave = pty.openpty() if terminal else os.pipe()
     process = subprocess.Popen(
         [sys.executable, "-m", "limelatch", "demo", "--seconds", "8"],
@@ -319,37 +325,38 @@
     return process, master
 
 
-def output(master):
+def read_all(master):
+    """All output up to the end of the process."""
     parts = []
     try:
         while part := os.read(master, 65536):
             parts.append(part)
-    except OSError:  # a terminal whose other side has ended
+    except OSError:  # a terminal whose other side was closed
         pass
     os.close(master)
     return b"".join(parts).decode(errors="replace")
 
 
-def left_behind(folder):
-    """Files in the folder, and processes that name it."""
+def find_leftovers(folder):
+    """Files in the folder, and command lines of processes that name the folder."""
     found = [each.name for each in Path(folder).iterdir()]
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
             try:
-                words = (entry / "cmdline").read_bytes()
+                command_line = (entry / "cmdline").read_bytes()
             except OSError:
                 continue
-            if str(folder).encode() in words:
-                found.append(words)
+            if str(folder).encode() in command_line:
+                found.append(command_line)
     return found
 
 
 @pytest.mark.parametrize("terminal", [False, True])
-def test_the_demo_ends_by_itself_each_text_with_its_one_end(tmp_path, terminal):
-    process, master = demo(tmp_path, terminal)
-    shown = output(master)
+def test_the_demo_ends_by_itself_with_one_final_answer_per_text(tmp_path, terminal):
+    process, master = start_demo(tmp_path, terminal)
+    shown = read_all(master)
     assert process.wait(WAIT_TIMEOUT) == SUCCESS, shown
-    assert "each accepted text got exactly one final answer: yes" in shown and left_behind(tmp_path) == []
+    assert "each accepted text got exactly one final answer: yes" in shown and find_leftovers(tmp_path) == []
     assert ("\x1b[" in shown) == terminal and re.search(r"partner 3 .* [1-9]\d* delivered", shown)
 
 
@@ -357,14 +364,16 @@
     "sent, moment", [(signal.SIGINT, "relay at"), (signal.SIGTERM, "handed in"), (signal.SIGHUP, "handed in")]
 )
 def test_an_interrupted_demo_leaves_no_process_and_no_folder(tmp_path, sent, moment):
-    process, master = demo(tmp_path)
+    """Interrupted once its output has `moment` in it, at the start or while texts are handed in."""
+    process, master = start_demo(tmp_path)
     shown = ""
     while moment not in shown:
-        assert (part := os.read(master, 65536)), shown  # it ended first: this once read on for ever
+        # Guards against an endless loop: an empty read means that the demo ended too early.
+        assert (part := os.read(master, 65536)), shown
         shown += part.decode()
     process.send_signal(sent)
     assert (
         process.wait(WAIT_TIMEOUT) == 130
-        and "Traceback" not in output(master)
-        and left_behind(tmp_path) == []
+        and "Traceback" not in read_all(master)
+        and find_leftovers(tmp_path) == []
     )
