--- a/limelatch/relay/driver.py
+++ b/limelatch/relay/driver.py
@@ -123,7 +123,7 @@
             plan.watch_timeout,
             plan.reconnect_delay,
             self.hosts_listed,
-            self.list_failed if plan.settings.list_asked else None,
+            self.list_failed if plan.settings.list_on_request else None,
             ListCopy(plan.state_dir, self.deadlines, self.ledger),
             lambda destination: destination in self.policy.destinations,
         )
@@ -168,7 +168,7 @@
         self.wall_clock_monitor.start()
         log_event(log, "waiting", on="list", most_ms=self.plan.list_timeout // li.MS)
         self.deadlines.after(self.plan.list_timeout, self.serve)
-        if not self.plan.settings.list_asked:
+        if not self.plan.settings.list_on_request:
             self.catalog.connect()
         self.schedule_turn()
 
@@ -305,10 +305,8 @@
         if self._stop_deadline is not None:
             return
         now = self.clock.now()
-        self._stop_deadline, self._earliest_stop_at = (
-            now + self.plan.max_stop_time,
-            now + self.plan.min_stop_time,
-        )
+        self._stop_deadline = now + self.plan.max_stop_time
+        self._earliest_stop_at = now + self.plan.min_stop_time
         handed_over = self.ready and self.ledger.has_successor()
         self.policy.stopping(self._stop_deadline)
         self.listener.stop(handed_over)
@@ -351,10 +349,8 @@
         if self.handover.sibling_has(submission.id):
             client.answer("+OK")  # the other process of this relay has accepted it
             return
-        product, customer = (
-            submission.product.decode(errors="replace"),
-            submission.customer.decode(errors="replace"),
-        )
+        product = submission.product.decode(errors="replace")
+        customer = submission.customer.decode(errors="replace")
         refusal = self._refusal_of(submission, product, customer)
         if refusal is not None:
             log_event(log, "text-refused", text=submission.id, why=refusal.why)
@@ -401,7 +397,7 @@
             return Refusal("id-known", "-ERR this id was handed in before")
         if self._stop_deadline is not None:
             return Refusal("stopping", "-BUSY")
-        if self.slots.full:
+        if self.slots.is_full:
             return Refusal("texts-most", "-BUSY")
         if not self.ledger.has_room(len(submission.body)):
             return Refusal("disk-most", "-BUSY")
@@ -409,8 +405,8 @@
 
     def _has_hosts(self, destination: int) -> bool:
         """Whether the destination is listed; one in use is found without a search in the directory."""
-        at_work = self.policy.destinations.get(destination)
-        if at_work is not None and any(host.listing is not li.Listing.GONE for host in at_work.hosts):
+        in_use = self.policy.destinations.get(destination)
+        if in_use is not None and any(host.listing is not li.Listing.GONE for host in in_use.hosts):
             return True
         return self.catalog.directory.has_destination(destination)
 
@@ -463,14 +459,14 @@
         self.policy.hosts_listed(
             now, [self.suspended_hosts.as_listed(entry) for entry in entries], whole, news
         )
-        self._apply_sibling_news()
+        self._apply_sibling_data()
 
     def _poll_sibling(self) -> None:
         """Read what the other process of this relay has recorded by now."""
         self.handover.poll()
-        self._apply_sibling_news()
+        self._apply_sibling_data()
 
-    def _apply_sibling_news(self) -> None:
+    def _apply_sibling_data(self) -> None:
         """Pass on to the policy the waits and the health of hosts that the other process has recorded."""
         for host, until in self.handover.host_waits.items():
             self.policy.wait_from_sibling(host, until)
--- a/limelatch/relay/ledger.py
+++ b/limelatch/relay/ledger.py
@@ -129,10 +129,8 @@
         on_write_result: Callable[[OSError | None], None] = lambda error: None,
     ) -> None:
         self.state_dir, self.directory, self._on_write_result = state_dir, state_dir, on_write_result
-        self._disk_budget, self._memory_limit = (
-            disk_bytes // BLOCK * BLOCK - OTHER_FILE_BLOCKS * BLOCK,
-            memory_bytes,
-        )
+        self._disk_budget = disk_bytes // BLOCK * BLOCK - OTHER_FILE_BLOCKS * BLOCK
+        self._memory_limit = memory_bytes
         self.reserve_disk(0, at_once=True)
         self.state, self.size, self.cut_bytes, self.unwritten = LedgerState(), 0, 0, b""
         self._torn = False  # whether the file ends in a record that was written in part
@@ -298,16 +296,16 @@
 
     def _replay(self) -> None:
         """Read the file at the start. Raises IncompatibleLedger for a complete record of another version."""
-        raw, at = read_whole(self.path), 0
+        raw, offset = read_whole(self.path), 0
         for encoded in split_records(raw):
             try:
                 self.state.apply(encoded)
             except BadRecord as error:  # complete, but of another version: to cut it off would lose texts
                 raise IncompatibleLedger(
-                    errno.EINVAL, f"a record at byte {at} is not of this version: {error}", self.path
+                    errno.EINVAL, f"a record at byte {offset} is not of this version: {error}", self.path
                 ) from None
-            at += len(encoded)
-        self.cut_bytes, self.size = len(raw) - at, at
+            offset += len(encoded)
+        self.cut_bytes, self.size = len(raw) - offset, offset
         self._torn = self.cut_bytes > 0  # the process ended in a write: cut off, with all that follows
         with suppress(OSError):  # else it is done before the first write
             self._cut_tail()
@@ -463,8 +461,10 @@
             self._write_failed(error)
             return False
         close_quietly(self._file)
-        # The new file has what was in `unwritten` too.
-        self._file, self.size, self.unwritten, self._torn = new, len(records), b"", False
+        self._file = new
+        self.size = len(records)
+        self.unwritten = b""  # the new file has what was in it too
+        self._torn = False
         self._write_succeeded()
         return True
 
