--- a/limelatch/command/lab.py
+++ b/limelatch/command/lab.py
@@ -317,12 +317,12 @@
     numbers = globals()["seeds"](seeds)
     sides = subject_of(first), subject_of(second)
     plans = []
-    named = [scenario_of(each) for each in scenarios]
-    for name, text in named:
+    named_texts = [scenario_of(each) for each in scenarios]
+    for name, text in named_texts:
         plans += [Plan(name, text, seed, subject, stage, folder) for subject in sides for seed in numbers]
     runs = play(plans, processes, quiet)
     rows = []
-    for name, _ in named:
+    for name, _ in named_texts:
         a, b = (
             [each for each in runs if each.scenario == name and each.subject == subject] for subject in sides
         )
@@ -383,8 +383,8 @@
     from limelatch.lab.report.sweep import Sweep
 
     name, text = scenario_of(scenario)
-    key, equals, words = setting.partition("=")
-    values = [word for word in words.split(",") if word]
+    key, equals, value_list = setting.partition("=")
+    values = [word for word in value_list.split(",") if word]
     if not equals or not values:
         raise UsageError(f"{setting!r} is not KEY=V,V,V")
     numbers, chosen = globals()["seeds"](seeds), [subject_of(each) for each in subjects]
--- a/limelatch/command/ledger.py
+++ b/limelatch/command/ledger.py
@@ -138,7 +138,8 @@
             )
         )
     click.echo(
-        f"{len(entries)} owed" + (f", {view.torn_bytes} bytes torn at the end" if view.torn_bytes else "")
+        f"{len(entries)} unfinished"
+        + (f", {view.torn_bytes} bytes torn at the end" if view.torn_bytes else "")
     )
 
 
@@ -199,7 +200,7 @@
         kinds = ", ".join(f"{count} {kind}" for kind, count in sorted(view.kinds.items()))
         click.echo(
             f"{view.path}: {view.size} bytes, {view.records} records ({kinds or 'none'}), "
-            f"{len(view.entries)} owed"
+            f"{len(view.entries)} unfinished texts"
         )
         for at, text, problem in view.problems:
             click.echo(f"at byte {at}, text {text.decode(errors='replace')}: {problem}", err=True)
--- a/limelatch/command/membership.py
+++ b/limelatch/command/membership.py
@@ -7,7 +7,7 @@
 from limelatch.command import CheckFailed, UsageError
 
 
-def names(word: str, known: list[str], what: str) -> list[str]:
+def select_names(word: str, known: list[str], what: str) -> list[str]:
     """The names in a list such as `a,b`, or all known ones for `all`. Raises UsageError for others."""
     if word == "all":
         return known
@@ -48,8 +48,8 @@
     from limelatch.lab.scale.results import load, save
 
     cell_names, way_names, sizes = (
-        names(cells, list(CELLS), "cell"),
-        names(ways, list(WAYS), "way"),
+        select_names(cells, list(CELLS), "cell"),
+        select_names(ways, list(WAYS), "way"),
         counts(members),
     )
     plans = [
@@ -67,10 +67,10 @@
             f"wrong {outcome.wrong:>4}  {outcome.bytes_most:>6.0f} B/s at most"
         )
 
-    made = points(outcomes(plans, processes, print_outcome)) + memory(way_names, sizes)
+    measured = points(outcomes(plans, processes, print_outcome)) + memory(way_names, sizes)
     options = f"--cells {cells} --ways {ways} --members {members} --seeds {seeds}"
     before = load(out) if keep else None
-    save_points(out, f"lab membership {options}", made)
+    save_points(out, f"lab membership {options}", measured)
     if before is not None:
         try:
             save(out, joined(before, load(out)))
--- a/limelatch/command/mutants.py
+++ b/limelatch/command/mutants.py
@@ -37,21 +37,21 @@
     from limelatch.lab.soak.mutants import MUTANTS
 
     chosen = seeds_of(seeds)
-    wanted = [each for each in MUTANTS if not only or any(words in each.name for words in only)]
-    if not wanted:
+    selected = [each for each in MUTANTS if not only or any(words in each.name for words in only)]
+    if not selected:
         raise UsageError(f"no mutant's name contains any of {', '.join(only)}")
     soaks: list[Soak] = []
     signal.signal(signal.SIGINT, signal.default_int_handler)  # a shell may have it ignored
     with ThreadPoolExecutor(jobs) as pool:
         try:
-            caught = list(pool.map(lambda mutant: first_seed(mutant, chosen, seconds, soaks), wanted))
+            caught = list(pool.map(lambda mutant: first_seed(mutant, chosen, seconds, soaks), selected))
         except KeyboardInterrupt:
             pool.shutdown(wait=False, cancel_futures=True)
             for each in soaks:
                 each.end()
             click.echo("interrupted", err=True)
             raise SystemExit(INTERRUPTED) from None
-    click.echo(f"{sum(caught)} of {len(wanted)} caught")
+    click.echo(f"{sum(caught)} of {len(selected)} caught")
     if not all(caught):
         raise SystemExit(CHECK_FAILED)
 
--- a/limelatch/command/soak.py
+++ b/limelatch/command/soak.py
@@ -63,26 +63,26 @@
     if seed is not None:
         raise SystemExit(play_here(seed, seconds, keep, subject))
     chosen = seeds_of(seeds)
-    with folder_for(keep) as folder:
-        check_room(folder, jobs)
+    with directory_for(keep) as folder:
+        check_resources(folder, jobs)
         raise SystemExit(Soak(chosen, jobs, seconds, folder, subject).run())
 
 
-def seeds_of(words: str) -> list[int]:
+def seeds_of(text: str) -> list[int]:
     """The seeds in a list. Raises UsageError for an invalid list or too long a one."""
-    from limelatch.lab.experiments import seeds_of as read
+    from limelatch.lab.experiments import seeds_of as parse_seeds
 
     try:
-        chosen = read(words)
+        chosen = parse_seeds(text)
     except ValueError:
-        raise UsageError(f"{words!r} is no list of seeds such as 1-8 or 1,5,9") from None
+        raise UsageError(f"{text!r} is no list of seeds such as 1-8 or 1,5,9") from None
     if not 1 <= len(chosen) <= MAX_SEEDS:
-        raise UsageError(f"{words!r} names {len(chosen)} seeds, 1 to {MAX_SEEDS} are wanted")
+        raise UsageError(f"{text!r} names {len(chosen)} seeds, 1 to {MAX_SEEDS} are wanted")
     return chosen
 
 
 @contextlib.contextmanager
-def folder_for(keep: str | None):
+def directory_for(keep: str | None):
     """The directory to keep, or a temporary one that is removed with the command."""
     if keep is not None:
         try:
@@ -91,14 +91,14 @@
             raise UsageError(f"{keep}: {error.strerror}") from None
         yield Path(keep)
         return
-    made = Path(tempfile.mkdtemp(prefix="limelatch-soaks-"))
+    temporary = Path(tempfile.mkdtemp(prefix="limelatch-soaks-"))
     try:
-        yield made
+        yield temporary
     finally:
-        shutil.rmtree(made, ignore_errors=True)
+        shutil.rmtree(temporary, ignore_errors=True)
 
 
-def check_room(folder: Path, jobs: int) -> None:
+def check_resources(folder: Path, jobs: int) -> None:
     """Raise UsageError where the machine has too little disk, descriptors or cores for so many plays."""
     import resource
 
@@ -122,7 +122,7 @@
     from limelatch.lab.soak.run import play_seed
     from limelatch.lab.stages.errors import StageError
 
-    with folder_for(keep) as folder:
+    with directory_for(keep) as folder:
         try:
             verdict = play_seed(seed, seconds, folder, subject)
         except KeyboardInterrupt:
@@ -138,11 +138,11 @@
     """Print a line for one seed, and the breaches found."""
     from limelatch.lab.soak.run import is_late
 
-    words = ", ".join(f"{kind} {count}" for kind, count in verdict.faults.items())
+    faults = ", ".join(f"{kind} {count}" for kind, count in verdict.faults.items())
     late = f", the stage was late by {verdict.late_ms:.0f} ms" if is_late(verdict) else ""
     click.echo(
         f"seed {verdict.seed}: {verdict.texts} texts, {verdict.calls} calls, {verdict.seconds:.0f} s{late}: "
-        f"{len(verdict.found) or 'nothing'} found; {words}"
+        f"{len(verdict.found) or 'nothing'} found; {faults}"
     )
     for found in verdict.found:
         for line in found.lines:
@@ -246,8 +246,8 @@
         click.echo("faults: " + ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items())))
         if late:
             click.echo(f"the stage was late in seeds {late}")
-        for words in self.unplayed:
-            click.echo(f"not played: {words}", err=True)
+        for reason in self.unplayed:
+            click.echo(f"not played: {reason}", err=True)
         for rule, found in sorted(rules.items()):
             click.echo(f"broken: {rule}: {len(found)} times, seeds {sorted(set(found))}")
         if not rules:
