--- a/limelatch/command/lab.py
+++ b/limelatch/command/lab.py
@@ -214,12 +214,12 @@
 def judged(path: str):
     """A record's figures, its checker and its reader. Raises UsageError where the file is no record."""
     from limelatch.lab.figures import judge
-    from limelatch.lab.record import NoRecord, Reader
+    from limelatch.lab.record import RecordError, Reader
 
     try:
         reader = Reader(path)
         figures, checker = judge(reader.head, reader)
-    except NoRecord as error:
+    except RecordError as error:
         raise UsageError(str(error)) from None
     return figures, checker, reader
 
--- a/limelatch/lab/scale/hollow.py
+++ b/limelatch/lab/scale/hollow.py
@@ -22,7 +22,7 @@
 from limelatch.lab.scenario import parse
 from limelatch.lab.scenario.model import RuleKeys, Scenario
 from limelatch.lab.stages.fleet import STEP, Fleet, duration
-from limelatch.lab.world.clock import Queue
+from limelatch.lab.world.clock import EventQueue
 
 EACH = 95_000 / 180_000  # texts a second to one destination, at even traffic
 GROUPS = ("struck", "lowered", "steady")  # out for a while; with a lowered limit; left alone
@@ -224,7 +224,7 @@
                 seen = self.seen.setdefault(event.destination, Seen(name))
                 seen.capacity += event.capacity
                 self._host[event.host], self._route[event.route] = event.destination, event.destination
-            case rec.Handed():
+            case rec.Submitted():
                 self._first[event.text] = event.first
                 if event.first not in self.traces:
                     self.traces[event.first] = Trace(event.destination, event.at, event.valid_until)
@@ -234,14 +234,14 @@
                 self._calls[event.call] = destination, event.texts
             case rec.Responded():
                 self._responded(event)
-            case rec.Missed():
+            case rec.CallFailed():
                 self.seen[self._host[event.host]].missed.append(event.at)
-            case rec.Noticed():
+            case rec.NoticeAnswered():
                 if (first := self._first.get(event.text)) is not None:
                     self.traces[first].ended = event.at
-            case rec.Fell():
+            case rec.RouteOverloaded():
                 self.seen[self._route[event.route]].fell = True
-            case rec.Late():
+            case rec.StageLate():
                 self.latest[event.who] = max(self.latest.get(event.who, 0), event.by)
 
     def _responded(self, event: rec.Responded) -> None:
@@ -425,7 +425,7 @@
 def play_hollow(form: Form, relays: int, seed: int) -> Tally:
     """One run of modules alone; the same seed gives the same counts."""
     scenario, _ = form.scenario(relays)
-    tally, queue, end = Tally(scenario), Queue(), duration(scenario)
+    tally, queue, end = Tally(scenario), EventQueue(), duration(scenario)
     fleet = Fleet(scenario, seed, queue, tally.add)
     fleet.begin()
     while queue.time < end and not (queue.time >= scenario.scenario.seconds and fleet.over):
--- a/limelatch/lab/soak/relay.py
+++ b/limelatch/lab/soak/relay.py
@@ -15,7 +15,7 @@
 from limelatch.configuration.model import Installation, LogLevel
 from limelatch.interface import SECOND
 from limelatch.lab import record as rec
-from limelatch.lab.checker import ENDED_BESIDE
+from limelatch.lab.checker import ENDED_DURING_UPGRADE
 from limelatch.lab.soak.plan import KILL_AFTER, Act, ActKind
 from limelatch.lab.stages.sockets import RelayProcess, Sockets
 
@@ -123,7 +123,7 @@
         self._within("descriptors", descriptors, keys.sockets)
         self._within("bytes of memory", memory, keys.memory)
         self._within("bytes of disk", size_of(self.state), keys.disk)
-        self.stage.writer.add(rec.Gauge(self.stage.clock.now(), self.number, memory, descriptors, 0))
+        self.stage.writer.add(rec.ResourceUsage(self.stage.clock.now(), self.number, memory, descriptors, 0))
 
     def _within(self, what: str, held: int, most: int) -> None:
         if held > most and what not in self.over:
@@ -180,14 +180,14 @@
             self.note("upgrade: the old process is told to stop")
             old.send(signal.SIGTERM)
             await self._end_of(old)
-            self.note(ENDED_BESIDE)
+            self.note(ENDED_DURING_UPGRADE)
 
     async def _upgrade_kill(self, act: Act) -> None:
         if (old := await self._beside(act)) is not None:
             self.note("upgrade: the old process is killed")
             old.send(signal.SIGKILL)
             await old.process.wait()
-            self.note(ENDED_BESIDE)
+            self.note(ENDED_DURING_UPGRADE)
 
     async def _upgrade_new_dies(self, act: Act) -> None:
         old = await self._beside(act)
@@ -196,7 +196,7 @@
         self.note("upgrade: the new process is killed")
         self.lives[-1].send(signal.SIGKILL)
         await self.lives[-1].process.wait()
-        self.note(ENDED_BESIDE)
+        self.note(ENDED_DURING_UPGRADE)
         self.lives = [old]
         self.process = old.process
 
--- a/limelatch/lab/stages/fleet.py
+++ b/limelatch/lab/stages/fleet.py
@@ -18,8 +18,8 @@
 from limelatch.lab.record import Answer, Fate
 from limelatch.lab.scenario.model import FaultKeys, Scenario, What
 from limelatch.lab.stages.terms import terms_of
-from limelatch.lab.world.chance import Streams
-from limelatch.lab.world.clients import Arrival, Arrivals, Habits
+from limelatch.lab.world.random_streams import RandomStreams
+from limelatch.lab.world.clients import Arrival, Arrivals, ClientBehavior
 from limelatch.lab.world.endpoint import Endpoint, Reply, Route, WorldCall, WorldText
 from limelatch.lab.world.world import World
 from limelatch.policy import Policy
@@ -179,7 +179,7 @@
             self.close_idle(endpoint.number)
         else:
             self.known[endpoint.number] = entry
-        stage.note(rec.Told(stage.clock.now(), self.number, endpoint.number, LISTED[listing]))
+        stage.note(rec.ListingReceived(stage.clock.now(), self.number, endpoint.number, LISTED[listing]))
         if self.up:
             self.policy.hosts_listed(stage.clock.now(), [entry], False)
             self.touch()
@@ -231,7 +231,9 @@
             elif type(action) is li.CloseIdle:
                 self.close_idle(stage.numbers[action.host])
             elif type(action) is li.LogLine:
-                stage.note(rec.Believes(now, self.number, stage.numbers.get(action.host, -1), action.line))
+                stage.note(
+                    rec.BeliefChanged(now, self.number, stage.numbers.get(action.host, -1), action.line)
+                )
         for host, submits in packs.items():
             endpoint = stage.world.endpoints[stage.numbers[host]]
             most = stage.policy_kinds[endpoint.destination.kind].texts_per_call
@@ -351,7 +353,7 @@
         )
         self.policy.submit_ended(now, report)
         if result in FAILED:
-            self.stage.note(rec.Missed(now, self.number, call.endpoint.number))
+            self.stage.note(rec.CallFailed(now, self.number, call.endpoint.number))
         text.out = False
         if result is Result.DELIVERED:
             del self.texts[text.text.id]
@@ -393,7 +395,7 @@
         self.relays: list[FleetRelay] = []
         self.world = World(scenario, seed, clock, self)
         self.policy_kinds = terms_of(scenario, seed, 0, 0).kinds
-        self.chance, self.habits = Streams(seed), Habits(scenario, seed)
+        self.random_streams, self.client_behavior = RandomStreams(seed), ClientBehavior(scenario, seed)
         self.count = self.next_id = self.open = 0
         self.waiting_keys: dict[int, deque[FleetText]] = {}
         self.arrivals = iter(Arrivals(scenario, seed))
@@ -407,7 +409,7 @@
         lag, spread = self.scenario.catalog.lag, self.scenario.catalog.spread
         for number in range(self.scenario.relays.count):
             relay = FleetRelay(number, self)
-            relay.lag = round(lag * (1 + spread * (2 * self.chance.uniform("lag") - 1)))
+            relay.lag = round(lag * (1 + spread * (2 * self.random_streams.uniform("lag") - 1)))
             for endpoint in self.world.endpoints:
                 relay.known[endpoint.number] = li.HostEntry(
                     endpoint.name.encode(),
@@ -459,7 +461,7 @@
             waiting.append(text)
             if len(waiting) > 1:
                 return
-        self._ask(text, self.habits.relay(key))
+        self._ask(text, self.client_behavior.relay(key))
 
     def _ask(self, text: FleetText, number: int) -> None:
         now, row = self.clock.now(), text.text
@@ -474,7 +476,7 @@
                 return
             relay = serving[number % len(serving)]
         self.note(
-            rec.Handed(
+            rec.Submitted(
                 now,
                 relay.number,
                 row.id,
@@ -516,7 +518,7 @@
     def _again(self, text: FleetText, told: int) -> None:
         """A nacked text is handed in again, if its client does so and its time lasts."""
         now, row = self.clock.now(), text.text
-        wait = self.habits.comes_again(text.tries, told)
+        wait = self.client_behavior.retry_delay(text.tries, told)
         if wait is not None and now + wait < row.valid_until:
             again = self._text(
                 text.first,
@@ -544,7 +546,9 @@
         if waiting and waiting[0] is text:
             waiting.popleft()
             if waiting:
-                self.clock.at(self.clock.now() + 1, self._ask, waiting[0], self.habits.relay(text.text.key))
+                self.clock.at(
+                    self.clock.now() + 1, self._ask, waiting[0], self.client_behavior.relay(text.text.key)
+                )
             else:
                 del self.waiting_keys[text.text.key]
 
@@ -557,7 +561,7 @@
             return
         now, (nack, wait) = self.clock.now(), text.notice
         del relay.texts[text.text.id]
-        self.note(rec.Noticed(now, relay.number, text.text.id, nack, wait))
+        self.note(rec.NoticeAnswered(now, relay.number, text.text.id, nack, wait))
         self.open -= 1
         relay.policy.text_finished(now, text.text.id)
         relay.touch()
@@ -575,7 +579,7 @@
         """One way, in ticks."""
         keys = self.scenario.network
         base = keys.same_floor if relay.floor == endpoint.floor else keys.cross_floor
-        return max(1, round(base * (1 + keys.jitter * self.chance.uniform("network"))))
+        return max(1, round(base * (1 + keys.jitter * self.random_streams.uniform("network"))))
 
     def open_at(self, now: int, endpoint: Endpoint) -> int:
         """Connections at a host, less those whose idle time is over."""
@@ -636,7 +640,7 @@
     # What the world tells.
 
     def ran(self, endpoint: Endpoint, text: WorldText, known: bool) -> None:
-        self.note(rec.Ran(self.clock.now(), endpoint.number, text.id, text.first, known))
+        self.note(rec.EffectTaken(self.clock.now(), endpoint.number, text.id, text.first, known))
 
     def host(self, endpoint: Endpoint) -> None:
         self.numbers[endpoint.name.encode()] = endpoint.number
@@ -653,7 +657,7 @@
         )
 
     def condition(self, endpoint: Endpoint, condition: rec.Condition) -> None:
-        self.note(rec.State(self.clock.now(), endpoint.number, int(condition)))
+        self.note(rec.ConditionChanged(self.clock.now(), endpoint.number, int(condition)))
 
     def reachable(self, endpoint: Endpoint) -> None:
         """A host that died resets what is open; one that was silent resets it once it is back."""
@@ -668,8 +672,8 @@
                         self.clock.now() + self.way(relay, endpoint), relay.outcome, call, Result.RESET
                     )
 
-    def fell(self, route: Route, bore: float, load: dict[int, int]) -> None:
-        self.note(rec.Fell(self.clock.now(), route.number, bore, load))
+    def route_overloaded(self, route: Route, bore: float, load: dict[int, int]) -> None:
+        self.note(rec.RouteOverloaded(self.clock.now(), route.number, bore, load))
 
     def listed(self, endpoint: Endpoint, listing: Listing) -> None:
         for relay in self.relays:
@@ -715,7 +719,7 @@
                     each.tries + 1,
                 )
                 self.open += 1
-                wait = low + round((high - low) * self.chance.uniform("handed on"))
+                wait = low + round((high - low) * self.random_streams.uniform("handed on"))
                 self.clock.at(self.clock.now() + wait, self._hand_in_again, again)
         relay.texts.clear()
 
--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -42,8 +42,8 @@
     line_of,
     read_order,
 )
-from limelatch.lab.world.chance import Streams
-from limelatch.lab.world.clients import Arrival, Arrivals, Habits
+from limelatch.lab.world.random_streams import RandomStreams
+from limelatch.lab.world.clients import Arrival, Arrivals, ClientBehavior
 
 ANSWERS = {
     AnswerKind.ACCEPTED: Answer.TAKEN,
@@ -93,8 +93,8 @@
             host, _, port = address.partition(":")
             self.pools.append(Pool(host, int(port), CONNECTIONS, wait))
         self.texts = drawn(Arrivals(self.scenario, begin.seed))
-        self.habits = Habits(self.scenario, begin.seed)
-        self.chance = Streams(begin.seed)
+        self.client_behavior = ClientBehavior(self.scenario, begin.seed)
+        self.random_streams = RandomStreams(begin.seed)
         self.count = self.open = self.taken = 0
         self.all_came = False
         self.tasks: set[asyncio.Task] = set()
@@ -129,7 +129,7 @@
                     arrival.key,
                     until,
                     0,
-                    self.habits.relay(arrival.key),
+                    self.client_behavior.relay(arrival.key),
                     arrival.at,
                 )
             )
@@ -157,7 +157,7 @@
                 coming.id = f"{coming.first}.{coming.tries}.{self.count}"
             writer = self.writer
             writer.add(
-                rec.Handed(
+                rec.Submitted(
                     now,
                     coming.relay,
                     coming.id,
@@ -171,7 +171,7 @@
                 )
             )
             if self.count % LATE_EACH == 0 and not coming.lost:
-                writer.add(rec.Late(now, "load", max(0, now - coming.due)))
+                writer.add(rec.StageLate(now, "load", max(0, now - coming.due)))
             answer = await self.pools[coming.relay].submit(self.text_of(coming, now))
             now = self.now()
             kind = ANSWERS[answer.kind]
@@ -213,7 +213,7 @@
 
     def again(self, coming: Coming, told: int, now: int) -> None:
         """A nacked text comes again after a while, if its client does so and its time lasts."""
-        wait = self.habits.comes_again(coming.tries, told)
+        wait = self.client_behavior.retry_delay(coming.tries, told)
         if wait is not None and now + wait < coming.until:
             self.later(coming, now + wait)
 
@@ -228,7 +228,7 @@
             coming.key,
             coming.until,
             coming.tries + 1,
-            self.habits.relay(coming.key),
+            self.client_behavior.relay(coming.key),
             at,
         )
         self.open += 1
@@ -265,7 +265,7 @@
             del self.held[coming.id]
             safe = self.scenario.products[coming.product].effect is Effect.RESENDABLE
             if coming.id not in ran or safe:
-                self.later(coming, now + low + round((high - low) * self.chance.uniform("handed on")))
+                self.later(coming, now + low + round((high - low) * self.random_streams.uniform("handed on")))
 
     @property
     def idle(self) -> bool:
@@ -291,7 +291,7 @@
     load = Load(read_order(await reader.readline()), say)
     say(Ready())
     load.origin = read_order(await reader.readline()).origin
-    beat = Heartbeat(lambda by: load.writer.add(rec.Late(load.now(), "load's loop", by)))
+    beat = Heartbeat(lambda by: load.writer.add(rec.StageLate(load.now(), "load's loop", by)))
     running = loop.create_task(load.run())
     news = loop.create_task(tell(load, say))
     try:
@@ -304,7 +304,7 @@
         for task in ending:
             task.cancel()
         await asyncio.gather(*ending, return_exceptions=True)
-        load.writer.add(rec.Over(load.now(), True))
+        load.writer.add(rec.RunEnded(load.now(), True))
         load.writer.close()
 
 
