--- a/limelatch/lab/soak/__init__.py
+++ b/limelatch/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: real processes of relays under faults that are drawn from a seed and composed with each other."""
+"""The soak test: real relay processes under combinations of faults that are generated from a seed."""
--- a/limelatch/lab/soak/mutants.py
+++ b/limelatch/lab/soak/mutants.py
@@ -1,6 +1,6 @@
-"""Guards of the relay taken out one at a time: what the soak has to catch, to be worth its time.
+"""Mutation tests of the soak: each mutant removes one safety check of the relay, and the soak must detect it.
 
-Each mutant replaces one piece of the relay's code in a copy of the package.
+A mutant replaces one piece of source code in a copy of the package.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class BadMutant(Exception):
-    """The piece of code that a mutant replaces is not there, or there twice."""
+    """The source code that a mutant replaces does not occur exactly once."""
 
 
 @dataclass(frozen=True)
 class Mutant:
-    """A guard that is taken out: `old` in the file becomes `new`."""
+    """A removed safety check: the source text `old` in the file `path` becomes `new`."""
 
     name: str
     path: str
@@ -28,79 +28,79 @@
 
 MUTANTS = (
     Mutant(
-        "a key's line over processes",
+        "order of a key across processes",
         "key_order.py",
         "if other is not None and not queue[0].precedes_sibling_text(other):",
         "if False:",
     ),
     Mutant(
-        "a key's rest",
+        "cooldown of a key",
         "key_order.py",
         "if cooldown is not None and cooldown.until > now and cooldown.text != text:",
         "if False:",
     ),
     Mutant(
-        "the rest in the ledger",
+        "cooldown in the ledger",
         "relay/driver.py",
         "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN, now, cooldown_until)",
         "self.ledger.record_submit_end(outgoing.text, outcome.result not in NEVER_RAN)",
     ),
     Mutant(
-        "the rest of a call that was out at its process's end",
+        "cooldown after a call in flight at the end of its process",
         "policy.py",
         "if history.in_flight and pending.key:",
         "if False:",
     ),
     Mutant(
-        "the look at the sibling as a call is written",
+        "check of the sibling as a call is recorded",
         "relay/handover.py",
         "if not self._sibling.has_ledger:\n            return self._record_in_turn(key, text, record_submit)",
         "if True:\n            record_submit()\n            return None",
     ),
     Mutant(
-        "the record of a submit before it goes",
+        "record of a submit before it is sent",
         "relay/driver.py",
         "accepted.submit_in_flight = self.ledger.record_submit(text, call.sent_at, zone)",
         "accepted.submit_in_flight = True",
     ),
     Mutant(
-        "the window for repeats",
+        "retry window",
         "policy.py",
         "self.deadline = min(self.deadline, at + self.product.retry_window)",
         "pass",
     ),
     Mutant(
-        "the drain asked about as a connection has come up",
+        "check for a drain when a connection is established",
         "policy.py",
         "ready = pending and host and host.listing is Listing.READY and self._has_turn(now, pending)",
         "ready = pending and host",
     ),
     Mutant(
-        "the drain asked about in the decision",
+        "check for a drain in the decision",
         "policy.py",
         "if is_taken or must_wait or host.listing is not Listing.READY or not self._has_turn(now, pending):",
         "if is_taken or must_wait or not self._has_turn(now, pending):",
     ),
     Mutant(
-        "the lock of the folder",
+        "lock of the state directory",
         "relay/ledger.py",
         "fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)",
         "pass",
     ),
     Mutant(
-        "the notice before the text is over",
+        "notice before a text is finished",
         "relay/driver.py",
         "recorded = self.ledger.record_notice(text.id, notice)",
         "recorded = self.ledger.record_notice(text.id, notice)\n        self.ledger.record_finished(text.id)",
     ),
     Mutant(
-        "the torn tail that is cut",
+        "cut of a torn tail",
         "relay/ledger.py",
         "self._torn = self.cut_bytes > 0",
         "self._torn = False",
     ),
     Mutant(
-        "the monotonic clock",
+        "monotonic clock",
         "relay/clock.py",
         "return time.monotonic_ns() // NANOSECONDS_PER_UNIT",
         "return time.time_ns() // NANOSECONDS_PER_UNIT",
@@ -118,45 +118,45 @@
         "elif False:",
     ),
     Mutant(
-        "no nack of what may have run",
+        "no nack of a text that may have run",
         "policy.py",
         "self.first_run_at is None\n            or effect is "
         "Effect.RESENDABLE\n            or effect is Effect",
         "True\n            or effect is Effect",
     ),
     Mutant(
-        "told waits",
+        "Retry-After",
         "policy.py",
         "route.wait_until = max(\n                route.wait_until, "
         "now + report.retry_after + self.random_source.next_below(spread)\n            )",
         "pass",
     ),
     Mutant(
-        "told waits over processes",
+        "Retry-After shared between processes",
         "relay/driver.py",
         "self.policy.wait_from_sibling(host, until)",
         "pass",
     ),
     Mutant(
-        "outages known to the other process",
+        "outages shared between processes",
         "relay/driver.py",
         "self.policy.health_from_sibling(now, host, found.health, found.at)",
         "pass",
     ),
     Mutant(
-        "the texts of the old process",
+        "texts of the old process",
         "relay/handover.py",
         "self._adopt(adopted)\n        self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)",
         "self._deadlines.after(STANDBY_POLL_INTERVAL, self._adopt_standby)",
     ),
     Mutant(
-        "the texts of a successor that died",
+        "texts of a standby process that died",
         "relay/handover.py",
         "if self._ledger.has_abandoned_standby and (adopted := self._ledger.adopt_standby()):",
         "if False:",
     ),
     Mutant(
-        "the floor of a repeat",
+        "zone of a retry",
         "policy.py",
         "is_other_zone = not pending.product.retry_anywhere and host.zone != pending.first_run_zone",
         "is_other_zone = False",
@@ -173,12 +173,14 @@
 
 
 def write_mutant(mutant: Mutant, source: Path, target: Path) -> None:
-    """A copy of the package of the checkout `source` in `target`, with the guard taken out.
+    """Copy the package from the checkout `source` to `target`, with the mutant applied.
 
-    Raises BadMutant where its place is not to be found, or not the only one."""
+    Raises BadMutant if the text to replace does not occur exactly once."""
     shutil.copytree(source / PACKAGE, target / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
     path = target / PACKAGE / mutant.path
     text = path.read_text(encoding="utf-8")
     if text.count(mutant.old) != 1:
-        raise BadMutant(f"{mutant.name}: {mutant.path} has its place {text.count(mutant.old)} times")
+        raise BadMutant(
+            f"{mutant.name}: {mutant.path} has the text to replace {text.count(mutant.old)} times"
+        )
     path.write_text(text.replace(mutant.old, mutant.new), encoding="utf-8")
--- a/limelatch/lab/soak/plan.py
+++ b/limelatch/lab/soak/plan.py
@@ -1,6 +1,6 @@
-"""Draws a seed's plan: fleet, partners, clients, their faults, and what befalls the relays' processes.
+"""Generates a soak plan from a seed: fleet, partners, clients, faults, and actions on the relay processes.
 
-The same seed draws the same plan.
+The same seed generates the same plan.
 """
 
 from __future__ import annotations
@@ -31,12 +31,14 @@
     What,
 )
 
-FORM = 1  # of the drawing: another one draws other plans from the same seeds
-SECONDS_LEAST = 10
-KILL_AFTER = 3.7  # seconds after SIGTERM, at the earliest by the protocol
-PAUSE_MOST = 0.15  # seconds for which a relay may be held up
-QUIET_SHARE, TOGETHER_SHARE, CROWD_SHARE = 0.15, 0.6, 0.2
-PASSING = (  # calls that fail for a moment and are made again
+PLAN_VERSION = 1  # part of the random seed: another version generates other plans from the same seeds
+MIN_SECONDS = 10  # shortest duration of a plan
+KILL_AFTER = 3.7  # seconds from SIGTERM to SIGKILL: the earliest that the protocol allows
+MAX_PAUSE = 0.15  # seconds for which a relay process may be suspended or delayed
+QUIET_START_RATIO = 0.15  # of the plans: no faults in the first 60 % of the time
+COINCIDING_FAULT_RATIO = 0.6  # of the faults: begin within a second of a process action
+IDLE_CLIENTS_RATIO = 0.2  # of the plans: idle clients at each relay
+TRANSIENT_ERRORS = (  # system calls that fail for a moment and are then retried, with the error
     ("accept", errno.EMFILE),
     ("recv", errno.EINTR),
     ("send", errno.ENOBUFS),
@@ -44,10 +46,10 @@
     ("connect", errno.EADDRNOTAVAIL),
     ("epoll_wait", errno.EINTR),
 )
-VALIDITY = (600 * MS, 1500 * MS, 3 * SECOND, 6 * SECOND, 12 * SECOND, 28 * SECOND)
-WINDOWS = (SECOND, 2 * SECOND, 5 * SECOND, 10 * SECOND)
-RESTS = (0, 100 * MS, 300 * MS, SECOND)
-NAMELESS_FAULTS = (
+VALIDITY_PERIODS = (600 * MS, 1500 * MS, 3 * SECOND, 6 * SECOND, 12 * SECOND, 28 * SECOND)
+RETRY_WINDOWS = (SECOND, 2 * SECOND, 5 * SECOND, 10 * SECOND)
+KEY_COOLDOWNS = (0, 100 * MS, 300 * MS, SECOND)
+DRAWN_FAULTS = (
     What.HANG,
     What.SILENT,
     What.DOWN,
@@ -66,42 +68,45 @@
 )
 
 
-class ActKind(Enum):
-    """What befalls the processes of one relay."""
+class ActionKind(Enum):
+    """An action on the processes of one relay."""
 
-    KILL = "kill"  # SIGKILL, and a start
-    RESTART = "restart"  # SIGTERM, SIGKILL 3.7 s later, and a start
+    KILL = "kill"  # SIGKILL, then a start
+    RESTART = "restart"  # SIGTERM, SIGKILL 3.7 s later, then a start
     UPGRADE = "upgrade"  # a second process; the old one is stopped as in a restart
-    UPGRADE_KILL = "upgrade-kill"  # a second process; the old one is killed outright
+    UPGRADE_KILL = "upgrade-kill"  # a second process; the old one is killed with SIGKILL
     UPGRADE_NEW_DIES = "upgrade-new-dies"  # a second process, which is killed
     UPGRADE_BOTH_DIE = "upgrade-both-die"  # a second process; both are killed, and a third one starts
     UPGRADE_STOP_NEW_DIES = "upgrade-stop-new-dies"  # the new one is killed while the old one stops
-    RELOAD = "reload"  # SIGHUP, some in a row, with products and customers in another order
+    RELOAD = "reload"  # one or several SIGHUP, with products and customers in reversed order
     PAUSE = "pause"  # SIGSTOP and SIGCONT
     SIGNALS = "signals"  # several signals in quick succession, the last one SIGTERM; then a start
 
 
-ACT_WEIGHTS = {
-    ActKind.KILL: 3,
-    ActKind.RESTART: 2,
-    ActKind.UPGRADE: 6,
-    ActKind.UPGRADE_KILL: 3,
-    ActKind.UPGRADE_NEW_DIES: 3,
-    ActKind.UPGRADE_BOTH_DIE: 2,
-    ActKind.UPGRADE_STOP_NEW_DIES: 2,
-    ActKind.RELOAD: 2,
-    ActKind.PAUSE: 3,
-    ActKind.SIGNALS: 2,
+ACTION_WEIGHTS = {
+    ActionKind.KILL: 3,
+    ActionKind.RESTART: 2,
+    ActionKind.UPGRADE: 6,
+    ActionKind.UPGRADE_KILL: 3,
+    ActionKind.UPGRADE_NEW_DIES: 3,
+    ActionKind.UPGRADE_BOTH_DIE: 2,
+    ActionKind.UPGRADE_STOP_NEW_DIES: 2,
+    ActionKind.RELOAD: 2,
+    ActionKind.PAUSE: 3,
+    ActionKind.SIGNALS: 2,
 }
 
 
 @dataclass(frozen=True)
-class Act:
-    """One thing that befalls a relay. Times in seconds; `overlap`: for which both processes serve."""
+class Action:
+    """One action on a relay's processes.
+
+    Times are in seconds. `overlap`: for how long both processes of an upgrade serve; `times`: signals or
+    reloads in a row; `pause`: duration of a suspension, or delay before a signal."""
 
     at: float
     relay: int
-    kind: ActKind
+    kind: ActionKind
     overlap: float = 0.0
     times: int = 1
     pause: float = 0.0
@@ -109,8 +114,10 @@
 
 @dataclass(frozen=True)
 class MachineFault:
-    """One fault of a relay's machine, in seconds from the start. `step`: of its wall clock, else what befalls
-    the system call `call`, as limelatch.lab.machine.faults has it."""
+    """One fault of a relay's machine.
+
+    `at`: seconds from the start; `step`: seconds by which the wall clock is stepped. If `step` is 0, the
+    other fields are a rule for the system call `call`, as in limelatch.lab.machine.faults.Faults.rule."""
 
     at: float
     relay: int
@@ -126,55 +133,67 @@
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """All that a seed draws. `crowd`: idle clients at each relay; `nuisances`: clients a second that send
-    half a command, or leave before their answer."""
+    """Everything that is generated from a seed.
+
+    `idle_clients`: their number at each relay; `faulty_client_rate`: clients per second and relay that send
+    half a command, or disconnect before the reply."""
 
     seed: int
     scenario: Scenario
-    acts: list[Act]
-    machine: list[MachineFault]
-    crowd: int
-    nuisances: float
+    actions: list[Action]
+    machine_faults: list[MachineFault]
+    idle_clients: int
+    faulty_client_rate: float
 
     def count(self) -> dict[str, int]:
-        """Faults and acts by kind."""
+        """The number of faults and actions of each kind."""
         found: dict[str, int] = {}
-        kinds = [fault.what.value for fault in self.scenario.faults] + [act.kind.value for act in self.acts]
-        kinds += [f"machine-{fault.call or 'step'}" for fault in self.machine]
-        for kind in kinds + ["crowd"] * bool(self.crowd):
+        kinds = [fault.what.value for fault in self.scenario.faults] + [
+            action.kind.value for action in self.actions
+        ]
+        kinds += [f"machine-{fault.call or 'step'}" for fault in self.machine_faults]
+        for kind in kinds + ["crowd"] * bool(self.idle_clients):
             found[kind] = found.get(kind, 0) + 1
         return dict(sorted(found.items()))
 
 
-class Draw:
-    """One seed's drawing."""
+class PlanGenerator:
+    """Generates the plan of one seed."""
 
     def __init__(self, seed: int, seconds: float) -> None:
-        self.seed, self.seconds = seed, max(SECONDS_LEAST, seconds)
-        self.random = random.Random(seed * 1009 + FORM)
+        self.seed, self.seconds = seed, max(MIN_SECONDS, seconds)
+        self.random = random.Random(seed * 1009 + PLAN_VERSION)
         self.relays = self.random.choice((1, 1, 2, 2, 3, 4, 6))
-        quiet = self.random.random() < QUIET_SHARE
-        self.begin = self.seconds * (0.6 if quiet else 0.1)
+        quiet = self.random.random() < QUIET_START_RATIO
+        self.fault_start = self.seconds * (0.6 if quiet else 0.1)
 
     def plan(self) -> SoakPlan:
-        acts = self._acts()
-        crowd = self.random.choice((20, 60)) if self.random.random() < CROWD_SHARE else 0
-        nuisances = self.random.choice((0.0, 2.0, 10.0))
-        return SoakPlan(self.seed, self._scenario(acts), acts, self._machine(acts), crowd, nuisances)
+        """The whole plan; to be called once, since each call draws other random numbers."""
+        actions = self._actions()
+        idle_clients = self.random.choice((20, 60)) if self.random.random() < IDLE_CLIENTS_RATIO else 0
+        faulty_client_rate = self.random.choice((0.0, 2.0, 10.0))
+        return SoakPlan(
+            self.seed,
+            self._scenario(actions),
+            actions,
+            self._machine_faults(actions),
+            idle_clients,
+            faulty_client_rate,
+        )
 
-    def _machine(self, acts: list[Act]) -> list[MachineFault]:
-        """In half of the seeds: at any time, and often within a second before an act."""
+    def _machine_faults(self, actions: list[Action]) -> list[MachineFault]:
+        """The machine faults, in half of the plans; each begins at most a second before an action."""
         if self.random.random() < 0.5:
             return []
         made = []
         for _ in range(self.random.randint(1, 6)):
-            act = self.random.choice(acts)
-            at = max(0.0, act.at - self.random.uniform(0.0, 1.0))
-            made.append(replace(self._machine_fault(), at=round(at, 3), relay=act.relay))
+            action = self.random.choice(actions)
+            at = max(0.0, action.at - self.random.uniform(0.0, 1.0))
+            made.append(replace(self._machine_fault(), at=round(at, 3), relay=action.relay))
         return made
 
     def _machine_fault(self) -> MachineFault:
-        """What a machine may do for a while with no rule broken (docs/faults.md)."""
+        """A temporary fault under which a relay must keep all its guarantees (docs/faults.md)."""
         draw = self.random
         kind = draw.choice(("step", "folder", "short", "delay", "passing"))
         if kind == "step":
@@ -190,26 +209,26 @@
             )
         if kind == "delay":
             call = draw.choice(("send", "write", "epoll_wait"))
-            return MachineFault(0, 0, call=call, delay=draw.uniform(0.02, PAUSE_MOST), times=2, seconds=5.0)
-        call, error = draw.choice(PASSING)
+            return MachineFault(0, 0, call=call, delay=draw.uniform(0.02, MAX_PAUSE), times=2, seconds=5.0)
+        call, error = draw.choice(TRANSIENT_ERRORS)
         return MachineFault(0, 0, call=call, error=error, seconds=draw.choice((0.05, 0.3)))
 
-    def _acts(self) -> list[Act]:
-        kinds, weights = list(ACT_WEIGHTS), list(ACT_WEIGHTS.values())
-        acts = []
+    def _actions(self) -> list[Action]:
+        kinds, weights = list(ACTION_WEIGHTS), list(ACTION_WEIGHTS.values())
+        actions = []
         for relay in range(self.relays):
-            at = self.begin + self.random.uniform(0.0, 4.0)
+            at = self.fault_start + self.random.uniform(0.0, 4.0)
             while at < self.seconds * 0.95:
                 kind = self.random.choices(kinds, weights)[0]
                 overlap = self.random.choice((0.0, 0.05, 0.5, 1.5, 4.0))
-                pause = self.random.uniform(0.02, PAUSE_MOST)
-                acts.append(
-                    Act(round(at, 3), relay, kind, overlap, self.random.randint(1, 4), round(pause, 3))
+                pause = self.random.uniform(0.02, MAX_PAUSE)
+                actions.append(
+                    Action(round(at, 3), relay, kind, overlap, self.random.randint(1, 4), round(pause, 3))
                 )
                 at += self.random.choice((0.0, 1.0, 4.0, 8.0, 12.0)) + self.random.uniform(0.0, 2.0)
-        return sorted(acts, key=lambda act: (act.at, act.relay))
+        return sorted(actions, key=lambda action: (action.at, action.relay))
 
-    def _scenario(self, acts: list[Act]) -> Scenario:
+    def _scenario(self, actions: list[Action]) -> Scenario:
         products = self._products()
         longest = max(row.validity_period for row in products)
         head = Head(
@@ -225,7 +244,7 @@
             partners=partners,
             relays=self._relays(),
             catalog=CatalogKeys(lag=self.random.choice((100 * MS, 500 * MS))),
-            rules=RuleKeys(key_rest=self.random.choice(RESTS)),
+            rules=RuleKeys(key_rest=self.random.choice(KEY_COOLDOWNS)),
             clients=self._clients(),
             customers=[CustomerKeys(name="north", share=3.0), CustomerKeys(name="south")],
             kinds=[
@@ -234,28 +253,30 @@
                 KindKeys(name="apart", routes_apart=True),
             ],
             floors=[FloorKeys(name="ground"), FloorKeys(name="first")],
-            faults=self._faults(acts, partners),
+            faults=self._faults(actions, partners),
         )
 
     def _products(self) -> list[ProductKeys]:
         draw = self.random
-        known = draw.choice((RepeatScope.FLOOR, RepeatScope.DESTINATION))
+        known_by = draw.choice((RepeatScope.FLOOR, RepeatScope.DESTINATION))
         keys = draw.choice((3, 10, 40))
         rows = [
-            ProductKeys(name="report", effect=Effect.RESENDABLE, validity_period=draw.choice(VALIDITY)),
+            ProductKeys(
+                name="report", effect=Effect.RESENDABLE, validity_period=draw.choice(VALIDITY_PERIODS)
+            ),
             ProductKeys(
                 name="notice",
                 effect=Effect.REFERENCED,
-                repeat_window=draw.choice(WINDOWS),
-                repeat_known=known,
-                validity_period=draw.choice(VALIDITY),
+                repeat_window=draw.choice(RETRY_WINDOWS),
+                repeat_known=known_by,
+                validity_period=draw.choice(VALIDITY_PERIODS),
                 in_order=draw.random() < 0.4,
                 keys=keys,
             ),
             ProductKeys(
                 name="charge",
                 effect=Effect.ONCE_ONLY,
-                validity_period=draw.choice(VALIDITY),
+                validity_period=draw.choice(VALIDITY_PERIODS),
                 in_order=draw.random() < 0.8,
                 keys=keys,
                 share=2.0,
@@ -305,18 +326,18 @@
             )
         return made
 
-    def _faults(self, acts: list[Act], partners: list[PartnerKeys]) -> list[FaultKeys]:
+    def _faults(self, actions: list[Action], partners: list[PartnerKeys]) -> list[FaultKeys]:
         draw = self.random
-        return [self._fault(acts, partners) for _ in range(draw.randint(3, 8))]
+        return [self._fault(actions, partners) for _ in range(draw.randint(3, 8))]
 
-    def _fault(self, acts: list[Act], partners: list[PartnerKeys]) -> FaultKeys:
-        """Often one that begins just before a relay's processes are at a passage."""
+    def _fault(self, actions: list[Action], partners: list[PartnerKeys]) -> FaultKeys:
+        """A scenario fault; many begin within a second of an action on a relay's processes."""
         draw = self.random
-        if acts and draw.random() < TOGETHER_SHARE:
-            at = max(0.0, draw.choice(acts).at + draw.uniform(-1.0, 1.0))
+        if actions and draw.random() < COINCIDING_FAULT_RATIO:
+            at = max(0.0, draw.choice(actions).at + draw.uniform(-1.0, 1.0))
         else:
-            at = draw.uniform(self.begin, self.seconds * 0.9)
-        what = draw.choice(NAMELESS_FAULTS)
+            at = draw.uniform(self.fault_start, self.seconds * 0.9)
+        what = draw.choice(DRAWN_FAULTS)
         lasts = draw.choice((0.5, 2.0, 5.0, 10.0))
         return FaultKeys(
             what=what,
@@ -334,5 +355,5 @@
 
 
 def draw_plan(seed: int, seconds: float) -> SoakPlan:
-    """The plan of a seed; texts come for `seconds`."""
-    return Draw(seed, seconds).plan()
+    """The plan of a seed. Texts are submitted for `seconds`, at least MIN_SECONDS."""
+    return PlanGenerator(seed, seconds).plan()
--- a/limelatch/lab/soak/relay.py
+++ b/limelatch/lab/soak/relay.py
@@ -1,4 +1,4 @@
-"""One relay of a soak: one process after another, and at times two beside each other."""
+"""One relay of a soak: its successive processes, two at a time during an upgrade."""
 
 from __future__ import annotations
 
@@ -16,272 +16,278 @@
 from limelatch.interface import SECOND
 from limelatch.lab import record as rec
 from limelatch.lab.checker import ENDED_BESIDE
-from limelatch.lab.soak.plan import KILL_AFTER, Act, ActKind
+from limelatch.lab.soak.plan import KILL_AFTER, Action, ActionKind
 from limelatch.lab.stages.sockets import RelayProcess, Sockets
 
-START_PAUSE = 0.6  # seconds from SIGKILL to the next start, by the protocol
-READY_MOST = 10.0  # seconds until a process has to serve
-READY_GIVEN_UP = 20.0
-LOOK = 0.02  # between two looks whether it does
-SIGNAL_PAUSE = 0.01  # between signals in quick succession
-DONE = 0
-BLOCK = 512  # bytes in which files count
+RESTART_DELAY = 0.6  # seconds from SIGKILL to the next start, as the protocol states
+MAX_READY_TIME = 10.0  # seconds within which a process has to serve
+READY_TIMEOUT = 20.0  # seconds after which the wait for a process ends
+READY_POLL_INTERVAL = 0.02  # seconds
+SIGNAL_INTERVAL = 0.01  # seconds between signals in quick succession
+EXIT_SUCCESS = 0
+DISK_BLOCK_BYTES = 512  # file sizes are rounded up to whole blocks
 
 
 @dataclass
-class ProcessLife:
-    """One process of a relay, from its start to its end."""
+class RelayInstance:
+    """One process of a relay, with its operator address."""
 
     process: asyncio.subprocess.Process
     operator: str
-    told_to_end: bool = False  # by SIGTERM or SIGKILL
+    stop_requested: bool = False  # SIGTERM or SIGKILL was sent
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
+        """Whether the process has not ended yet."""
         return self.process.returncode is None
 
-    def send(self, number: int) -> None:
-        """Send a signal, if the process still runs."""
+    def send_signal(self, number: int) -> None:
+        """Send the signal `number` if the process has not ended."""
         if number in (signal.SIGTERM, signal.SIGKILL):
-            self.told_to_end = True
-        if self.runs:
+            self.stop_requested = True
+        if self.is_running:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
 
 class SoakRelay(RelayProcess):
-    """Carries out acts one after another; what is wrong with its processes goes to `wrongs`."""
+    """A relay whose actions are carried out one after another; process failures are listed in `problems`."""
 
     def __init__(self, number: int, stage: Sockets, folder: Path, listen: str) -> None:
         super().__init__(number, stage, folder, listen)
         self.operator = ""
-        self.lives: list[ProcessLife] = []
-        self.turn = asyncio.Lock()
-        self.turned_round = False  # products and customers in another order
-        self.wrongs: list[str] = []
-        self.over: set[str] = set()  # limits that were passed
+        self.instances: list[RelayInstance] = []
+        self.action_lock = asyncio.Lock()
+        self.is_order_reversed = False  # products and customers
+        self.problems: list[str] = []
+        self.exceeded_limits: set[str] = set()  # each is reported once
         self.starts = 0
 
     def installation(self) -> Installation:
-        made = super().installation()
-        identity = msgspec.structs.replace(made.relay, operator=self.operator)
-        products, customers = made.products, made.customers
-        if self.turned_round:
+        """The configuration for the next start or reload."""
+        settings = super().installation()
+        identity = msgspec.structs.replace(settings.relay, operator=self.operator)
+        products, customers = settings.products, settings.customers
+        if self.is_order_reversed:
             products, customers = products[::-1], customers[::-1]
-        log = msgspec.structs.replace(made.log, parts={"driver": LogLevel.DEBUG})
-        return msgspec.structs.replace(made, relay=identity, products=products, customers=customers, log=log)
+        log = msgspec.structs.replace(settings.log, parts={"driver": LogLevel.DEBUG})
+        return msgspec.structs.replace(
+            settings, relay=identity, products=products, customers=customers, log=log
+        )
 
     def note(self, what: str) -> None:
-        """Put it into the record."""
+        """Write an event of this relay to the record."""
         self.stage.writer.add(rec.Relay(self.stage.clock.now(), self.number, what))
 
     async def launch(self) -> None:
-        """Start a process, as the deploy file does: SIGHUP is ignored until the program hears it."""
+        """Start a process as the deploy file does: SIGHUP is ignored until the program handles it."""
         self.operator = f"{self.stage.address.host}:{self.stage.address.port()}"
         self.starts += 1
         await super().launch()
-        life = ProcessLife(self.process, self.operator)
-        self.lives = [each for each in self.lives if each.runs] + [life]
-        self.stage.spawn(self._watch(life))
+        instance = RelayInstance(self.process, self.operator)
+        self.instances = [each for each in self.instances if each.is_running] + [instance]
+        self.stage.spawn(self._watch(instance))
 
     async def read_log(self, process: asyncio.subprocess.Process) -> None:
-        """Each line with the stage's time before it: the relay's own is its wall clock's, and stepped."""
+        """Copy the log with the stage's time before each line: the relay's wall clock may be stepped."""
         with open(self.folder / f"{self.name}.log", "ab") as file:
             async for raw in process.stderr:
                 file.write(b"%d %s" % (self.stage.clock.now(), raw))
 
-    async def _watch(self, life: ProcessLife) -> None:
-        """A process that ends by itself has crashed; one that was stopped in order ends with 0."""
-        code = await life.process.wait()
-        if not life.told_to_end:
-            self.wrongs.append(f"a process ended by itself with {code}")
-        elif code not in (DONE, -signal.SIGKILL):
-            self.wrongs.append(f"a process that was told to end did so with {code}")
+    async def _watch(self, instance: RelayInstance) -> None:
+        """Report a process that ends without a signal, or with another exit code than 0 after SIGTERM."""
+        code = await instance.process.wait()
+        if not instance.stop_requested:
+            self.problems.append(f"a process ended unexpectedly with exit code {code}")
+        elif code not in (EXIT_SUCCESS, -signal.SIGKILL):
+            self.problems.append(f"a process that got a stop signal ended with exit code {code}")
 
     async def serves(self) -> None:
-        """Wait until the newest process says at its operators' address that it serves."""
-        life, began = self.lives[-1], time.monotonic()
-        while not await says_yes(life.operator):
-            if not life.runs:
-                return  # it was killed, or `_watch` tells of it
-            if time.monotonic() - began > READY_GIVEN_UP:
-                self.wrongs.append(f"a process was not ready in {READY_GIVEN_UP:.0f} s")
+        """Wait until the newest process reports at its operator address that it serves."""
+        instance, started_at = self.instances[-1], time.monotonic()
+        while not await is_serving(instance.operator):
+            if not instance.is_running:
+                return  # it was killed, or `_watch` reports its end
+            if time.monotonic() - started_at > READY_TIMEOUT:
+                self.problems.append(f"a process was not ready in {READY_TIMEOUT:.0f} s")
                 return
-            await asyncio.sleep(LOOK)
-        if (took := time.monotonic() - began) > READY_MOST:
-            self.wrongs.append(f"a process took {took:.1f} s to be ready")
+            await asyncio.sleep(READY_POLL_INTERVAL)
+        if (ready_time := time.monotonic() - started_at) > MAX_READY_TIME:
+            self.problems.append(f"a process took {ready_time:.1f} s to be ready")
 
     def gauge(self) -> None:
-        """The limits see one relay: its processes' descriptors and memory, and its folder, together."""
+        """Record the resource usage of the relay; a limit applies to the sum over all its processes."""
         descriptors = memory = 0
-        for life in self.lives:
+        for instance in self.instances:
             with contextlib.suppress(psutil.Error, ProcessLookupError):
-                watch = psutil.Process(life.process.pid)
-                descriptors += watch.num_fds()
-                memory += watch.memory_info().rss
+                usage = psutil.Process(instance.process.pid)
+                descriptors += usage.num_fds()
+                memory += usage.memory_info().rss
         keys = self.stage.scenario.relays
-        self._within("descriptors", descriptors, keys.sockets)
-        self._within("bytes of memory", memory, keys.memory)
-        self._within("bytes of disk", size_of(self.state), keys.disk)
+        self._check_limit("descriptors", descriptors, keys.sockets)
+        self._check_limit("bytes of memory", memory, keys.memory)
+        self._check_limit("bytes of disk", size_of(self.state), keys.disk)
         self.stage.writer.add(rec.Gauge(self.stage.clock.now(), self.number, memory, descriptors, 0))
 
-    def _within(self, what: str, held: int, most: int) -> None:
-        if held > most and what not in self.over:
-            self.over.add(what)
+    def _check_limit(self, what: str, used: int, limit: int) -> None:
+        """Report usage above a limit, once for each kind of resource."""
+        if used > limit and what not in self.exceeded_limits:
+            self.exceeded_limits.add(what)
             at = self.stage.clock.now() / SECOND
-            self.wrongs.append(f"{held} {what} held at {at:.2f} s, {most} at most")
+            self.problems.append(f"{used} {what} in use at {at:.2f} s, {limit} at most")
 
-    async def perform(self, act: Act) -> None:
-        """Carry out an act; those of one relay wait for each other."""
-        async with self.turn:
-            await ACTS[act.kind](self, act)
+    async def perform(self, action: Action) -> None:
+        """Carry out an action, after the earlier ones of this relay have ended."""
+        async with self.action_lock:
+            await ACTION_METHODS[action.kind](self, action)
 
-    async def _kill(self, act: Act) -> None:
-        await self._all_end(signal.SIGKILL)
-        await self._start_again()
+    async def _kill(self, action: Action) -> None:
+        await self._stop_all(signal.SIGKILL)
+        await self._start_after_delay()
 
-    async def _all_end(self, number: int) -> None:
-        """No process of the relay is left."""
+    async def _stop_all(self, number: int) -> None:
+        """End all processes of the relay with the signal `number`."""
         self.note("killed" if number == signal.SIGKILL else "stopping")
-        for life in self.lives:
-            life.send(number)
-        for life in self.lives:
-            await self._end_of(life)
+        for instance in self.instances:
+            instance.send_signal(number)
+        for instance in self.instances:
+            await self._wait_or_kill(instance)
         if number != signal.SIGKILL:
             self.note("ended")
 
-    async def _end_of(self, life: ProcessLife, within: float = KILL_AFTER) -> None:
-        """It ends by itself in time, or is killed then."""
+    async def _wait_or_kill(self, instance: RelayInstance, within: float = KILL_AFTER) -> None:
+        """Wait for the end of a process; kill it after `within` seconds."""
         try:
-            await asyncio.wait_for(life.process.wait(), within)
+            await asyncio.wait_for(instance.process.wait(), within)
         except TimeoutError:
-            life.send(signal.SIGKILL)
-            await life.process.wait()
+            instance.send_signal(signal.SIGKILL)
+            await instance.process.wait()
 
-    async def _start_again(self) -> None:
-        await asyncio.sleep(START_PAUSE)
+    async def _start_after_delay(self) -> None:
+        await asyncio.sleep(RESTART_DELAY)
         await self.start()
 
-    async def _restart(self, act: Act) -> None:
-        await self._all_end(signal.SIGTERM)
-        await self._start_again()
+    async def _restart(self, action: Action) -> None:
+        await self._stop_all(signal.SIGTERM)
+        await self._start_after_delay()
 
-    async def _beside(self, act: Act) -> ProcessLife | None:
-        """A process beside the one that runs; the old one, None where none runs."""
-        old = next((life for life in self.lives if life.runs), None)
+    async def _start_second(self, action: Action) -> RelayInstance | None:
+        """Start another process; return the one that was running before, or None."""
+        old = next((instance for instance in self.instances if instance.is_running), None)
         self.note("upgrade")
         await self.launch()
         await self.serves()
-        await asyncio.sleep(act.overlap)
+        await asyncio.sleep(action.overlap)
         return old
 
-    async def _upgrade(self, act: Act) -> None:
-        if (old := await self._beside(act)) is not None:
-            self.note("upgrade: the old process is told to stop")
-            old.send(signal.SIGTERM)
-            await self._end_of(old)
+    async def _upgrade(self, action: Action) -> None:
+        if (old := await self._start_second(action)) is not None:
+            self.note("upgrade: the old process gets SIGTERM")
+            old.send_signal(signal.SIGTERM)
+            await self._wait_or_kill(old)
             self.note(ENDED_BESIDE)
 
-    async def _upgrade_kill(self, act: Act) -> None:
-        if (old := await self._beside(act)) is not None:
+    async def _upgrade_kill(self, action: Action) -> None:
+        if (old := await self._start_second(action)) is not None:
             self.note("upgrade: the old process is killed")
-            old.send(signal.SIGKILL)
+            old.send_signal(signal.SIGKILL)
             await old.process.wait()
             self.note(ENDED_BESIDE)
 
-    async def _upgrade_new_dies(self, act: Act) -> None:
-        old = await self._beside(act)
+    async def _upgrade_new_dies(self, action: Action) -> None:
+        old = await self._start_second(action)
         if old is None:
             return
         self.note("upgrade: the new process is killed")
-        self.lives[-1].send(signal.SIGKILL)
-        await self.lives[-1].process.wait()
+        self.instances[-1].send_signal(signal.SIGKILL)
+        await self.instances[-1].process.wait()
         self.note(ENDED_BESIDE)
-        self.lives = [old]
+        self.instances = [old]
         self.process = old.process
 
-    async def _upgrade_both_die(self, act: Act) -> None:
-        await self._beside(act)
-        await self._all_end(signal.SIGKILL)
-        await self._start_again()
+    async def _upgrade_both_die(self, action: Action) -> None:
+        await self._start_second(action)
+        await self._stop_all(signal.SIGKILL)
+        await self._start_after_delay()
 
-    async def _upgrade_stop_new_dies(self, act: Act) -> None:
-        old = await self._beside(act)
+    async def _upgrade_stop_new_dies(self, action: Action) -> None:
+        old = await self._start_second(action)
         if old is None:
             return
         self.note("stopping")
-        old.send(signal.SIGTERM)
-        await asyncio.sleep(act.pause)
-        self.lives[-1].send(signal.SIGKILL)
-        await self._end_of(old)
+        old.send_signal(signal.SIGTERM)
+        await asyncio.sleep(action.pause)
+        self.instances[-1].send_signal(signal.SIGKILL)
+        await self._wait_or_kill(old)
         self.note("ended")
-        await self._start_again()
+        await self._start_after_delay()
 
-    async def _reload(self, act: Act) -> None:
-        for _ in range(act.times):
-            self.turned_round = not self.turned_round
+    async def _reload(self, action: Action) -> None:
+        for _ in range(action.times):
+            self.is_order_reversed = not self.is_order_reversed
             self.write()
             self.note("reloads")
-            for life in self.lives:
-                life.send(signal.SIGHUP)
-            await asyncio.sleep(SIGNAL_PAUSE)
-
-    async def _pause(self, act: Act) -> None:
-        for life in self.lives:
-            life.send(signal.SIGSTOP)
-        await asyncio.sleep(act.pause)
-        for life in self.lives:
-            life.send(signal.SIGCONT)
-
-    async def _signals(self, act: Act) -> None:
-        """At a start and in a stop: what comes beside must neither end it early nor keep it from ending."""
+            for instance in self.instances:
+                instance.send_signal(signal.SIGHUP)
+            await asyncio.sleep(SIGNAL_INTERVAL)
+
+    async def _pause(self, action: Action) -> None:
+        for instance in self.instances:
+            instance.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(action.pause)
+        for instance in self.instances:
+            instance.send_signal(signal.SIGCONT)
+
+    async def _signals(self, action: Action) -> None:
+        """Send further signals during a stop and a start: neither may be cut short or prevented by them."""
         self.note("stopping")
-        life = self.lives[-1]
-        for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)[: act.times + 1]:
-            life.send(number)
-            await asyncio.sleep(SIGNAL_PAUSE)
-        await self._all_end(signal.SIGTERM)
-        await asyncio.sleep(START_PAUSE)
+        instance = self.instances[-1]
+        for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)[: action.times + 1]:
+            instance.send_signal(number)
+            await asyncio.sleep(SIGNAL_INTERVAL)
+        await self._stop_all(signal.SIGTERM)
+        await asyncio.sleep(RESTART_DELAY)
         await self.launch()
-        await asyncio.sleep(act.pause * 2)
-        self.lives[-1].send(signal.SIGHUP)
+        await asyncio.sleep(action.pause * 2)
+        self.instances[-1].send_signal(signal.SIGHUP)
         await self.serves()
         self.note("ready")
 
     async def close(self) -> None:
-        for life in self.lives:
-            life.send(signal.SIGKILL)
-        for life in self.lives:
-            await life.process.wait()
+        """Kill all processes and release what the relay holds."""
+        for instance in self.instances:
+            instance.send_signal(signal.SIGKILL)
+        for instance in self.instances:
+            await instance.process.wait()
         await super().close()
 
 
-ACTS = {
-    ActKind.KILL: SoakRelay._kill,
-    ActKind.RESTART: SoakRelay._restart,
-    ActKind.UPGRADE: SoakRelay._upgrade,
-    ActKind.UPGRADE_KILL: SoakRelay._upgrade_kill,
-    ActKind.UPGRADE_NEW_DIES: SoakRelay._upgrade_new_dies,
-    ActKind.UPGRADE_BOTH_DIE: SoakRelay._upgrade_both_die,
-    ActKind.UPGRADE_STOP_NEW_DIES: SoakRelay._upgrade_stop_new_dies,
-    ActKind.RELOAD: SoakRelay._reload,
-    ActKind.PAUSE: SoakRelay._pause,
-    ActKind.SIGNALS: SoakRelay._signals,
+ACTION_METHODS = {
+    ActionKind.KILL: SoakRelay._kill,
+    ActionKind.RESTART: SoakRelay._restart,
+    ActionKind.UPGRADE: SoakRelay._upgrade,
+    ActionKind.UPGRADE_KILL: SoakRelay._upgrade_kill,
+    ActionKind.UPGRADE_NEW_DIES: SoakRelay._upgrade_new_dies,
+    ActionKind.UPGRADE_BOTH_DIE: SoakRelay._upgrade_both_die,
+    ActionKind.UPGRADE_STOP_NEW_DIES: SoakRelay._upgrade_stop_new_dies,
+    ActionKind.RELOAD: SoakRelay._reload,
+    ActionKind.PAUSE: SoakRelay._pause,
+    ActionKind.SIGNALS: SoakRelay._signals,
 }
 
 
 def size_of(folder: Path) -> int:
-    """Bytes of a folder's files, each in whole blocks."""
-    found = 0
+    """Total size of the files in a folder in bytes, each rounded up to whole blocks."""
+    total = 0
     for path in folder.rglob("*"):
         with contextlib.suppress(OSError):
             if path.is_file():
-                found += -(-path.stat().st_size // BLOCK) * BLOCK
-    return found
+                total += -(-path.stat().st_size // DISK_BLOCK_BYTES) * DISK_BLOCK_BYTES
+    return total
 
 
-async def says_yes(operator: str) -> bool:
-    """Whether the process at this operators' address answers STATUS with +OK."""
+async def is_serving(operator: str) -> bool:
+    """Whether the process at this operator address replies to STATUS with +OK."""
     host, _, port = operator.partition(":")
     try:
         async with asyncio.timeout(1.0):
--- a/limelatch/lab/soak/run.py
+++ b/limelatch/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a seed's plan and judges it from outside: by its record, its processes' ends and their logs."""
+"""Plays the plan of a seed and checks it from outside: by the record, exit codes and logs of the relays."""
 
 from __future__ import annotations
 
@@ -23,62 +23,64 @@
 
 HERE = Path(__file__).resolve().parents[3]  # this checkout
 RECORD = "soak.record"
-BAD_LINES = ('"event":"fault"', '"event":"not-started"', "Traceback", "Unhandled", "connection-not-served")
-TIMELINES_MOST = 5  # breaches of one seed that are told with all that happened
-LINES_MOST = 5  # of one relay's log that are told
+ERROR_MARKS = ('"event":"fault"', '"event":"not-started"', "Traceback", "Unhandled", "connection-not-served")
+MAX_TIMELINES = 5  # breaches of one seed that are reported with a timeline
+MAX_LOG_LINES = 5  # error lines of one relay's log that are reported
 
 
-class Found(msgspec.Struct, frozen=True):
-    """Something wrong: the rule or `process`, and a timeline."""
+class Problem(msgspec.Struct, frozen=True):
+    """One problem: the broken rule or `process`, and the lines that report it, with a timeline for a rule."""
 
     rule: str
     lines: list[str]
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What one seed came to. `late_ms`: by how much the stage itself was late, at its 99th percentile."""
+    """The result of one seed. `late_ms`: 99th percentile of the delay of the stage's own timers."""
 
     seed: int
     texts: int
     calls: int
     faults: dict[str, int]
     breaches: dict[str, int]
-    found: list[Found]
+    found: list[Problem]
     late_ms: float
     seconds: float
 
     @property
     def kept(self) -> bool:
+        """Whether no problem was found."""
         return not self.found
 
 
 def play_seed(seed: int, seconds: float, folder: Path, subject: Path | None = None) -> Verdict:
-    """Play the seed's plan with the relays of `subject`, a checkout, or of this one. Its record and the
-    relays' logs go to the folder.
+    """Play the seed's plan with the relays of the checkout `subject`, or of this checkout.
 
-    Interrupted, no process is left, and the folder holds what there was."""
+    The record and the relays' logs are written to the folder. After an interruption no process is left, and
+    the folder holds what was recorded until then. Raises NoCompiler if the plan has machine faults and there
+    is no C compiler."""
     import uvloop
 
-    plan, began = draw_plan(seed, seconds), time.monotonic()
+    plan, started_at = draw_plan(seed, seconds), time.monotonic()
     folder.mkdir(parents=True, exist_ok=True)
     head = head_of(plan.scenario, "", real.STAGE, seed, "program", real.ALLOWANCES)
-    wrongs: list[str] = []
+    problems: list[str] = []
     with tempfile.TemporaryDirectory(prefix="limelatch-soak-") as temporary:
         work = Path(temporary)
         parts = work / "stage.part", work / "load.part"
 
-        library = build(work) if plan.machine else None
+        library = build(work) if plan.machine_faults else None
 
         async def run() -> None:
-            whole = False
+            is_complete = False
             with rec.Writer(parts[0], head) as writer:
                 stage = SoakStage(plan, library, subject or HERE, writer, work, parts[1], lambda part: None)
                 try:
                     await stage.run()
-                    whole = True
+                    is_complete = True
                 finally:
-                    wrongs.extend(stage.wrongs)
-                    writer.add(rec.Over(stage.clock.now(), whole))
+                    problems.extend(stage.problems)
+                    writer.add(rec.Over(stage.clock.now(), is_complete))
 
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -87,14 +89,14 @@
             merge(folder / RECORD, head, parts)
             for log in work.glob("relay-*.log"):
                 shutil.move(log, folder / log.name)
-    return judge(plan, folder, wrongs, time.monotonic() - began)
+    return evaluate(plan, folder, problems, time.monotonic() - started_at)
 
 
-def judge(plan, folder: Path, wrongs: list[str], seconds: float) -> Verdict:
-    """The verdict on a play whose record and logs are in the folder."""
+def evaluate(plan, folder: Path, problems: list[str], seconds: float) -> Verdict:
+    """The verdict on a play whose record and logs are in the folder; `problems`: those of its processes."""
     counts, late = {"handed": 0, "called": 0}, []
 
-    def counted(events) -> Iterator[rec.Any_]:
+    def count_events(events) -> Iterator[rec.Any_]:
         for event in events:
             counts["handed"] += isinstance(event, rec.Handed)
             counts["called"] += isinstance(event, rec.Called)
@@ -103,13 +105,15 @@
             yield event
 
     reader = rec.Reader(folder / RECORD)
-    checker = Checker(reader.head).judge(counted(reader))
+    checker = Checker(reader.head).judge(count_events(reader))
     logs = sorted(folder.glob("relay-*.log"))
-    found = [Found(breach.rule.value, list(breach.lines())) for breach in checker.breaches]
-    for at, breach in enumerate(checker.breaches[:TIMELINES_MOST]):
-        told = timeline(breach, folder / RECORD, logs)
-        found[at] = Found(breach.rule.value, [next(breach.lines()), *(f"    {line}" for line in told)])
-    found += [Found("process", [words]) for words in [*wrongs, *bad_lines(folder)]]
+    found = [Problem(breach.rule.value, list(breach.lines())) for breach in checker.breaches]
+    for index, breach in enumerate(checker.breaches[:MAX_TIMELINES]):
+        timeline_lines = timeline(breach, folder / RECORD, logs)
+        found[index] = Problem(
+            breach.rule.value, [next(breach.lines()), *(f"    {line}" for line in timeline_lines)]
+        )
+    found += [Problem("process", [problem]) for problem in [*problems, *error_lines(folder)]]
     late.sort()
     late_ms = late[len(late) * 99 // 100] / 10 if late else 0.0
     return Verdict(
@@ -124,14 +128,14 @@
     )
 
 
-def bad_lines(folder: Path) -> Iterator[str]:
-    """Lines of the relays' logs that tell of a fault of their own."""
+def error_lines(folder: Path) -> Iterator[str]:
+    """Lines of the relays' logs that report an internal error, each with the name of its log."""
     for log in sorted(folder.glob("relay-*.log")):
         lines = log.read_text(encoding="utf-8", errors="replace").splitlines()
-        bad = [line for line in lines if any(word in line.replace('": "', '":"') for word in BAD_LINES)]
-        yield from (f"{log.name}: {line[:2000]}" for line in bad[:LINES_MOST])
+        matches = [line for line in lines if any(mark in line.replace('": "', '":"') for mark in ERROR_MARKS)]
+        yield from (f"{log.name}: {line[:2000]}" for line in matches[:MAX_LOG_LINES])
 
 
 def is_late(verdict: Verdict) -> bool:
-    """Whether the stage could not keep up, so that times in its record are not the relays'."""
+    """Whether the stage was so late that the times in its record are not those of the relays."""
     return verdict.late_ms * 10 > LATE_MOST
--- a/limelatch/lab/soak/stage.py
+++ b/limelatch/lab/soak/stage.py
@@ -1,4 +1,4 @@
-"""The stage of a soak: the sockets stage with a plan's acts, its crowd and its nuisances."""
+"""The sockets stage, extended by the process actions, machine faults and extra clients of a soak plan."""
 
 from __future__ import annotations
 
@@ -13,49 +13,51 @@
 from limelatch.lab.soak.relay import SoakRelay
 from limelatch.lab.stages.sockets import Sockets
 
-HALF_COMMAND = b"*5\r\n$6\r\nSUBMIT\r\n$4\r\n0000"
-EARLY_COMMAND = b"*1\r\n$4\r\nPING\r\n"
-# As the deploy file starts a relay: a SIGHUP before the program reads its configuration has nothing to tell.
-START = 'trap \'\' HUP; cd "$0" && exec "$@"'
-STAY = 4.0  # seconds for which a client with half a command stays
-CROWD_LOOK = 0.5  # between two looks whether the crowd is whole
+INCOMPLETE_COMMAND = b"*5\r\n$6\r\nSUBMIT\r\n$4\r\n0000"
+PING_COMMAND = b"*1\r\n$4\r\nPING\r\n"
+# As the deploy file starts a relay: a SIGHUP before the program reads its configuration has no effect.
+START_SCRIPT = 'trap \'\' HUP; cd "$0" && exec "$@"'
+INCOMPLETE_COMMAND_STAY = 4.0  # seconds for which a client with half a command stays connected
+IDLE_CLIENT_RECONNECT_DELAY = 0.5  # seconds at least, twice as many at most
 
 
 class SoakStage(Sockets):
-    """All of one seed's play."""
+    """Plays the whole plan of one seed."""
 
-    def __init__(self, plan: SoakPlan, library: Path | None, subject: Path, *rest) -> None:
-        """`library`: of machine faults, where the plan has any; `subject`: whose relays are played."""
-        self.plan, self.library, self.faults = plan, library, []
+    def __init__(self, plan: SoakPlan, fault_library: Path | None, subject: Path, *rest) -> None:
+        """`fault_library`: None if the plan has no machine faults; `subject`: checkout of the relays."""
+        self.plan, self.fault_library, self.faults = plan, fault_library, []
         self.random = random.Random(plan.seed)
         super().__init__(plan.scenario, plan.seed, *rest)
-        self.command = ["/bin/sh", "-c", START, str(subject), *self.command]
+        self.command = ["/bin/sh", "-c", START_SCRIPT, str(subject), *self.command]
 
     def make_relay(self, number: int) -> SoakRelay:
+        """A relay, with machine faults if the plan has any."""
         listen = f"{self.address.host}:{self.address.port()}"
         relay = SoakRelay(number, self, self.folder, listen)
-        if self.library is not None:
-            self.faults.append(Faults(self.library, self.folder / f"{relay.name}.faults"))
+        if self.fault_library is not None:
+            self.faults.append(Faults(self.fault_library, self.folder / f"{relay.name}.faults"))
             relay.environment = self.faults[-1].environment
         return relay
 
     def begin(self) -> None:
+        """Start the play: schedule actions and machine faults, start idle and faulty clients."""
         super().begin()
-        for act in self.plan.acts:
-            self.clock.at(int(act.at * SECOND), self._act, act)
-        for fault in self.plan.machine:
-            self.clock.at(int(fault.at * SECOND), self._strike, fault)
+        for action in self.plan.actions:
+            self.clock.at(int(action.at * SECOND), self._start_action, action)
+        for fault in self.plan.machine_faults:
+            self.clock.at(int(fault.at * SECOND), self._apply_fault, fault)
         for relay in self.relays:
-            for _ in range(self.plan.crowd):
-                self.spawn(self._rest_idle(relay))
-            if self.plan.nuisances:
-                self.spawn(self._be_a_nuisance(relay))
+            for _ in range(self.plan.idle_clients):
+                self.spawn(self._run_idle_client(relay))
+            if self.plan.faulty_client_rate:
+                self.spawn(self._run_faulty_clients(relay))
 
-    def _act(self, act) -> None:
-        self.spawn(self.relays[act.relay].perform(act))
+    def _start_action(self, action) -> None:
+        self.spawn(self.relays[action.relay].perform(action))
 
-    def _strike(self, fault: MachineFault) -> None:
-        """A fault of a relay's machine, for all its processes."""
+    def _apply_fault(self, fault: MachineFault) -> None:
+        """Apply a machine fault to all processes of a relay."""
         faults = self.faults[fault.relay]
         self.relays[fault.relay].note(f"machine: {fault.call or 'step'} {fault.step or ''}".strip())
         if fault.step:
@@ -72,33 +74,33 @@
         )
 
     @property
-    def wrongs(self) -> list[str]:
-        """What was wrong with the relays' processes."""
-        return [f"{relay.name}: {words}" for relay in self.relays for words in relay.wrongs]
+    def problems(self) -> list[str]:
+        """Failures of the relays' processes, each with the name of its relay."""
+        return [f"{relay.name}: {problem}" for relay in self.relays for problem in relay.problems]
 
-    async def _rest_idle(self, relay: SoakRelay) -> None:
-        """One of a crowd: it asks once, rests until the relay ends it, and comes again."""
+    async def _run_idle_client(self, relay: SoakRelay) -> None:
+        """A client that sends one command, stays idle until the relay disconnects it, and reconnects."""
         host, _, port = relay.listen.partition(":")
         while True:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 with contextlib.closing(writer):
-                    writer.write(EARLY_COMMAND)
+                    writer.write(PING_COMMAND)
                     while await reader.read(64):
                         pass
-            await asyncio.sleep(CROWD_LOOK * (1 + self.random.random()))
+            await asyncio.sleep(IDLE_CLIENT_RECONNECT_DELAY * (1 + self.random.random()))
 
-    async def _be_a_nuisance(self, relay: SoakRelay) -> None:
-        """Clients that send half a command and stay, or a whole one and leave before its answer."""
+    async def _run_faulty_clients(self, relay: SoakRelay) -> None:
+        """Start clients that send half a command and stay, or a whole one and disconnect before the reply."""
         while True:
-            await asyncio.sleep(self.random.expovariate(self.plan.nuisances))
-            self.spawn(self._nuisance(relay, self.random.random() < 0.5))
+            await asyncio.sleep(self.random.expovariate(self.plan.faulty_client_rate))
+            self.spawn(self._run_faulty_client(relay, self.random.random() < 0.5))
 
-    async def _nuisance(self, relay: SoakRelay, stays: bool) -> None:
+    async def _run_faulty_client(self, relay: SoakRelay, is_incomplete: bool) -> None:
         host, _, port = relay.listen.partition(":")
         with contextlib.suppress(OSError):
             _, writer = await asyncio.open_connection(host, int(port))
             with contextlib.closing(writer):
-                writer.write(HALF_COMMAND if stays else EARLY_COMMAND)
-                if stays:
-                    await asyncio.sleep(STAY)
+                writer.write(INCOMPLETE_COMMAND if is_incomplete else PING_COMMAND)
+                if is_incomplete:
+                    await asyncio.sleep(INCOMPLETE_COMMAND_STAY)
--- a/limelatch/lab/soak/timeline.py
+++ b/limelatch/lab/soak/timeline.py
@@ -1,4 +1,4 @@
-"""One timeline of the texts of a breach: clients, partners, signals, faults and the relays' own lines."""
+"""The timeline of a breach: events of clients, partners, signals and faults, with the relays' log lines."""
 
 from __future__ import annotations
 
@@ -12,65 +12,69 @@
 from limelatch.lab.checker import Breach
 from limelatch.lab.record import Answer, Fate
 
-TEXT = re.compile(r"\bt\d+(?:\.\d+)*\b")
-LOG_LINE = re.compile(r"(\d+) (.*)")  # the stage's time in ticks, then the relay's line
+TEXT_ID = re.compile(r"\bt\d+(?:\.\d+)*\b")
+LOG_LINE = re.compile(r"(\d+) (.*)")  # the stage's time in units of the interface, then the relay's line
 LOG_EVENTS = ("started", "serving", "stopping", "stopped", "taken-over", "configured", "folder-failing")
-BEFORE, AFTER = SECOND // 2, SECOND // 2  # of the texts' first event and of the breach
-LINES_MOST = 120
+TIME_BEFORE = SECOND // 2  # before the first event of the texts
+TIME_AFTER = SECOND // 2  # after the breach
+MAX_LINES = 120  # the last ones
 
 
 def texts_of(breach: Breach) -> set[str]:
     """The texts that a breach names."""
-    return set(TEXT.findall(f"{breach.subject} {breach.words}"))
+    return set(TEXT_ID.findall(f"{breach.subject} {breach.words}"))
 
 
 def timeline(breach: Breach, record: Path, logs: list[Path]) -> list[str]:
-    """What happened to the breach's texts, and to the relays that had them, by the stage's time."""
+    """What happened to the texts of the breach and to their relays, ordered by the stage's time.
+
+    `record` and `logs` are files of the same play."""
     texts = texts_of(breach)
     events = list(rec.Reader(record))
     relays = {each.relay for each in events if isinstance(each, rec.Handed) and each.text in texts}
-    calls = {each.call for each in events if isinstance(each, rec.Called) and named(each, texts)}
-    begin = min((each.at for each in events if named(each, texts)), default=breach.at) - BEFORE
-    end = breach.at + AFTER
+    calls = {each.call for each in events if isinstance(each, rec.Called) and concerns_text(each, texts)}
+    begin = min((each.at for each in events if concerns_text(each, texts)), default=breach.at) - TIME_BEFORE
+    end = breach.at + TIME_AFTER
 
-    def concerned(event: rec.Any_) -> bool:
+    def is_relevant(event: rec.Any_) -> bool:
         if isinstance(event, rec.Relay):
             return event.relay in relays
         if isinstance(event, rec.Fault):
             return True
-        return named(event, texts) or getattr(event, "call", None) in calls
+        return concerns_text(event, texts) or getattr(event, "call", None) in calls
 
-    kept = [(each.at, words_of(each)) for each in events if begin <= each.at <= end and concerned(each)]
+    entries = [(each.at, describe(each)) for each in events if begin <= each.at <= end and is_relevant(each)]
     for log in logs:
         if int(log.stem.rpartition("-")[2]) in relays:
-            kept += [line for line in log_lines(log, texts) if begin <= line[0] <= end]
-    kept.sort(key=lambda line: line[0])
-    return [f"{write_span(at)} {words}" for at, words in kept[-LINES_MOST:]]
+            entries += [line for line in log_lines(log, texts) if begin <= line[0] <= end]
+    entries.sort(key=lambda line: line[0])
+    return [f"{write_span(at)} {description}" for at, description in entries[-MAX_LINES:]]
 
 
-def named(event: rec.Any_, texts: set[str]) -> bool:
+def concerns_text(event: rec.Any_, texts: set[str]) -> bool:
     """Whether an event is about one of the texts."""
     return getattr(event, "text", None) in texts or bool(texts.intersection(getattr(event, "texts", ())))
 
 
-def words_of(event: rec.Any_) -> str:
-    """An event in words; its own form where it needs none."""
+def describe(event: rec.Any_) -> str:
+    """An event as readable text; its repr if it has no other form."""
     match event:
         case rec.Handed():
             return (
-                f"client hands {event.text} in at relay {event.relay}, key {event.key}, try {event.again + 1}"
+                f"client submits {event.text} to relay {event.relay}, "
+                f"key {event.key}, attempt {event.again + 1}"
             )
         case rec.Answered():
-            return f"client of {event.text}: {Answer(event.answer).name.lower()}"
+            return f"client of {event.text} gets: {Answer(event.answer).name.lower()}"
         case rec.Called():
             return (
                 f"host {event.host}: call {event.call} of relay {event.relay} with {', '.join(event.texts)}"
             )
         case rec.Responded():
             fates = ", ".join(Fate(each).name.lower() for each in event.fates)
-            return f"host: call {event.call} is answered: {fates}, wait {event.wait}"
+            return f"host answers call {event.call}: {fates}, wait {event.wait}"
         case rec.GaveUp():
-            return f"host: call {event.call} is given up by its relay"
+            return f"call {event.call} is abandoned by its relay"
         case rec.Noticed():
             return f"platform: {event.text} {'bounced' if event.nacked else 'dead'}, by relay {event.relay}"
         case rec.Relay():
@@ -81,12 +85,12 @@
 
 
 def log_lines(log: Path, texts: set[str]) -> Iterator[tuple[int, str]]:
-    """A relay's lines of the texts, and of its processes' starts and ends."""
+    """Lines of a relay's log about the texts or about starts and ends of its processes, with their times."""
     for line in log.read_text(encoding="utf-8", errors="replace").splitlines():
         match = LOG_LINE.fullmatch(line)
         if match is None:
             continue
-        words = match[2]
-        ours = any(f'"text":"{text}"' in words for text in texts)
-        if ours or any(f'"event":"{event}"' in words for event in LOG_EVENTS):
-            yield int(match[1]), f"{log.stem} says {words}"
+        relay_line = match[2]
+        is_of_text = any(f'"text":"{text}"' in relay_line for text in texts)
+        if is_of_text or any(f'"event":"{event}"' in relay_line for event in LOG_EVENTS):
+            yield int(match[1]), f"{log.stem} logs {relay_line}"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plans, what it judges, its command, and a short one of fixed seeds."""
+"""Tests of the soak: its plans, timelines, mutants and command, and a short soak of fixed seeds."""
 
 from __future__ import annotations
 
@@ -16,45 +16,47 @@
 from limelatch.lab.checker import Breach, Rule
 from limelatch.lab.play import head_of
 from limelatch.lab.soak import mutants, plan
-from limelatch.lab.soak.plan import ACT_WEIGHTS, NAMELESS_FAULTS, PAUSE_MOST, draw_plan
-from limelatch.lab.soak.run import HERE, bad_lines
+from limelatch.lab.soak.plan import ACTION_WEIGHTS, DRAWN_FAULTS, MAX_PAUSE, draw_plan
+from limelatch.lab.soak.run import HERE, error_lines
 from limelatch.lab.soak.timeline import timeline
 from limelatch.lab.stages.real import ALLOWANCES, STAGE
 
 ROOT = Path(__file__).parent.parent
-SHORT_SEEDS, SHORT_SECONDS = "7,19,23,29,32,37", 12  # few relays, short texts: a minute
-PLAY_WAIT = 120  # seconds for a short soak
-GAP = 0.2
+SHORT_SEEDS = "7,19,23,29,32,37"  # plans with few relays and short validity periods: a minute in all
+SHORT_SECONDS = 12
+PLAY_TIMEOUT = 120  # seconds for a short soak
+POLL_INTERVAL = 0.2  # seconds
 
 
-def soak(*words, **more):
+def soak(*args, **options):
+    """Run the command `limelatch lab soak` with these arguments and wait for its end."""
     return subprocess.run(
-        [sys.executable, "-m", "limelatch", "lab", "soak", *words],
+        [sys.executable, "-m", "limelatch", "lab", "soak", *args],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=PLAY_WAIT,
+        timeout=PLAY_TIMEOUT,
         check=False,
-        **more,
+        **options,
     )
 
 
-def test_a_seed_draws_the_same_plan_and_the_seeds_draw_all_there_is():
+def test_plans_are_reproducible_and_the_seeds_cover_all_kinds_of_faults():
     plans = [draw_plan(seed, 40) for seed in range(1, 61)]
     assert plans == [draw_plan(seed, 40) for seed in range(1, 61)]
     kinds = {kind for each in plans for kind in each.count()}
-    wanted = {kind.value for kind in ACT_WEIGHTS} | {what.value for what in NAMELESS_FAULTS} | {"crowd"}
+    wanted = {kind.value for kind in ACTION_WEIGHTS} | {what.value for what in DRAWN_FAULTS} | {"crowd"}
     assert wanted <= kinds and {"machine-step", "machine-write", "machine-recv"} <= kinds
     assert {each.scenario.relays.count for each in plans} == {1, 2, 3, 4, 6}
-    assert all(act.pause <= PAUSE_MOST for each in plans for act in each.acts)
-    assert any(min(act.at for act in each.acts) > 20 for each in plans)  # a quiet time first
+    assert all(action.pause <= MAX_PAUSE for each in plans for action in each.actions)
+    assert any(min(action.at for action in each.actions) > 20 for each in plans)  # begins without faults
 
 
-def test_a_kill_comes_no_earlier_after_sigterm_than_the_protocol_has_it():
+def test_sigkill_follows_sigterm_no_earlier_than_the_protocol_allows():
     assert plan.KILL_AFTER >= 3.7
 
 
-def test_a_breach_is_told_with_its_texts_signals_faults_and_log_lines_by_the_stage_s_time(tmp_path):
+def test_a_timeline_holds_texts_signals_and_log_lines_in_order_of_the_stage_time(tmp_path):
     record, log = tmp_path / "soak.record", tmp_path / "relay-0.log"
     head = head_of(draw_plan(1, 10).scenario, "", STAGE, 1, "program", ALLOWANCES)
     with rec.Writer(record, head) as writer:
@@ -72,27 +74,27 @@
     log.write_text('13100 {"event":"submit-going","text":"t1"}\n13200 {"event":"mode"}\nno time\n')
     breach = Breach(Rule.ORDER, 15_000, "key 7", "text t1 was sent before its turn", [])
     assert timeline(breach, record, [log]) == [
-        "1s client hands t1 in at relay 0, key 7, try 1",
-        "1.1s client of t1: taken",
+        "1s client submits t1 to relay 0, key 7, attempt 1",
+        "1.1s client of t1 gets: taken",
         "1.2s relay 0: upgrade",
         "1.3s host 2: call 5 of relay 0 with t1",
-        '1.31s relay-0 says {"event":"submit-going","text":"t1"}',
-        "1.4s host: call 5 is given up by its relay",
+        '1.31s relay-0 logs {"event":"submit-going","text":"t1"}',
+        "1.4s call 5 is abandoned by its relay",
     ]
 
 
-def test_faults_in_the_relays_logs_are_found(tmp_path):
+def test_error_lines_in_the_relays_logs_are_found(tmp_path):
     (tmp_path / "relay-0.log").write_text(
         '{"event":"serving"}\n{"event": "fault"}\nTraceback (most recent)\n'
     )
-    assert list(bad_lines(tmp_path)) == [
+    assert list(error_lines(tmp_path)) == [
         'relay-0.log: {"event": "fault"}',
         "relay-0.log: Traceback (most recent)",
     ]
 
 
 @pytest.mark.parametrize("mutant", mutants.MUTANTS, ids=lambda mutant: mutant.name)
-def test_each_mutant_has_its_place_in_the_code(mutant, tmp_path):
+def test_each_mutant_applies_to_the_code_and_compiles(mutant, tmp_path):
     mutants.write_mutant(mutant, HERE, tmp_path / "tree")
     written = (tmp_path / "tree" / "limelatch" / mutant.path).read_text()
     compile(written, mutant.path, "exec")
@@ -100,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, says",
+    "args, message",
     [
         (["--seeds", "5-1"], "'5-1' is no list of seeds"),
         (["--seeds", "one"], "'one' is no list of seeds"),
@@ -112,72 +114,72 @@
         (["--subject", "/no/such/checkout"], "/no/such/checkout"),
     ],
 )
-def test_bad_words_are_named_in_a_line_and_start_nothing(words, says, tmp_path):
-    done = soak(*words, env=os.environ | {"TMPDIR": str(tmp_path)})
-    assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr
+def test_invalid_arguments_are_reported_and_nothing_is_started(args, message, tmp_path):
+    done = soak(*args, env=os.environ | {"TMPDIR": str(tmp_path)})
+    assert done.returncode == 2 and message in done.stderr and "Traceback" not in done.stderr
     assert list(tmp_path.iterdir()) == []
 
 
-def test_without_a_compiler_a_plan_with_machine_faults_is_not_played(tmp_path):
-    seed = next(seed for seed in range(1, 60) if draw_plan(seed, 10).machine)
-    words = ["--seed", str(seed), "--seconds", "10"]
-    done = soak(*words, env=os.environ | {"TMPDIR": str(tmp_path), "PATH": str(tmp_path)})
+def test_a_plan_with_machine_faults_needs_a_compiler(tmp_path):
+    seed = next(seed for seed in range(1, 60) if draw_plan(seed, 10).machine_faults)
+    args = ["--seed", str(seed), "--seconds", "10"]
+    done = soak(*args, env=os.environ | {"TMPDIR": str(tmp_path), "PATH": str(tmp_path)})
     assert done.returncode == 2 and "no C compiler found" in done.stderr
     assert list(tmp_path.iterdir()) == []
 
 
-def test_too_few_descriptors_are_named_before_anything_starts(tmp_path):
+def test_a_low_descriptor_limit_is_reported_before_the_start(tmp_path):
     command = f"ulimit -n 400 && exec {sys.executable} -m limelatch lab soak --seeds 1"
     done = subprocess.run(["/bin/sh", "-c", command], cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 2 and "descriptors, a process may hold 400" in done.stderr
 
 
 @pytest.mark.parametrize(
-    "words, code_says",
+    "args, expected_output",
     [
         (["soak", "--seeds", "1-4", "--jobs", "2"], "0 of 4 seeds played"),
         (["mutants", "--seeds", "1-4", "--jobs", "2"], ""),
     ],
     ids=["soak", "mutants"],
 )
-def test_ctrl_c_ends_all_that_was_started_and_leaves_no_folder(tmp_path, words, code_says):
-    """Also in a shell's background, where SIGINT is ignored: nothing here sets it for the command."""
+def test_sigint_ends_all_processes(tmp_path, args, expected_output):
+    """Also as a background job of a shell, where SIGINT is ignored when the command starts."""
     process = subprocess.Popen(
-        ["/bin/sh", "-c", 'trap "" INT; exec "$@"', "sh", sys.executable, "-m", "limelatch", "lab", *words],
+        ["/bin/sh", "-c", 'trap "" INT; exec "$@"', "sh", sys.executable, "-m", "limelatch", "lab", *args],
         cwd=ROOT,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
         env=os.environ | {"TMPDIR": str(tmp_path)},
     )
-    until = time.monotonic() + PLAY_WAIT
+    deadline = time.monotonic() + PLAY_TIMEOUT
     while not any(tmp_path.glob("limelatch-soak-*/relay-*-state/ledger")):
-        assert time.monotonic() < until and process.poll() is None
-        time.sleep(GAP)
-    began = time.monotonic()
+        assert time.monotonic() < deadline and process.poll() is None
+        time.sleep(POLL_INTERVAL)
+    interrupted_at = time.monotonic()
     process.send_signal(signal.SIGINT)
-    said, wrong = process.communicate(timeout=PLAY_WAIT)
-    assert process.returncode == 130 and time.monotonic() - began < 3, wrong
-    assert code_says in said
-    assert not running_with(str(tmp_path))
+    output, errors = process.communicate(timeout=PLAY_TIMEOUT)
+    assert process.returncode == 130 and time.monotonic() - interrupted_at < 3, errors
+    assert expected_output in output
+    assert not processes_naming(str(tmp_path))
 
 
-def running_with(words: str) -> list[str]:
-    """Command lines of processes that name the words."""
+def processes_naming(fragment: str) -> list[str]:
+    """Command lines of running processes that contain `fragment`."""
     found = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
             line = path.read_bytes().replace(b"\0", b" ").decode(errors="replace")
         except OSError:
             continue
-        if words in line:
+        if fragment in line:
             found.append(line)
     return found
 
 
-def test_a_short_soak_of_fixed_seeds_breaks_no_rule(tmp_path):
-    words = ["--seeds", SHORT_SEEDS, "--seconds", str(SHORT_SECONDS), "--jobs", "2"]
-    done = soak(*words, "--keep", str(tmp_path / "kept"))
+def test_a_short_soak_breaks_no_rule(tmp_path):
+    args = ["--seeds", SHORT_SEEDS, "--seconds", str(SHORT_SECONDS), "--jobs", "2"]
+    done = soak(*args, "--keep", str(tmp_path / "kept"))
     assert done.returncode == 0, done.stdout + done.stderr
     assert "6 of 6 seeds played" in done.stdout and "no rule broken" in done.stdout
     shutil.rmtree(tmp_path / "kept")
