--- a/limelatch/lab/scenario/__init__.py
+++ b/limelatch/lab/scenario/__init__.py
@@ -1,4 +1,4 @@
-"""Scenarios: TOML files of partners, clients, relays and a time-line of faults, checked before a run."""
+"""Scenarios: TOML files of partners, clients, relays and a timeline of faults, validated before a run."""
 
 from limelatch.lab.scenario.load import library, load, parse
 from limelatch.lab.scenario.model import Scenario
--- a/limelatch/lab/scenario/check.py
+++ b/limelatch/lab/scenario/check.py
@@ -1,4 +1,4 @@
-"""What is wrong with a scenario though each key alone is right, and what it asks for that can't be had."""
+"""Checks of a whole scenario: errors across keys that are each valid, and rates that cannot be reached."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 from limelatch.configuration.errors import ConfigError
 from limelatch.configuration.units import write_span
 from limelatch.interface import SECOND, Effect
-from limelatch.lab.scenario.model import ENDPOINTS_MOST, FaultKeys, LimitForm, PartnerKeys, Scenario, What
-
-# What each fault takes beside `what` and `at`; any other key that is told is a fault of the scenario.
-SCOPE = {"partners", "floors", "kinds", "part"}
-TAKES = {
-    What.HANG: SCOPE | {"lasts", "runs"},
-    What.SILENT: SCOPE | {"lasts", "runs"},
-    What.DOWN: SCOPE | {"lasts"},
-    What.ERRORS: SCOPE | {"lasts", "share", "runs"},
-    What.SHUT: SCOPE | {"lasts", "wait"},
-    What.SLOW: SCOPE | {"lasts", "times"},
-    What.SWING: SCOPE | {"lasts", "times", "period"},
-    What.RESET: SCOPE | {"lasts", "share", "runs"},
-    What.GARBLE: SCOPE | {"lasts", "share"},
-    What.LOSS: SCOPE | {"lasts", "share"},
-    What.LIMIT: SCOPE | {"lasts", "times"},
-    What.DRAIN: SCOPE | {"lasts", "period"},
+from limelatch.lab.scenario.model import MAX_ENDPOINTS, FaultKeys, LimitForm, PartnerKeys, Scenario, What
+
+# The keys that each fault allows besides `what` and `at`; any other key that is set is an error.
+SCOPE_KEYS = {"partners", "floors", "kinds", "part"}
+ALLOWED_KEYS = {
+    What.HANG: SCOPE_KEYS | {"lasts", "runs"},
+    What.SILENT: SCOPE_KEYS | {"lasts", "runs"},
+    What.DOWN: SCOPE_KEYS | {"lasts"},
+    What.ERRORS: SCOPE_KEYS | {"lasts", "share", "runs"},
+    What.SHUT: SCOPE_KEYS | {"lasts", "wait"},
+    What.SLOW: SCOPE_KEYS | {"lasts", "times"},
+    What.SWING: SCOPE_KEYS | {"lasts", "times", "period"},
+    What.RESET: SCOPE_KEYS | {"lasts", "share", "runs"},
+    What.GARBLE: SCOPE_KEYS | {"lasts", "share"},
+    What.LOSS: SCOPE_KEYS | {"lasts", "share"},
+    What.LIMIT: SCOPE_KEYS | {"lasts", "times"},
+    What.DRAIN: SCOPE_KEYS | {"lasts", "period"},
     What.LIST_LATE: {"lasts", "times", "relays"},
     What.LIST_SILENT: {"lasts", "relays"},
     What.KILL: {"lasts", "period", "part", "relays"},
     What.RESTART: {"lasts", "period", "part", "relays"},
     What.RELOAD: {"lasts", "period", "part", "relays"},
     What.WIPE: {"lasts", "period", "part", "relays"},
-    What.CUT_OFF: SCOPE | {"lasts", "relays"},
+    What.CUT_OFF: SCOPE_KEYS | {"lasts", "relays"},
     What.SURGE: {"lasts", "times", "partners", "kinds", "products", "customers"},
     What.CLUMP: {"partners", "kinds", "products", "customers", "texts"},
 }
-LASTING = {what for what, keys in TAKES.items() if "lasts" in keys} - {
+FAULTS_WITH_DURATION = {what for what, keys in ALLOWED_KEYS.items() if "lasts" in keys} - {
     What.KILL,
     What.RESTART,
     What.RELOAD,
     What.WIPE,
 }
-NEEDS = {
+REQUIRED_KEYS = {
     What.SLOW: "times",
     What.SWING: "times",
     What.LIMIT: "times",
@@ -54,19 +54,19 @@
 
 
 def destinations(scenario: Scenario) -> Iterator[tuple[str, PartnerKeys]]:
-    """Every destination's name with its group, in the order of their numbers."""
+    """The name and the group of each destination, in the order of their numbers."""
     for group in scenario.partners:
         for number in range(1, group.count + 1):
             yield f"{group.name}-{number}", group
 
 
-def faults_of(scenario: Scenario) -> list[ConfigError]:
-    """All that makes it unplayable, by key."""
-    found: list[ConfigError] = []
+def scenario_errors(scenario: Scenario) -> list[ConfigError]:
+    """All errors that prevent a run of the scenario, each with the path of its key."""
+    errors: list[ConfigError] = []
     for table in ("products", "customers", "kinds", "floors", "partners"):
-        found += duplicate_names(table, [row.name for row in getattr(scenario, table)])
-    found += partners_faults(scenario)
-    found += products_faults(scenario)
+        errors += duplicate_names(table, [row.name for row in getattr(scenario, table)])
+    errors += partner_errors(scenario)
+    errors += product_errors(scenario)
     names = {
         "partners": [name for name, _ in destinations(scenario)],
         "floors": [row.name for row in scenario.floors],
@@ -75,111 +75,127 @@
         "customers": [row.name for row in scenario.customers],
     }
     for at, fault in enumerate(scenario.faults):
-        found += fault_faults(scenario, f"faults[{at}]", fault, names)
+        errors += fault_errors(scenario, f"faults[{at}]", fault, names)
     if scenario.scenario.warm_up >= scenario.scenario.seconds:
-        found.append(ConfigError("scenario.warm_up", "it is no shorter than the scenario"))
+        errors.append(ConfigError("scenario.warm_up", "must be shorter than the scenario"))
     if scenario.clients.rate <= 0:
-        found.append(ConfigError("clients.rate", "no text would come"))
-    return found
+        errors.append(ConfigError("clients.rate", "must be greater than 0: no texts would be submitted"))
+    return errors
 
 
-def partners_faults(scenario: Scenario) -> list[ConfigError]:
-    found, kinds = [], [row.name for row in scenario.kinds]
+def partner_errors(scenario: Scenario) -> list[ConfigError]:
+    """The errors of the partners."""
+    errors, kinds = [], [row.name for row in scenario.kinds]
     products = [row.name for row in scenario.products]
     endpoints = sum(group.count * group.endpoints for group in scenario.partners)
-    if endpoints > ENDPOINTS_MOST:
-        found.append(ConfigError("partners", f"{endpoints} endpoints in all, {ENDPOINTS_MOST} at most"))
+    if endpoints > MAX_ENDPOINTS:
+        errors.append(ConfigError("partners", f"{endpoints} endpoints in total, {MAX_ENDPOINTS} at most"))
     for at, group in enumerate(scenario.partners):
         path = f"partners[{at}]"
         if group.kind and group.kind not in kinds:
-            found.append(ConfigError(f"{path}.kind", f"no such kind: {group.kind!r}"))
+            errors.append(ConfigError(f"{path}.kind", f"no such kind: {group.kind!r}"))
         for name in group.products:
             if name not in products:
-                found.append(ConfigError(f"{path}.products", f"no such product: {name!r}"))
+                errors.append(ConfigError(f"{path}.products", f"no such product: {name!r}"))
         if not group.capacity:
-            found.append(ConfigError(f"{path}.capacity", "it can do nothing"))
+            errors.append(ConfigError(f"{path}.capacity", "must be greater than 0"))
         if group.limit.form is not LimitForm.NONE and not group.limit.of_capacity:
-            found.append(ConfigError(f"{path}.limit.of_capacity", "it would take nothing"))
+            errors.append(
+                ConfigError(
+                    f"{path}.limit.of_capacity", "must be greater than 0: the limit would let nothing through"
+                )
+            )
     if not any(group.share for group in scenario.partners):
-        found.append(ConfigError("partners", "none has a share of the texts"))
-    return found
+        errors.append(ConfigError("partners", "at least one must have a share of the texts"))
+    return errors
 
 
-def products_faults(scenario: Scenario) -> list[ConfigError]:
-    found = []
+def product_errors(scenario: Scenario) -> list[ConfigError]:
+    """The errors of the products."""
+    errors = []
     for at, row in enumerate(scenario.products):
         path = f"products[{at}]"
         if not row.validity_period:
-            found.append(ConfigError(f"{path}.validity_period", "it is over at once"))
+            errors.append(ConfigError(f"{path}.validity_period", "must be greater than 0"))
         if row.sla_time > row.validity_period:
-            found.append(ConfigError(f"{path}.sla_time", "it is longer than the validity period"))
+            errors.append(ConfigError(f"{path}.sla_time", "must not be longer than the validity period"))
         if (row.effect is Effect.REFERENCED) != bool(row.repeat_window):
-            found.append(ConfigError(f"{path}.repeat_window", "a referenced product has one, and no other"))
+            errors.append(
+                ConfigError(
+                    f"{path}.repeat_window", "is required for referenced products, and allowed for no other"
+                )
+            )
         if row.share and not any(
             not group.products or row.name in group.products for group in scenario.partners if group.share
         ):
-            found.append(ConfigError(path, "no partner takes it"))
+            errors.append(ConfigError(path, "has a share of the texts, but no partner accepts it"))
     if not any(row.share for row in scenario.products):
-        found.append(ConfigError("products", "none has a share of the texts"))
-    return found
+        errors.append(ConfigError("products", "at least one must have a share of the texts"))
+    return errors
 
 
-def fault_faults(
+def fault_errors(
     scenario: Scenario, path: str, fault: FaultKeys, names: dict[str, list[str]]
 ) -> list[ConfigError]:
-    """What is wrong with one entry of the time-line."""
-    found, takes = [], TAKES[fault.what] | {"what", "at"}
+    """The errors of one entry of the timeline."""
+    errors, allowed = [], ALLOWED_KEYS[fault.what] | {"what", "at"}
     for name, default in DEFAULTS.items():
-        if name not in takes and getattr(fault, name) != default:
-            found.append(ConfigError(f"{path}.{name}", f"{fault.what.value} has no such key"))
+        if name not in allowed and getattr(fault, name) != default:
+            errors.append(ConfigError(f"{path}.{name}", f"{fault.what.value} has no such key"))
     if fault.at >= scenario.scenario.seconds:
         end = write_span(scenario.scenario.seconds)
-        found.append(ConfigError(f"{path}.at", f"it begins after the last text, at {end}"))
-    if fault.what in LASTING and not fault.lasts:
-        found.append(ConfigError(f"{path}.lasts", "it would end as it begins"))
-    if "period" in takes and not fault.period:
-        found.append(ConfigError(f"{path}.period", "one after the other without a pause"))
-    if fault.what in NEEDS and getattr(fault, NEEDS[fault.what]) == DEFAULTS[NEEDS[fault.what]]:
-        found.append(
-            ConfigError(f"{path}.{NEEDS[fault.what]}", f"{fault.what.value} does nothing without it")
+        errors.append(ConfigError(f"{path}.at", f"begins after the last text, which comes at {end}"))
+    if fault.what in FAULTS_WITH_DURATION and not fault.lasts:
+        errors.append(ConfigError(f"{path}.lasts", "must be greater than 0"))
+    if "period" in allowed and not fault.period:
+        errors.append(ConfigError(f"{path}.period", "must be greater than 0"))
+    if (
+        fault.what in REQUIRED_KEYS
+        and getattr(fault, REQUIRED_KEYS[fault.what]) == DEFAULTS[REQUIRED_KEYS[fault.what]]
+    ):
+        errors.append(
+            ConfigError(f"{path}.{REQUIRED_KEYS[fault.what]}", f"{fault.what.value} has no effect without it")
         )
     for pattern in fault.partners:
         if not any(fnmatchcase(name, pattern) for name in names["partners"]):
-            found.append(ConfigError(f"{path}.partners", f"no such destination: {pattern!r}"))
+            errors.append(ConfigError(f"{path}.partners", f"no such destination: {pattern!r}"))
     for table in ("floors", "kinds", "products", "customers"):
         for name in getattr(fault, table):
             if name not in names[table]:
-                found.append(ConfigError(f"{path}.{table}", f"none of this name: {name!r}"))
+                errors.append(ConfigError(f"{path}.{table}", f"no such name: {name!r}"))
     for number in fault.relays:
         if not 0 <= number < scenario.relays.count:
-            found.append(ConfigError(f"{path}.relays", f"there is no relay {number}"))
+            errors.append(ConfigError(f"{path}.relays", f"there is no relay {number}"))
     if fault.what in (What.SLOW, What.SWING, What.LIST_LATE) and fault.times < 1:
-        found.append(ConfigError(f"{path}.times", "at least 1 is wanted: so many times as slow or late"))
+        errors.append(ConfigError(f"{path}.times", "must be at least 1: the factor by which times grow"))
     if fault.what is What.LIMIT and not any(
         group.limit.form is not LimitForm.NONE for group in scenario.partners
     ):
-        found.append(ConfigError(f"{path}.what", "no partner has a limit to cut"))
-    return found
+        errors.append(ConfigError(f"{path}.what", "no partner has a limit that can be reduced"))
+    return errors
 
 
 def doubts(scenario: Scenario) -> list[ConfigError]:
-    """What can be played, and will hardly show what is meant: rates that can't be reached."""
-    found = []
+    """Warnings about a scenario that can be run, but whose rates cannot be reached."""
+    errors = []
     offered, shares = scenario.clients.rate, sum(group.share for group in scenario.partners)
-    busy = 0.0
+    mean_calls = 0.0  # calls in flight, by Little's law
     for at, group in enumerate(scenario.partners):
-        asked, bears = offered * group.share / shares, group.capacity * group.count
-        busy += asked * group.latency / SECOND
-        if asked > 1.2 * bears:
-            found.append(
+        asked, capacity = offered * group.share / shares, group.capacity * group.count
+        mean_calls += asked * group.latency / SECOND
+        if asked > 1.2 * capacity:
+            errors.append(
                 ConfigError(
                     f"partners[{at}].capacity",
-                    f"{asked:.0f} texts a second come for a group that serves {bears:.0f}",
+                    f"{asked:.0f} texts a second are submitted to a group that serves {capacity:.0f}",
                 )
             )
     slots = scenario.relays.count * scenario.relays.slots
-    if busy > slots:
-        found.append(
-            ConfigError("relays.slots", f"{busy:.0f} calls would be out at once, and there are {slots} slots")
+    if mean_calls > slots:
+        errors.append(
+            ConfigError(
+                "relays.slots",
+                f"{mean_calls:.0f} calls would be in flight at once, but there are {slots} slots",
+            )
         )
-    return found
+    return errors
--- a/limelatch/lab/scenario/model.py
+++ b/limelatch/lab/scenario/model.py
@@ -1,6 +1,6 @@
-"""The model of a scenario: every key with its type, bounds, default and what it is for.
+"""The model of a scenario: every key with its type, bounds, default and purpose.
 
-Spans are in tenths of a millisecond, sizes in bytes, rates in texts or calls a second.
+Spans are in tenths of a millisecond, sizes in bytes, rates in texts or calls per second.
 """
 
 from __future__ import annotations
@@ -13,20 +13,22 @@
 from limelatch.configuration.model import RepeatScope, RateQuality, Revenue, Share, Size, Span, Table
 from limelatch.interface import MS, SECOND, Effect
 
-RELAYS_MOST, ENDPOINTS_MOST, RATE_MOST = 2000, 20_000, 100_000
+MAX_RELAYS = 2000
+MAX_ENDPOINTS = 20_000  # of all partners together
+MAX_RATE = 100_000  # texts per second
 
 Number = Annotated[int, Meta(ge=1, le=1_000_000, extra={"unit": "count"})]
-Amount = Annotated[float, Meta(ge=0, le=RATE_MOST)]
+Amount = Annotated[float, Meta(ge=0, le=MAX_RATE)]
 Multiple = Annotated[float, Meta(ge=0, le=1000)]
 
 
-def key(words: str, **more: object) -> Meta:
-    """What a key is for."""
-    return Meta(description=words, extra=dict(more))
+def key(description: str, **extra_fields: object) -> Meta:
+    """The description of a key for the operators' page, with further fields of its schema."""
+    return Meta(description=description, extra=dict(extra_fields))
 
 
 class Shape(Enum):
-    """How arrivals spread over time."""
+    """The distribution of arrivals over time."""
 
     POISSON = "poisson"
     STEADY = "steady"
@@ -34,14 +36,14 @@
 
 
 class Backoff(Enum):
-    """How clients wait before they come again."""
+    """How the wait of clients grows from one retry to the next."""
 
     FIXED = "fixed"
     DOUBLES = "doubles"
 
 
 class Spread(Enum):
-    """How service times spread."""
+    """The distribution of service times."""
 
     FIXED = "fixed"
     EXPONENTIAL = "exponential"
@@ -49,34 +51,36 @@
 
 
 class LimitForm(Enum):
+    """How a destination limits calls."""
+
     NONE = "none"
-    RATE = "rate"  # a plain rate
-    WINDOW = "window"  # a count in each span
+    RATE = "rate"  # calls per second
+    WINDOW = "window"  # a number of calls in each span
 
 
 class What(Enum):
-    """What a fault does."""
+    """The kinds of faults."""
 
-    HANG = "hang"  # endpoints take calls and answer none
-    SILENT = "silent"  # nothing comes back, connections do not come up
-    DOWN = "down"  # connections are refused, open ones reset; it returns cold
-    ERRORS = "errors"  # a share of the calls fails fast
-    SHUT = "shut"  # all calls are turned away
+    HANG = "hang"  # endpoints accept calls and answer none
+    SILENT = "silent"  # no packet comes back, connections are not established
+    DOWN = "down"  # connections are refused, open ones reset; the endpoint returns cold
+    ERRORS = "errors"  # a share of the calls fails at once
+    SHUT = "shut"  # all calls are refused
     SLOW = "slow"  # service takes longer
-    SWING = "swing"  # slow and healthy by turns
-    RESET = "reset"  # a share of the calls is broken off
-    GARBLE = "garble"  # a share of the answers can't be read
-    LOSS = "loss"  # a share of the answers never arrives
-    LIMIT = "limit"  # the limit is cut
+    SWING = "swing"  # alternates between slow and healthy
+    RESET = "reset"  # a share of the calls is reset
+    GARBLE = "garble"  # a share of the answers is malformed
+    LOSS = "loss"  # a share of the answers is lost
+    LIMIT = "limit"  # the limit is reduced
     DRAIN = "drain"  # endpoints are drained and replaced by new ones
-    LIST_LATE = "list-late"  # the catalog tells its news later
-    LIST_SILENT = "list-silent"  # it tells none
-    KILL = "kill"  # relays are killed outright and started again
-    RESTART = "restart"  # relays are stopped in order and started again
-    RELOAD = "reload"  # relays read their configuration again
-    WIPE = "wipe"  # as kill, and the folder that lasts is lost
-    CUT_OFF = "cut-off"  # relays reach some endpoints no more
-    SURGE = "surge"  # more texts come
+    LIST_LATE = "list-late"  # the catalog reports changes later
+    LIST_SILENT = "list-silent"  # the catalog reports no changes
+    KILL = "kill"  # relays are killed with SIGKILL and restarted
+    RESTART = "restart"  # relays are stopped with SIGTERM and restarted
+    RELOAD = "reload"  # relays reload their configuration
+    WIPE = "wipe"  # as kill, and the state directory is lost
+    CUT_OFF = "cut-off"  # relays cannot reach some endpoints
+    SURGE = "surge"  # clients submit more texts
     CLUMP = "clump"  # many texts for one destination at once
 
 
@@ -100,7 +104,7 @@
 class Relays(Table):
     """The relays under test, all alike."""
 
-    count: Annotated[int, Meta(ge=1, le=RELAYS_MOST, extra={"unit": "count"}), key("so many")] = 3
+    count: Annotated[int, Meta(ge=1, le=MAX_RELAYS, extra={"unit": "count"}), key("so many")] = 3
     slots: Annotated[Number, key("calls out at once, of each")] = 16
     texts: Annotated[Number, key("texts held at once, of each")] = 300
     submits: Annotated[Number, key("submits for one text")] = 8
--- a/limelatch/lab/scenario/page.py
+++ b/limelatch/lab/scenario/page.py
@@ -1,4 +1,4 @@
-"""The operators' page of a scenario's keys, made from the model."""
+"""Generates the operators' page of the scenario keys from the model."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from limelatch.configuration.toml_form import toml_value
 from limelatch.configuration.page import code
 from limelatch.configuration.reading import TOML_UNITS, Key, accepted_values, keys_of
-from limelatch.lab.scenario.check import TAKES
+from limelatch.lab.scenario.check import ALLOWED_KEYS
 from limelatch.lab.scenario.model import Scenario
 
 HEAD = """# Keys of a scenario
@@ -27,38 +27,42 @@
 
 
 def page() -> str:
-    """The whole page, in Markdown."""
-    return "\n".join([HEAD, *sections(Scenario), *faults()]) + "\n"
+    """The whole page in Markdown."""
+    return "\n".join([HEAD, *table_sections(Scenario), *fault_tables()]) + "\n"
 
 
-def sections(root: type[msgspec.Struct]) -> Iterator[str]:
+def table_sections(root: type[msgspec.Struct]) -> Iterator[str]:
+    """The section of each table of the scenario."""
     for name, key in keys_of(root).items():
         row = getattr(key.type, "item_type", None)
         if isinstance(key.type, inspect.StructType):
-            yield from section(f"[{name}]", key.type.cls)
+            yield from table_section(f"[{name}]", key.type.cls)
         elif isinstance(row, inspect.StructType):
-            yield from section(f"[[{name}]]", row.cls)
+            yield from table_section(f"[[{name}]]", row.cls)
 
 
-def section(title: str, table: type[msgspec.Struct]) -> Iterator[str]:
+def table_section(title: str, table: type[msgspec.Struct]) -> Iterator[str]:
+    """The heading and the keys of one table."""
     yield f"## {title}\n\n{table.__doc__.strip()}\n"
     yield f"| {' | '.join(COLUMNS)} |\n|{' --- |' * len(COLUMNS)}"
     for name, key in keys_of(table).items():
         if isinstance(key.type, inspect.StructType):
             for inner, each in keys_of(key.type.cls).items():
-                yield row_of(f"{name}.{inner}", each)
+                yield table_row(f"{name}.{inner}", each)
         else:
-            yield row_of(name, key)
+            yield table_row(name, key)
     yield ""
 
 
-def row_of(name: str, key: Key) -> str:
+def table_row(name: str, key: Key) -> str:
+    """The row of one key."""
     unit = TOML_UNITS.get(key.unit) if key.unit != "count" else None
     default = "needed" if key.required else code(toml_value(key, key.default))
     return f"| `{name}` | {accepted_values(key, unit)} | {default} | {key.description} |"
 
 
-def faults() -> Iterator[str]:
+def fault_tables() -> Iterator[str]:
+    """The table of the keys that each fault allows."""
     yield "## What each fault takes\n\nBeside `what` and `at`:\n\n| what | keys |\n| --- | --- |"
-    for what, keys in TAKES.items():
+    for what, keys in ALLOWED_KEYS.items():
         yield f"| `{what.value}` | {', '.join(f'`{name}`' for name in sorted(keys))} |"
