--- a/limelatch/lab/report/__init__.py
+++ b/limelatch/lab/report/__init__.py
@@ -1,1 +1,1 @@
-"""Reports of runs: a page of HTML that needs nothing else, a terminal summary, comparisons, sweeps."""
+"""Reports of runs: self-contained HTML pages, terminal summaries, comparisons and sweeps."""
--- a/limelatch/lab/report/compare.py
+++ b/limelatch/lab/report/compare.py
@@ -1,4 +1,4 @@
-"""Comparisons over paired seeds: the difference of each figure, its interval, and a plain word."""
+"""Comparisons over paired seeds: the difference of each figure with its confidence interval and outcome."""
 
 from __future__ import annotations
 
@@ -10,10 +10,12 @@
 
 from limelatch.lab.figures import Figures
 
-CONFIDENCE = 0.95
-BETTER, WORSE, SAME = "better", "worse", "no difference seen"
-# A figure, whether more of it is better, and the least difference worth a word.
-COMPARED = (
+CONFIDENCE = 0.95  # of all intervals
+BETTER = "better"
+WORSE = "worse"
+SAME = "no difference seen"
+# Name of the figure, whether more is better, and the smallest difference that counts.
+COMPARED_FIGURES = (
     ("score", True, 0.002),
     ("service", True, 0.002),
     ("worst_window", True, 0.005),
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One figure's comparison: both means, the mean difference with its interval, and the word for it."""
+    """The comparison of one figure: both means, the mean difference with its interval, and the outcome."""
 
     name: str
     a: float
@@ -33,28 +35,35 @@
     mean: float
     low: float
     high: float
-    word: str
+    outcome: str
 
 
-def paired(name: str, a: Sequence[float], b: Sequence[float], more_is_better: bool, least: float) -> Row:
-    """The comparison of one figure over pairs of runs on the same seed."""
+def paired(
+    name: str, a: Sequence[float], b: Sequence[float], is_more_better: bool, min_difference: float
+) -> Row:
+    """Compare one figure over pairs of runs with the same seed.
+
+    The outcome is BETTER or WORSE only if the mean difference is at least `min_difference` and its interval
+    excludes 0."""
     difference = np.asarray(b, dtype=float) - np.asarray(a, dtype=float)
     mean = float(difference.mean())
     if len(difference) > 1 and np.ptp(difference) > 0:
         interval = stats.ttest_1samp(difference, 0.0).confidence_interval(CONFIDENCE)
         low, high = float(interval.low), float(interval.high)
-    else:  # one pair says nothing of chance; pairs that all agree leave none
+    else:  # a single pair gives no interval; equal differences give one of width 0
         low, high = (mean, mean) if len(difference) > 1 else (-np.inf, np.inf)
-    word = SAME
-    if abs(mean) >= least and (low > 0 or high < 0):
-        word = BETTER if (mean > 0) == more_is_better else WORSE
-    return Row(name, float(np.mean(a)), float(np.mean(b)), mean, low, high, word)
+    outcome = SAME
+    if abs(mean) >= min_difference and (low > 0 or high < 0):
+        outcome = BETTER if (mean > 0) == is_more_better else WORSE
+    return Row(name, float(np.mean(a)), float(np.mean(b)), mean, low, high, outcome)
 
 
 def compare(name: str, a: list[Figures], b: list[Figures]) -> list[Row]:
-    """Every figure of runs of one scenario, paired by seed."""
-    theirs = {each.seed: each for each in b}
-    pairs = [(each, theirs[each.seed]) for each in a if each.seed in theirs]
+    """Compare the figures of the runs of one scenario, paired by seed.
+
+    Raises ValueError if no seed was played on both sides."""
+    b_by_seed = {each.seed: each for each in b}
+    pairs = [(each, b_by_seed[each.seed]) for each in a if each.seed in b_by_seed]
     if not pairs:
         raise ValueError(f"{name}: no seed was played on both sides")
     rows = [
@@ -62,28 +71,44 @@
             f"{name}: {figure}",
             [getattr(one, figure) for one, _ in pairs],
             [getattr(other, figure) for _, other in pairs],
-            more,
-            least,
+            is_more_better,
+            min_difference,
         )
-        for figure, more, least in COMPARED
+        for figure, is_more_better, min_difference in COMPARED_FIGURES
     ]
-    broken = [sum(not run.kept for run in side) for side in zip(*pairs, strict=True)]
-    if any(broken):
-        word = SAME if broken[0] == broken[1] else WORSE if broken[1] > broken[0] else BETTER
-        mean = (broken[1] - broken[0]) / len(pairs)
-        rows.append(Row(f"{name}: runs with a broken rule", broken[0], broken[1], mean, mean, mean, word))
+    broken_counts = [sum(not run.kept for run in side) for side in zip(*pairs, strict=True)]
+    if any(broken_counts):
+        outcome = (
+            SAME
+            if broken_counts[0] == broken_counts[1]
+            else WORSE
+            if broken_counts[1] > broken_counts[0]
+            else BETTER
+        )
+        mean = (broken_counts[1] - broken_counts[0]) / len(pairs)
+        rows.append(
+            Row(
+                f"{name}: runs with a broken rule",
+                broken_counts[0],
+                broken_counts[1],
+                mean,
+                mean,
+                mean,
+                outcome,
+            )
+        )
     return rows
 
 
 def verdict(rows: Sequence[Row]) -> str:
-    """In a plain word: what the score says, or a rule that only one side breaks."""
-    telling = [row for row in rows if row.name.endswith((": score", "broken rule"))]
-    words = {row.word for row in telling}
-    if words == {BETTER, WORSE} or {BETTER, WORSE} <= words:
-        names = [row.name.partition(":")[0] for row in telling if row.word == WORSE]
-        return f"B is better on some and worse on others ({', '.join(dict.fromkeys(names))})"
-    if WORSE in words:
+    """The overall result, by the score and by the number of runs that broke a rule."""
+    decisive = [row for row in rows if row.name.endswith((": score", "broken rule"))]
+    outcomes = {row.outcome for row in decisive}
+    if outcomes == {BETTER, WORSE} or {BETTER, WORSE} <= outcomes:
+        worse_scenarios = [row.name.partition(":")[0] for row in decisive if row.outcome == WORSE]
+        return f"B is better on some and worse on others ({', '.join(dict.fromkeys(worse_scenarios))})"
+    if WORSE in outcomes:
         return "B is worse than A"
-    if BETTER in words:
+    if BETTER in outcomes:
         return "B is better than A"
     return "no difference seen between A and B"
--- a/limelatch/lab/report/page.py
+++ b/limelatch/lab/report/page.py
@@ -1,4 +1,4 @@
-"""One self-contained page of HTML for a run, a comparison or a sweep (jinja2)."""
+"""Self-contained HTML pages for a run, a comparison or a sweep (jinja2)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 """
 HEAD = """<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
 <style>{{ style }}</style></head><body><h1>{{ title }}</h1>"""
-RUN = (
+RUN_PAGE = (
     HEAD
     + """
 <p>{{ about }}</p>
@@ -45,8 +45,8 @@
 95 %</p> <table><tr><th>scenario, figure</th><th>A</th><th>B</th><th>B less
 A</th><th>interval</th><th></th></tr> {% for row in rows %}<tr><td>{{ row.name }}</td><td>{{ '%.4g' % row.a
 }}</td><td>{{ '%.4g' % row.b }}</td> <td>{{ '%+.4g' % row.mean }}</td><td>{{ '%+.4g' % row.low }} .. {{
-'%+.4g' % row.high }}</td> <td class="{{ 'good' if row.word == 'better' else 'bad' if row.word == 'worse'
-else 'dim' }}">{{ row.word }}</td></tr> {% endfor %}</table>{{ plot }}</body></html>
+'%+.4g' % row.high }}</td> <td class="{{ 'good' if row.outcome == 'better' else 'bad' if row.outcome ==
+'worse' else 'dim' }}">{{ row.outcome }}</td></tr> {% endfor %}</table>{{ plot }}</body></html>
 """
 )
 SWEEP = (
@@ -58,15 +58,16 @@
 %}</tr> {% endfor %}</table></body></html>
 """
 )
-MARKUP = Environment(autoescape=False, trim_blocks=True)
+ENVIRONMENT = Environment(autoescape=False, trim_blocks=True)
 
 
 def render(template: str, **values: object) -> str:
-    return MARKUP.from_string(template).render(style=STYLE, **values)
+    """The page of a template with these values."""
+    return ENVIRONMENT.from_string(template).render(style=STYLE, **values)
 
 
 def rows_of(figures: Figures) -> list[tuple[str, str]]:
-    """The figures of a run with their words, for a page or a terminal."""
+    """The labels and formatted values of a run's figures, for a page or a terminal."""
     rows = [
         ("score", f"{figures.score:.3f}"),
         ("service (revenue earned of asked)", f"{figures.service:.3f}"),
@@ -102,7 +103,7 @@
 
 
 def unusable(figures: Figures) -> str:
-    """Why a run can't be used."""
+    """Why the figures of a run cannot be used."""
     if not figures.whole:
         return "it was interrupted"
     late = ", ".join(f"{who} {ms:.1f} ms" for who, ms in figures.late.items())
@@ -110,28 +111,28 @@
 
 
 def run_page(figures: Figures, about: str, text: str) -> str:
-    """The page of one run."""
-    parts = [(title, plot) for title, _, plot in pictures(figures)]
+    """The HTML page of one run; `text` is its scenario."""
+    titled_plots = [(title, plot) for title, _, plot in pictures(figures)]
     return render(
-        RUN,
+        RUN_PAGE,
         title=f"limelatch: {figures.scenario}",
         about=about,
         figures=figures,
         rows=rows_of(figures),
-        plots=parts,
+        plots=titled_plots,
         text=text,
         unusable=unusable(figures),
     )
 
 
 def pictures(figures: Figures) -> list[tuple[str, str, str]]:
-    """Title, short name and SVG of each plot of a run."""
+    """Title, file name and SVG of each plot of a run."""
     from limelatch.lab.report import plots
 
     return [
         ("Revenue over time", "revenue", plots.revenue(figures)),
         ("Latency", "latency", plots.latency(figures)),
         ("Calls by outcome", "calls", plots.calls(figures)),
-        ("What befell whom, and what the relays believed", "timeline", plots.timeline(figures)),
-        ("Held", "held", plots.held(figures)),
+        ("Conditions of hosts and relays, and what the relays believed", "timeline", plots.timeline(figures)),
+        ("Held", "held", plots.held_texts(figures)),
     ]
--- a/limelatch/lab/report/plots.py
+++ b/limelatch/lab/report/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a run, as SVG to stand in a page (matplotlib). The same figures give the same bytes."""
+"""Plots of a run as SVG for embedding in a page (matplotlib). The same figures give the same bytes."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 from limelatch.lab.figures import Figures, Interval  # noqa: E402
 
-WIDTH, HEIGHT = 10.0, 2.6  # inches
-ROWS_MOST = 30  # hosts and relays in the time-line
-COLOURS = {
+WIDTH = 10.0  # inches
+HEIGHT = 2.6  # inches
+MAX_TIMELINE_ROWS = 30  # hosts and relays in the timeline
+FATE_COLOURS = {
     "delivered": "#4c9f70",
     "refused": "#e0a030",
     "failed": "#c0504d",
@@ -46,7 +47,7 @@
 
 
 def svg(figure: Figure) -> str:
-    """The figure as the text of one SVG element."""
+    """Render the figure as one SVG element, and close it."""
     target = io.StringIO()
     figure.savefig(target, format="svg", metadata={"Date": None}, bbox_inches="tight")
     plt.close(figure)
@@ -55,24 +56,26 @@
 
 
 def panel(rows: float = 1.0) -> tuple[Figure, Axes]:
+    """A figure of the usual width, `rows` times the usual height, with its axes."""
     return plt.subplots(figsize=(WIDTH, HEIGHT * rows))
 
 
-def shade(axes: Axes, faults: list[Interval]) -> None:
-    """The times of faults behind a plot."""
+def shade_faults(axes: Axes, faults: list[Interval]) -> None:
+    """Shade the times of the faults in the background of a plot."""
     for each in faults:
         axes.axvspan(each.begin, max(each.end, each.begin + 0.1), color="#d0d0d0", alpha=0.35, lw=0)
 
 
-def seconds(figures: Figures) -> np.ndarray:
+def second_axis(figures: Figures) -> np.ndarray:
+    """The seconds of a run, as x values."""
     return np.arange(len(figures.seconds))
 
 
 def revenue(figures: Figures) -> str:
-    """Revenue asked and earned, by the second in which the texts came."""
+    """Revenue asked and earned, by the second in which the texts were submitted."""
     figure, axes = panel()
-    at = seconds(figures)
-    shade(axes, figures.faults)
+    at = second_axis(figures)
+    shade_faults(axes, figures.faults)
     axes.step(at, [each.asked for each in figures.seconds], where="post", color="#909090", label="asked")
     axes.step(at, [each.earned for each in figures.seconds], where="post", color="#4c9f70", label="earned")
     axes.set(ylabel="revenue a second", xlabel="s", xlim=(0, len(at)), ylim=(0, None))
@@ -81,10 +84,10 @@
 
 
 def latency(figures: Figures) -> str:
-    """Time until delivery, by the second in which the texts came."""
+    """Time until delivery, by the second in which the texts were submitted."""
     figure, axes = panel()
-    at = seconds(figures)
-    shade(axes, figures.faults)
+    at = second_axis(figures)
+    shade_faults(axes, figures.faults)
     for name, colour in (("p50", "#3a6ea5"), ("p99", "#c0504d")):
         values = [getattr(each, name) or np.nan for each in figures.seconds]
         axes.plot(at, values, color=colour, label=name, lw=1.2)
@@ -95,54 +98,54 @@
 
 
 def calls(figures: Figures) -> str:
-    """Calls by what became of their texts."""
+    """Texts in calls, by their outcome."""
     figure, axes = panel()
-    at = seconds(figures)
-    shade(axes, figures.faults)
-    names = [name for name in COLOURS if any(each.fates.get(name) for each in figures.seconds)]
+    at = second_axis(figures)
+    shade_faults(axes, figures.faults)
+    names = [name for name in FATE_COLOURS if any(each.fates.get(name) for each in figures.seconds)]
     stack = [[each.fates.get(name, 0) for each in figures.seconds] for name in names]
     if stack:
-        axes.stackplot(at, stack, labels=names, colors=[COLOURS[name] for name in names], lw=0)
+        axes.stackplot(at, stack, labels=names, colors=[FATE_COLOURS[name] for name in names], lw=0)
         axes.legend(loc="upper right", frameon=False, ncols=3)
     axes.set(ylabel="texts in calls a second", xlabel="s", xlim=(0, len(at)), ylim=(0, None))
     return svg(figure)
 
 
-def held(figures: Figures) -> str:
-    """Texts that relays hold; memory and descriptors beside, where the run has them."""
+def held_texts(figures: Figures) -> str:
+    """Texts that the relays hold, with the memory of the largest relay if the run recorded it."""
     figure, axes = panel()
-    at = seconds(figures)
-    shade(axes, figures.faults)
+    at = second_axis(figures)
+    shade_faults(axes, figures.faults)
     axes.plot(at, [each.held for each in figures.seconds], color="#3a6ea5", label="texts held")
     axes.set(ylabel="texts held", xlabel="s", xlim=(0, len(at)), ylim=(0, None))
     if figures.memory:
-        other = axes.twinx()
+        memory_axes = axes.twinx()
         values = [each.memory / 1e6 or np.nan for each in figures.seconds]
-        other.plot(at, values, color="#8064a2", lw=1, label="MB, largest relay")
-        other.set(ylabel="MB", ylim=(0, None))
-        other.legend(loc="lower right", frameon=False)
+        memory_axes.plot(at, values, color="#8064a2", lw=1, label="MB, largest relay")
+        memory_axes.set(ylabel="MB", ylim=(0, None))
+        memory_axes.legend(loc="lower right", frameon=False)
     axes.legend(loc="upper right", frameon=False)
     return svg(figure)
 
 
 def timeline(figures: Figures) -> str:
-    """What befell hosts and relays, and above each what the relays believed of it."""
-    struck: dict[str, list[Interval]] = defaultdict(list)
+    """The conditions of hosts and relays, and for each what the relays believed of it."""
+    conditions: dict[str, list[Interval]] = defaultdict(list)
     for each in figures.conditions:
-        struck[each.subject].append(each)
+        conditions[each.subject].append(each)
     beliefs: dict[str, list[Interval]] = defaultdict(list)
     for each in figures.beliefs:
         beliefs[each.subject.partition(" at relay ")[0]].append(each)
-    order = sorted(set(struck) | set(beliefs), key=lambda name: (name not in struck, name))
-    left_out = len(order) - ROWS_MOST
-    order = order[:ROWS_MOST]
+    order = sorted(set(conditions) | set(beliefs), key=lambda name: (name not in conditions, name))
+    left_out = len(order) - MAX_TIMELINE_ROWS
+    order = order[:MAX_TIMELINE_ROWS]
     figure, axes = panel(max(0.6, (len(order) + len(figures.faults)) * 0.09))
     names = [each.subject for each in figures.faults] + order
     for row, each in enumerate(figures.faults):
         axes.barh(row, max(each.end - each.begin, 0.2), left=each.begin, color="#b0b0b0", height=0.5)
     relays = max(1, len({each.subject for each in figures.beliefs}))
     for row, name in enumerate(order, start=len(figures.faults)):
-        for each in struck.get(name, []):
+        for each in conditions.get(name, []):
             axes.barh(
                 row + 0.2,
                 max(each.end - each.begin, 0.1),
@@ -166,16 +169,16 @@
         xlabel="s" + (f" ({left_out} more hosts left out)" if left_out > 0 else ""),
         xlim=(0, len(figures.seconds)),
     )
-    words = [
+    legend_entries = [
         ("out", CONDITION_COLOURS["out"]),
         ("cold", CONDITION_COLOURS["cold"]),
         ("believed sick", BELIEF_COLOURS["sick"]),
         ("believed warming", BELIEF_COLOURS["warming"]),
     ]
-    handles = [plt.Rectangle((0, 0), 1, 1, color=colour) for _, colour in words]
+    handles = [plt.Rectangle((0, 0), 1, 1, color=colour) for _, colour in legend_entries]
     axes.legend(
         handles,
-        [word for word, _ in words],
+        [label for label, _ in legend_entries],
         loc="upper center",
         bbox_to_anchor=(0.5, 1.0),
         ncols=4,
@@ -189,24 +192,24 @@
     label: str,
     values: list[float],
     means: dict[str, list[float]],
-    spreads: dict[str, list[float]],
+    errors: dict[str, list[float]],
     ylabel: str,
 ) -> str:
-    """A sweep: a figure over a parameter, a line a subject, with its interval."""
+    """The plot of a sweep: a figure over a parameter, with one line and its intervals for each subject."""
     figure, axes = panel(1.3)
     for name, mean in means.items():
-        axes.errorbar(values, mean, yerr=spreads[name], marker="o", ms=3, capsize=2, lw=1.2, label=name)
+        axes.errorbar(values, mean, yerr=errors[name], marker="o", ms=3, capsize=2, lw=1.2, label=name)
     axes.set(xlabel=label, ylabel=ylabel)
     axes.legend(frameon=False)
     return svg(figure)
 
 
 def differences(names: list[str], means: list[float], lows: list[float], highs: list[float]) -> str:
-    """A comparison: each figure's difference with its interval."""
+    """The plot of a comparison: the difference of each figure with its interval."""
     figure, axes = panel(max(0.5, 0.16 * len(names)))
     at = np.arange(len(names))
-    spread = [np.array(means) - np.array(lows), np.array(highs) - np.array(means)]
-    axes.errorbar(means, at, xerr=spread, fmt="o", ms=4, capsize=3, color="#3a6ea5")
+    errors = [np.array(means) - np.array(lows), np.array(highs) - np.array(means)]
+    axes.errorbar(means, at, xerr=errors, fmt="o", ms=4, capsize=3, color="#3a6ea5")
     axes.axvline(0, color="#909090", lw=0.8)
     axes.set_yticks(at, names, fontsize=8)
     axes.set_ylim(len(names) - 0.5, -0.5)
--- a/limelatch/lab/report/sweep.py
+++ b/limelatch/lab/report/sweep.py
@@ -1,4 +1,4 @@
-"""A sweep: what a scenario's key does to the figures, over several seeds."""
+"""A sweep: how the figures depend on the value of one scenario key, over several seeds."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from limelatch.lab.figures import Figures
 from limelatch.lab.report.compare import CONFIDENCE
 
-SHOWN = ("score", "service", "worst_window", "sla_share", "calls_a_text")
+SHOWN_FIGURES = ("score", "service", "worst_window", "sla_share", "calls_a_text")
 
 
-def interval(values: list[float]) -> float:
-    """Half the width of the mean's interval."""
+def interval_half_width(values: list[float]) -> float:
+    """Half the width of the confidence interval of the mean; 0 for fewer than two distinct values."""
     if len(values) < 2 or np.ptp(values) == 0:
         return 0.0
     return float(stats.sem(values) * stats.t.ppf((1 + CONFIDENCE) / 2, len(values) - 1))
@@ -23,7 +23,7 @@
 
 @dataclass
 class Sweep:
-    """Runs by the key's value and the subject."""
+    """The runs of a sweep, by the value of the key and the subject."""
 
     scenario: str
     key: str
@@ -32,52 +32,62 @@
     runs: dict[tuple[str, str], list[Figures]] = field(default_factory=dict)
 
     def add(self, value: str, subject: str, figures: Figures) -> None:
+        """Add the figures of one run."""
         self.runs.setdefault((value, subject), []).append(figures)
 
     def means(self, name: str, subject: str) -> tuple[list[float], list[float]]:
-        """The figure's mean at each value, and half its interval."""
-        found = [
+        """The mean of a figure at each value, and the half width of its interval."""
+        results = [
             [getattr(each, name) for each in self.runs.get((value, subject), [])] for value in self.values
         ]
-        return [float(np.mean(each)) if each else float("nan") for each in found], [
-            interval(each) for each in found
+        return [float(np.mean(each)) if each else float("nan") for each in results], [
+            interval_half_width(each) for each in results
         ]
 
     def lines(self) -> Iterator[str]:
-        """For the terminal."""
-        yield f"{self.key:<14} {'subject':<16}" + "".join(f"{name:>14}" for name in SHOWN) + "   rules"
+        """The lines of the table for the terminal."""
+        yield (
+            f"{self.key:<14} {'subject':<16}" + "".join(f"{name:>14}" for name in SHOWN_FIGURES) + "   rules"
+        )
         for value in self.values:
             for subject in self.subjects:
                 runs = self.runs.get((value, subject), [])
                 broken = sum(not each.kept for each in runs)
-                cells = "".join(f"{np.mean([getattr(each, name) for each in runs]):>14.4f}" for name in SHOWN)
+                cells = "".join(
+                    f"{np.mean([getattr(each, name) for each in runs]):>14.4f}" for name in SHOWN_FIGURES
+                )
                 yield f"{value:<14} {subject:<16}{cells}   {'kept' if not broken else f'broken in {broken}'}"
 
     def page(self, about: str) -> str:
+        """The HTML page of the sweep."""
         from limelatch.lab.report import page, plots
 
         numeric = all(is_number(value) for value in self.values)
-        along = [float(value) for value in self.values] if numeric else list(range(len(self.values)))
-        drawn = []
-        for name in SHOWN:
-            found = {subject: self.means(name, subject) for subject in self.subjects}
-            drawn.append(
+        positions = [float(value) for value in self.values] if numeric else list(range(len(self.values)))
+        titled_plots = []
+        for name in SHOWN_FIGURES:
+            results = {subject: self.means(name, subject) for subject in self.subjects}
+            titled_plots.append(
                 (
                     name,
                     plots.curve(
                         self.key,
-                        along,
-                        {each: found[each][0] for each in found},
-                        {each: found[each][1] for each in found},
+                        positions,
+                        {each: results[each][0] for each in results},
+                        {each: results[each][1] for each in results},
                         name,
                     ),
                 )
             )
-        names = [f"{name}, {subject}" for name in SHOWN for subject in self.subjects]
+        names = [f"{name}, {subject}" for name in SHOWN_FIGURES for subject in self.subjects]
         rows = [
             (
                 value,
-                [f"{self.means(name, subject)[0][at]:.4f}" for name in SHOWN for subject in self.subjects],
+                [
+                    f"{self.means(name, subject)[0][at]:.4f}"
+                    for name in SHOWN_FIGURES
+                    for subject in self.subjects
+                ],
             )
             for at, value in enumerate(self.values)
         ]
@@ -85,16 +95,17 @@
             page.SWEEP,
             title=f"limelatch: {self.scenario}, {self.key}",
             about=about,
-            plots=drawn,
+            plots=titled_plots,
             label=self.key,
             names=names,
             rows=rows,
         )
 
 
-def is_number(word: str) -> bool:
+def is_number(text: str) -> bool:
+    """Whether the text is a number."""
     try:
-        float(word)
+        float(text)
     except ValueError:
         return False
     return True
--- a/limelatch/lab/report/terminal.py
+++ b/limelatch/lab/report/terminal.py
@@ -1,4 +1,4 @@
-"""Runs and comparisons on a terminal (rich)."""
+"""Tables of runs and comparisons for the terminal (rich)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run_summary(figures: Figures) -> Group:
-    """One run."""
+    """The summary of one run: its rules, figures and first breaches."""
     head = f"{figures.scenario}, stage {figures.stage}, {figures.subject}, seed {figures.seed}"
     table = Table(show_header=False, box=None, padding=(0, 2, 0, 0))
     for name, value in rows_of(figures):
@@ -38,7 +38,7 @@
 
 
 def runs_table(runs: Sequence[Figures]) -> Table:
-    """Several runs, a line each."""
+    """A table with one line for each run."""
     table = Table(box=None, padding=(0, 2, 0, 0))
     for name in ("scenario", "subject", "seed"):
         table.add_column(name)
@@ -46,7 +46,7 @@
         table.add_column(name, justify="right")
     for each in runs:
         broken = sum(each.breaches.values())
-        word = "unusable" if not each.usable else f"{broken} broken" if broken else "kept"
+        outcome = "unusable" if not each.usable else f"{broken} broken" if broken else "kept"
         table.add_row(
             each.scenario,
             each.subject,
@@ -57,13 +57,13 @@
             f"{each.sla_share:.3f}",
             f"{each.latency.get('p99', float('nan')):.0f}",
             f"{each.calls_a_text:.2f}",
-            Text(word, style="green" if word == "kept" else "red"),
+            Text(outcome, style="green" if outcome == "kept" else "red"),
         )
     return table
 
 
 def comparison(rows: Sequence[Row], a: str, b: str) -> Group:
-    """A comparison, its verdict last."""
+    """The table of a comparison, with the verdict at the end."""
     table = Table(box=None, padding=(0, 2, 0, 0))
     table.add_column("scenario, figure")
     for name in ("A", "B", "B less A", "interval"):
@@ -76,12 +76,12 @@
             f"{row.b:.4g}",
             f"{row.mean:+.4g}",
             f"{row.low:+.4g} .. {row.high:+.4g}",
-            Text(row.word, style=STYLES.get(row.word, "dim")),
+            Text(row.outcome, style=STYLES.get(row.outcome, "dim")),
         )
     return Group(Text(f"A: {a}\nB: {b}", style="dim"), table, Text(verdict(rows), style="bold"))
 
 
 def console() -> Console:
-    """Where they are printed; wide enough for a table where no terminal tells its width."""
-    found = Console()
-    return found if found.is_terminal else Console(width=140, force_terminal=False)
+    """The console for the output; 140 columns wide if standard output is not a terminal."""
+    terminal = Console()
+    return terminal if terminal.is_terminal else Console(width=140, force_terminal=False)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -382,10 +382,10 @@
 
 
 def test_a_comparison_says_better_worse_or_nothing():
-    assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.71, 0.8], True, 0.01).word == "better"
-    assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.71, 0.8], False, 0.01).word == "worse"
-    assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.5, 0.72], True, 0.01).word == "no difference seen"
-    assert paired("x", [0.5], [0.9], True, 0.01).word == "no difference seen"  # one pair says nothing
+    assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.71, 0.8], True, 0.01).outcome == "better"
+    assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.71, 0.8], False, 0.01).outcome == "worse"
+    assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.5, 0.72], True, 0.01).outcome == "no difference seen"
+    assert paired("x", [0.5], [0.9], True, 0.01).outcome == "no difference seen"  # one pair says nothing
 
 
 def test_a_baseline_that_pushes_a_partner_over_is_worse_than_the_module(tmp_path):
