--- a/limelatch/lab/machine/faults.py
+++ b/limelatch/lab/machine/faults.py
@@ -1,7 +1,7 @@
-"""Builds the preloaded library (shim.c) and steers it while a relay runs with it.
+"""Builds the preloaded fault library (shim.c) and controls it while a relay runs with it.
 
-The rules stand in a file that whoever steers it and the relay's process both map; a rule takes effect with
-the next call that matches it.
+The rules are in a file that this process and the relay's process both map into memory; a rule takes effect
+from the next system call that matches it.
 """
 
 from __future__ import annotations
@@ -15,74 +15,77 @@
 
 SOURCE = Path(__file__).with_name("shim.c")
 COMPILERS = ("cc", "gcc", "clang")
-CALLS = (  # in the order of `enum call` in shim.c
+SYSTEM_CALLS = (  # in the order of `enum call` in shim.c
     "socket bind listen accept connect getsockopt setsockopt epoll_wait recv send shutdown close "
     "open read write ftruncate fsync rename unlink mkdir flock"
 ).split()
-RULES, WORD = 32, 64
-RULE = struct.Struct(f"11q{WORD}s")  # as `struct rule` in shim.c
-SEEN, HITS = 9, 10  # places among a rule's numbers
-SHIFT = struct.Struct("q")
+MAX_RULES = 32  # as in shim.c
+PATH_BYTES = 64  # as in shim.c
+RULE_FORMAT = struct.Struct(f"11q{PATH_BYTES}s")  # as `struct rule` in shim.c
+SEEN_INDEX = 9  # position among a rule's numbers
+HITS_INDEX = 10  # position among a rule's numbers
+INTEGER_FORMAT = struct.Struct("q")
 NANOSECONDS = 1_000_000_000
 
 
 class NoCompiler(RuntimeError):
-    """Faults of a machine need a C compiler, as README.md says."""
+    """No C compiler was found; machine faults need one (see README.md)."""
 
 
 def build(folder: Path) -> Path:
-    """The library, compiled into the folder. Raises NoCompiler, or RuntimeError with the compiler's words."""
+    """Compile the library into the folder. Raises NoCompiler, or RuntimeError with the compiler's output."""
     compiler = next((path for name in COMPILERS if (path := shutil.which(name))), None)
     if compiler is None:
         raise NoCompiler(f"no C compiler found (tried {', '.join(COMPILERS)}): see README.md")
     library = folder / "shim.so"
     command = [compiler, "-O1", "-Wall", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
-    done = subprocess.run(command, capture_output=True, text=True)
-    if done.returncode:
-        raise RuntimeError(f"{SOURCE.name} does not compile:\n{done.stderr}")
+    result = subprocess.run(command, capture_output=True, text=True)
+    if result.returncode:
+        raise RuntimeError(f"{SOURCE.name} does not compile:\n{result.stderr}")
     return library
 
 
 class Rule:
-    """One rule in force; `hits` counts the calls that it has changed."""
+    """An active rule."""
 
     def __init__(self, faults: Faults, number: int) -> None:
         self.faults, self.number = faults, number
 
     @property
     def hits(self) -> int:
-        return self.faults.numbers(self.number)[HITS]
+        """The number of system calls that the rule has changed."""
+        return self.faults.numbers(self.number)[HITS_INDEX]
 
     def end(self) -> None:
-        """The next call goes through unchanged."""
+        """End the rule: it changes no further calls."""
         self.faults.clear(self.number)
 
 
 class Faults:
-    """The faults of one relay's machine."""
+    """The machine faults of one relay, in the file `path`."""
 
     def __init__(self, library: Path, path: Path) -> None:
         self.library, self.path = library, path
         self._shift = 0
-        self.record: list[str] = []  # what was done and when, for a failed test's report
-        path.write_bytes(bytes(SHIFT.size + RULES * RULE.size))
+        self.record: list[str] = []  # each change with its time, for the report of a failed test
+        path.write_bytes(bytes(INTEGER_FORMAT.size + MAX_RULES * RULE_FORMAT.size))
         with path.open("r+b") as file:
             self._map = mmap.mmap(file.fileno(), 0)
 
     @property
     def environment(self) -> dict[str, str]:
-        """What a process needs to run with the library."""
+        """The environment variables that make a process run with the library."""
         return {"LD_PRELOAD": str(self.library), "LIMELATCH_TEST_FAULTS": str(self.path)}
 
     def step(self, seconds: float) -> None:
-        """Step the wall clock, back where negative; the monotonic clock runs on."""
+        """Step the wall clock, backwards if negative; the monotonic clock is not changed."""
         self._shift += int(seconds * NANOSECONDS)
-        SHIFT.pack_into(self._map, 0, self._shift)
-        self._say(f"step {seconds:+} s")
+        INTEGER_FORMAT.pack_into(self._map, 0, self._shift)
+        self._log(f"step {seconds:+} s")
 
-    def fail(self, call: str, error: int, **more: object) -> Rule:
-        """The call fails with this errno; see `rule` for the bounds."""
-        return self.rule(call, error=error, **more)
+    def fail(self, call: str, error: int, **bounds: object) -> Rule:
+        """Let the system call fail with the errno `error`; `bounds`: the bounds of `rule`."""
+        return self.rule(call, error=error, **bounds)
 
     def rule(
         self,
@@ -97,19 +100,21 @@
         port: int = 0,
         path: str = "",
     ) -> Rule:
-        """A rule from now on: after `skip` matching calls, `times` times at most, for `seconds` at most.
-
-        `most`: bytes that a read or write moves; `delay`: seconds before the call; `port`: of the socket's
-        peer, or its own; `path`: part of the file's path."""
-        if call not in CALLS:
-            raise ValueError(f"no such call: {call}")
-        number = next((each for each in range(RULES) if not self.numbers(each)[0]), None)
+        """Add a rule: after `skip` matching calls it applies at most `times` times, for at most `seconds`.
+
+        `call`: name of the system call; `error`: errno with which it fails; `most`: maximum of bytes that a
+        read or write moves; `delay`: seconds before the call; `port`: of the socket's peer, or its own;
+        `path`: part of the file's path. 0 and "" mean no restriction. Raises ValueError for an unknown call,
+        and if all rules are in use."""
+        if call not in SYSTEM_CALLS:
+            raise ValueError(f"no such system call: {call}")
+        number = next((each for each in range(MAX_RULES) if not self.numbers(each)[0]), None)
         if number is None:
-            raise ValueError(f"{RULES} rules at most at a time")
+            raise ValueError(f"{MAX_RULES} rules at most at a time")
         until = time.monotonic_ns() + int(seconds * NANOSECONDS) if seconds else 0
         numbers = [
             0,
-            CALLS.index(call),
+            SYSTEM_CALLS.index(call),
             error,
             skip,
             times,
@@ -120,27 +125,28 @@
             0,
             0,
         ]
-        RULE.pack_into(self._map, self._place(number), *numbers, path.encode())
-        SHIFT.pack_into(self._map, self._place(number), 1)
-        self._say(f"rule {number}: {call} {error=} {skip=} {times=} {seconds=} {most=} {path}{port or ''}")
+        RULE_FORMAT.pack_into(self._map, self._offset(number), *numbers, path.encode())
+        INTEGER_FORMAT.pack_into(self._map, self._offset(number), 1)
+        self._log(f"rule {number}: {call} {error=} {skip=} {times=} {seconds=} {most=} {path}{port or ''}")
         return Rule(self, number)
 
     def numbers(self, number: int) -> tuple[int, ...]:
-        """A rule's numbers as they stand."""
-        return RULE.unpack_from(self._map, self._place(number))[:-1]
+        """The current numbers of a rule, in the order of `struct rule` in shim.c."""
+        return RULE_FORMAT.unpack_from(self._map, self._offset(number))[:-1]
 
     def clear(self, number: int) -> None:
-        SHIFT.pack_into(self._map, self._place(number), 0)
-        self._say(f"rule {number} ends after {self.numbers(number)[HITS]} hits")
+        """End a rule."""
+        INTEGER_FORMAT.pack_into(self._map, self._offset(number), 0)
+        self._log(f"rule {number} ends after {self.numbers(number)[HITS_INDEX]} hits")
 
     def clear_all(self) -> None:
-        """No rule is in force any more; the wall clock stays as it was stepped."""
-        for number in range(RULES):
+        """End all rules; the wall clock keeps its steps."""
+        for number in range(MAX_RULES):
             if self.numbers(number)[0]:
                 self.clear(number)
 
-    def _place(self, number: int) -> int:
-        return SHIFT.size + number * RULE.size
+    def _offset(self, number: int) -> int:
+        return INTEGER_FORMAT.size + number * RULE_FORMAT.size
 
-    def _say(self, what: str) -> None:
-        self.record.append(f"{time.monotonic():.3f} {what}")
+    def _log(self, change: str) -> None:
+        self.record.append(f"{time.monotonic():.3f} {change}")
--- a/limelatch/lab/machine/shim.c
+++ b/limelatch/lab/machine/shim.c
@@ -1,6 +1,6 @@
-/* A library preloaded into a relay under test. It shifts the wall clock, and makes named calls of the C library fail, come short or
- * come late, as the rules in a shared file say, which the test writes while the relay runs (see shim.py). Calls without a rule go
- * through unchanged. Only the process that it is loaded into is touched. */
+/* A library preloaded into a relay under test. It shifts the wall clock, and makes calls of the C library fail, move fewer bytes or
+ * return late, by rules in a shared file that the test writes while the relay runs (see faults.py). Calls without a matching rule are
+ * passed on unchanged. Only the process that loads the library is affected. */
 #define _GNU_SOURCE
 #include <arpa/inet.h>
 #include <dlfcn.h>
@@ -27,7 +27,7 @@
 #define WORD 64
 #define SECOND 1000000000LL
 
-/* The same order as CALLS in shim.py. */
+/* The same order as SYSTEM_CALLS in faults.py. */
 enum call {
     SOCKET, BIND, LISTEN, ACCEPT, CONNECT, GETSOCKOPT, SETSOCKOPT, EPOLL_WAIT, RECV, SEND, SHUTDOWN, CLOSE,
     OPEN, READ, WRITE, FTRUNCATE, FSYNC, RENAME, UNLINK, MKDIR, FLOCK,
@@ -37,12 +37,12 @@
     _Atomic int64_t active;
     int64_t call;
     int64_t error;   /* errno, 0 for none */
-    int64_t skip;    /* so many matching calls go through first */
-    int64_t times;   /* so many are hit, 0 for no bound */
-    int64_t until;   /* by CLOCK_MONOTONIC in nanoseconds, 0 for no end */
-    int64_t most;    /* bytes that a read or write may move, 0 for no bound */
+    int64_t skip;    /* number of matching calls that are passed on first */
+    int64_t times;   /* maximum number of calls that are changed, 0 for no bound */
+    int64_t until;   /* end by CLOCK_MONOTONIC in nanoseconds, 0 for none */
+    int64_t most;    /* maximum of bytes that a read or write moves, 0 for no bound */
     int64_t delay;   /* nanoseconds before the call */
-    int64_t port;    /* of the peer, for accept of the listener; 0 for any */
+    int64_t port;    /* port of the peer, for accept of the listener; 0 for any */
     _Atomic int64_t seen;
     _Atomic int64_t hits;
     char path[WORD]; /* part of the file's path; empty for any */
@@ -118,7 +118,7 @@
     return strstr(found, rule->path) != NULL;
 }
 
-/* The rule that this call falls under, after its delay; NULL for none. A failing rule sets errno. */
+/* Returns the rule that applies to this call, after its delay; NULL for none. A rule with an error sets errno. */
 static struct rule *hit(enum call call, int descriptor, const struct sockaddr *address, const char *path) {
     if (control == NULL)
         return NULL;
@@ -151,7 +151,7 @@
     return rule != NULL && rule->most != 0 && size > (size_t)rule->most ? (size_t)rule->most : size;
 }
 
-#define FAIL_IF_TOLD(call, descriptor, address, path)                   \
+#define FAIL_BY_RULE(call, descriptor, address, path)                   \
     struct rule *rule = hit(call, descriptor, address, path);           \
     if (rule != NULL && rule->error != 0)                               \
         return -1
@@ -185,37 +185,37 @@
 
 int socket(int domain, int type, int protocol) {
     if (domain == AF_INET) {
-        FAIL_IF_TOLD(SOCKET, -1, NULL, NULL);
+        FAIL_BY_RULE(SOCKET, -1, NULL, NULL);
     }
     return REAL(socket)(domain, type, protocol);
 }
 
 int bind(int descriptor, const struct sockaddr *address, socklen_t size) {
-    FAIL_IF_TOLD(BIND, descriptor, address, NULL);
+    FAIL_BY_RULE(BIND, descriptor, address, NULL);
     return REAL(bind)(descriptor, address, size);
 }
 
 int listen(int descriptor, int backlog) {
-    FAIL_IF_TOLD(LISTEN, descriptor, NULL, NULL);
+    FAIL_BY_RULE(LISTEN, descriptor, NULL, NULL);
     return REAL(listen)(descriptor, backlog);
 }
 
 int accept(int descriptor, struct sockaddr *address, socklen_t *size) {
-    FAIL_IF_TOLD(ACCEPT, descriptor, NULL, NULL);
+    FAIL_BY_RULE(ACCEPT, descriptor, NULL, NULL);
     return REAL(accept)(descriptor, address, size);
 }
 
 int accept4(int descriptor, struct sockaddr *address, socklen_t *size, int flags) {
-    FAIL_IF_TOLD(ACCEPT, descriptor, NULL, NULL);
+    FAIL_BY_RULE(ACCEPT, descriptor, NULL, NULL);
     return REAL(accept4)(descriptor, address, size, flags);
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t size) {
-    FAIL_IF_TOLD(CONNECT, descriptor, address, NULL);
+    FAIL_BY_RULE(CONNECT, descriptor, address, NULL);
     return REAL(connect)(descriptor, address, size);
 }
 
-/* A rule on SO_ERROR stands for what the kernel tells of a connection that was coming up. */
+/* A rule applies to SO_ERROR only: it replaces the result of a connection attempt. */
 int getsockopt(int descriptor, int level, int name, void *value, socklen_t *size) {
     struct rule *rule = level == SOL_SOCKET && name == SO_ERROR ? hit(GETSOCKOPT, descriptor, NULL, NULL) : NULL;
     if (rule != NULL && rule->error != 0 && *size >= sizeof(int)) {
@@ -226,51 +226,51 @@
 }
 
 int setsockopt(int descriptor, int level, int name, const void *value, socklen_t size) {
-    FAIL_IF_TOLD(SETSOCKOPT, descriptor, NULL, NULL);
+    FAIL_BY_RULE(SETSOCKOPT, descriptor, NULL, NULL);
     return REAL(setsockopt)(descriptor, level, name, value, size);
 }
 
 int epoll_wait(int descriptor, struct epoll_event *events, int most, int timeout) {
-    FAIL_IF_TOLD(EPOLL_WAIT, -1, NULL, NULL);
+    FAIL_BY_RULE(EPOLL_WAIT, -1, NULL, NULL);
     return REAL(epoll_wait)(descriptor, events, most, timeout);
 }
 
 ssize_t recv(int descriptor, void *bytes, size_t size, int flags) {
-    FAIL_IF_TOLD(RECV, descriptor, NULL, NULL);
+    FAIL_BY_RULE(RECV, descriptor, NULL, NULL);
     return REAL(recv)(descriptor, bytes, cut(rule, size), flags);
 }
 
 ssize_t recvfrom(int descriptor, void *bytes, size_t size, int flags, struct sockaddr *restrict address, socklen_t *restrict length) {
-    FAIL_IF_TOLD(RECV, descriptor, NULL, NULL);
+    FAIL_BY_RULE(RECV, descriptor, NULL, NULL);
     return REAL(recvfrom)(descriptor, bytes, cut(rule, size), flags, address, length);
 }
 
 ssize_t recvmsg(int descriptor, struct msghdr *message, int flags) {
-    FAIL_IF_TOLD(RECV, descriptor, NULL, NULL);
+    FAIL_BY_RULE(RECV, descriptor, NULL, NULL);
     return REAL(recvmsg)(descriptor, message, flags);
 }
 
 ssize_t send(int descriptor, const void *bytes, size_t size, int flags) {
-    FAIL_IF_TOLD(SEND, descriptor, NULL, NULL);
+    FAIL_BY_RULE(SEND, descriptor, NULL, NULL);
     return REAL(send)(descriptor, bytes, cut(rule, size), flags);
 }
 
 ssize_t sendto(int descriptor, const void *bytes, size_t size, int flags, const struct sockaddr *address, socklen_t length) {
-    FAIL_IF_TOLD(SEND, descriptor, address, NULL);
+    FAIL_BY_RULE(SEND, descriptor, address, NULL);
     return REAL(sendto)(descriptor, bytes, cut(rule, size), flags, address, length);
 }
 
 ssize_t sendmsg(int descriptor, const struct msghdr *message, int flags) {
-    FAIL_IF_TOLD(SEND, descriptor, NULL, NULL);
+    FAIL_BY_RULE(SEND, descriptor, NULL, NULL);
     return REAL(sendmsg)(descriptor, message, flags);
 }
 
 int shutdown(int descriptor, int how) {
-    FAIL_IF_TOLD(SHUTDOWN, descriptor, NULL, NULL);
+    FAIL_BY_RULE(SHUTDOWN, descriptor, NULL, NULL);
     return REAL(shutdown)(descriptor, how);
 }
 
-/* The descriptor is gone whatever close says, as Linux has it. */
+/* As on Linux, the descriptor is closed even if close returns an error. */
 int close(int descriptor) {
     struct rule *rule = hit(CLOSE, descriptor, NULL, NULL);
     int error = rule != NULL ? (int)rule->error : 0, result = REAL(close)(descriptor);
@@ -281,7 +281,7 @@
 }
 
 static int opened(const char *path) {
-    FAIL_IF_TOLD(OPEN, -1, NULL, path);
+    FAIL_BY_RULE(OPEN, -1, NULL, path);
     return 0;
 }
 
@@ -310,11 +310,11 @@
 }
 
 ssize_t read(int descriptor, void *bytes, size_t size) {
-    FAIL_IF_TOLD(READ, descriptor, NULL, NULL);
+    FAIL_BY_RULE(READ, descriptor, NULL, NULL);
     return REAL(read)(descriptor, bytes, cut(rule, size));
 }
 
-/* A rule with both a bound and an error: the first write moves so many bytes, the next ones fail, as on a disk that runs full. */
+/* With both a bound and an error, the first write moves up to that many bytes and the next ones fail, as on a disk that becomes full. */
 ssize_t write(int descriptor, const void *bytes, size_t size) {
     struct rule *rule = hit(WRITE, descriptor, NULL, NULL);
     if (rule != NULL && rule->error != 0 && (rule->most == 0 || atomic_load(&rule->hits) > 1))
@@ -323,36 +323,36 @@
 }
 
 int ftruncate(int descriptor, off_t size) {
-    FAIL_IF_TOLD(FTRUNCATE, descriptor, NULL, NULL);
+    FAIL_BY_RULE(FTRUNCATE, descriptor, NULL, NULL);
     return REAL(ftruncate)(descriptor, size);
 }
 
 int ftruncate64(int descriptor, off64_t size) {
-    FAIL_IF_TOLD(FTRUNCATE, descriptor, NULL, NULL);
+    FAIL_BY_RULE(FTRUNCATE, descriptor, NULL, NULL);
     return REAL(ftruncate64)(descriptor, size);
 }
 
 int fsync(int descriptor) {
-    FAIL_IF_TOLD(FSYNC, descriptor, NULL, NULL);
+    FAIL_BY_RULE(FSYNC, descriptor, NULL, NULL);
     return REAL(fsync)(descriptor);
 }
 
 int rename(const char *from, const char *to) {
-    FAIL_IF_TOLD(RENAME, -1, NULL, to);
+    FAIL_BY_RULE(RENAME, -1, NULL, to);
     return REAL(rename)(from, to);
 }
 
 int unlink(const char *path) {
-    FAIL_IF_TOLD(UNLINK, -1, NULL, path);
+    FAIL_BY_RULE(UNLINK, -1, NULL, path);
     return REAL(unlink)(path);
 }
 
 int mkdir(const char *path, mode_t mode) {
-    FAIL_IF_TOLD(MKDIR, -1, NULL, path);
+    FAIL_BY_RULE(MKDIR, -1, NULL, path);
     return REAL(mkdir)(path, mode);
 }
 
 int flock(int descriptor, int operation) {
-    FAIL_IF_TOLD(FLOCK, descriptor, NULL, NULL);
+    FAIL_BY_RULE(FLOCK, descriptor, NULL, NULL);
     return REAL(flock)(descriptor, operation);
 }
