--- a/limelatch/lab/__init__.py
+++ b/limelatch/lab/__init__.py
@@ -1,7 +1,8 @@
-"""The laboratory: whole fleets of relays among partners that fail, on several stages (extra
-`limelatch[lab]`).
+"""The simulation laboratory: fleets of relays and failing partners on several stages.
 
-A scenario is read (`scenario`), makes a world (`world`) that a stage plays (`stages`); what happens is one
-record (`record`), which a checker judges (`checker`) and reports show (`report`). The relay never imports
-any of it.
+Its dependencies are in the extra `limelatch[lab]`.
+
+A scenario (`scenario`) defines a world (`world`) that a stage (`stages`) runs. The events are written to one
+record (`record`), which is verified against the rules (`checker`) and evaluated in reports (`report`). The
+relay never imports this package.
 """
--- a/limelatch/lab/capacity.py
+++ b/limelatch/lab/capacity.py
@@ -1,4 +1,4 @@
-"""How much one relay carries: the highest rate at which it keeps a stated SLA share, found by halving."""
+"""Searches the capacity of one relay: the highest rate at which it keeps a given SLA share."""
 
 from __future__ import annotations
 
@@ -7,49 +7,58 @@
 
 from limelatch.lab.figures import Figures
 
-ENOUGH = 0.05  # the part of the rate to which the answer is found
-TRIES_MOST = 14
+RELATIVE_PRECISION = 0.05  # the search ends when the bounds differ by less
+MAX_TRIALS = 14
 
 
 @dataclass
 class Capacity:
-    """What was found; `bound` is the rate that was too much, `why` in a word."""
+    """The result of a search, in texts per second.
+
+    `rate`: highest rate that passed; `upper_bound`: lowest rate that failed; `why`: why the search went no
+    higher; `trials`: every rate with its figures."""
 
     rate: float = 0.0
-    bound: float = float("inf")
+    upper_bound: float = float("inf")
     why: str = ""
-    tries: list[tuple[float, Figures]] = field(default_factory=list)
+    trials: list[tuple[float, Figures]] = field(default_factory=list)
 
 
 def search(
-    trial: Callable[[float], Figures],
-    least: float,
-    first: float,
-    most: float,
-    told: Callable[[float, Figures], None],
+    run_trial: Callable[[float], Figures],
+    min_sla_share: float,
+    first_rate: float,
+    max_rate: float,
+    on_trial: Callable[[float, Figures], None],
 ) -> Capacity:
-    """Double the rate until it is too much, then halve what lies between.
-
-    A trial in which the stage itself was late says nothing of the relay; its rate bounds the answer, and
-    `why` says so."""
-    found, rate = Capacity(), first
-    for _ in range(TRIES_MOST):
-        figures = trial(rate)
-        found.tries.append((rate, figures))
-        told(rate, figures)
+    """Search the capacity: double the rate until a trial fails, then bisect.
+
+    A trial fails if it breaks a rule or its SLA share is too low. A trial in which the stage itself was late
+    proves nothing about the relay: its rate bounds the result too, and `why` states it."""
+    capacity, rate = Capacity(), first_rate
+    for _ in range(MAX_TRIALS):
+        figures = run_trial(rate)
+        capacity.trials.append((rate, figures))
+        on_trial(rate, figures)
         if not figures.usable:
-            found.bound, found.why = rate, f"at {rate:.0f} the stage itself was late"
-        elif figures.kept and figures.sla_share >= least:
-            found.rate = rate
-            if rate >= most:
-                found.why = "no more was tried"
+            capacity.upper_bound, capacity.why = rate, f"at {rate:.0f} the stage itself was late"
+        elif figures.kept and figures.sla_share >= min_sla_share:
+            capacity.rate = rate
+            if rate >= max_rate:
+                capacity.why = "higher rates were not tried"
                 break
         else:
-            found.bound = rate
-            found.why = f"at {rate:.0f} " + ("the share fell" if figures.kept else "a rule was broken")
-        if found.bound <= found.rate * (1 + ENOUGH):
+            capacity.upper_bound = rate
+            capacity.why = f"at {rate:.0f} " + (
+                "the SLA share was too low" if figures.kept else "a rule was broken"
+            )
+        if capacity.upper_bound <= capacity.rate * (1 + RELATIVE_PRECISION):
             break
-        rate = min(most, rate * 2) if found.bound == float("inf") else (found.rate + found.bound) / 2
-        if not found.rate and found.bound <= 1:
+        rate = (
+            min(max_rate, rate * 2)
+            if capacity.upper_bound == float("inf")
+            else (capacity.rate + capacity.upper_bound) / 2
+        )
+        if not capacity.rate and capacity.upper_bound <= 1:
             break
-    return found
+    return capacity
--- a/limelatch/lab/experiments.py
+++ b/limelatch/lab/experiments.py
@@ -1,8 +1,8 @@
-"""Experiments: a scenario on several seeds, two builds against each other, a parameter over its values.
+"""Experiments: a scenario on several seeds, comparisons of two builds, sweeps of a parameter.
 
-Runs on the fleet stage go side by side in processes of their own; runs on sockets go one after another,
-since they need the cores. A subject is `module`, a baseline, or the path of another checkout of limelatch,
-whose own code then plays.
+Runs on the fleet stage are executed in parallel processes; runs on sockets one after another, since each
+needs all cores. A subject is `module`, a baseline, or the path of another checkout of limelatch, whose code
+then runs.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One run that is wanted."""
+    """The parameters of one run."""
 
     name: str
-    text: str  # the scenario
+    text: str  # of the scenario, as TOML
     seed: int
     subject: str
     stage: str
@@ -42,34 +42,37 @@
 
     @property
     def target(self) -> Path:
-        subject = Path(self.subject).name  # a checkout goes by its folder
+        """The path of the record."""
+        subject = Path(self.subject).name  # a checkout is named by its folder
         return Path(self.folder) / f"{self.name}-{self.stage}-{subject}-{self.seed}{SUFFIX}"
 
 
 class RunFailed(Exception):
-    """A run ended without a record."""
+    """A run of another checkout ended without a record."""
 
 
 def run_one(plan: Plan, progress: Callable[[float], None] = lambda part: None) -> Figures:
-    """Play it, judge it, and give its figures; the record stays in the plan's folder."""
+    """Run the plan and return its figures; the record stays in the plan's folder.
+
+    Raises ConfigurationError for an invalid scenario, RunFailed if another checkout could not run it."""
     target = plan.target
     target.parent.mkdir(parents=True, exist_ok=True)
     scenario = parse(plan.name, plan.text)
     if plan.subject not in SUBJECTS and "/" in plan.subject:
-        elsewhere(plan)
+        run_in_checkout(plan)
     elif plan.stage == "fleet":
         play.play_fleet(scenario, plan.text, plan.seed, target, plan.subject, progress)
     else:
         play.play_sockets(scenario, plan.text, plan.seed, target, target.with_suffix(".logs"), progress)
-    found = figures_of(target)
-    return msgspec.structs.replace(found, subject=plan.subject, scenario=plan.name)
+    figures = figures_of(target)
+    return msgspec.structs.replace(figures, subject=plan.subject, scenario=plan.name)
 
 
-def elsewhere(plan: Plan) -> None:
-    """Play it with the code of another checkout."""
+def run_in_checkout(plan: Plan) -> None:
+    """Run the plan with the code of another checkout. Raises RunFailed."""
     source = plan.target.with_suffix(".toml")
     source.write_text(plan.text, encoding="utf-8")
-    done = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -91,25 +94,25 @@
         text=True,
         check=False,
     )
-    if done.returncode not in (0, 1):  # 1: rules were broken, which its record tells
-        raise RunFailed(f"{plan.subject}: {done.stderr.strip() or done.stdout.strip()}")
+    if result.returncode not in (0, 1):  # 1: a rule was broken, as its record shows
+        raise RunFailed(f"{plan.subject}: {result.stderr.strip() or result.stdout.strip()}")
 
 
 def run_all(plans: list[Plan], processes: int, progress: Progress) -> list[Figures]:
-    """All of them, in the order given."""
+    """Run all plans; the figures are in the order of the plans."""
     if processes <= 1 or len(plans) == 1 or any(plan.stage != "fleet" for plan in plans):
-        found = []
+        figures = []
         for number, plan in enumerate(plans):
             label = f"{plan.name} {plan.subject} {plan.seed}"
-            found.append(
+            figures.append(
                 run_one(plan, lambda part, at=number, words=label: progress(words, (at + part) / len(plans)))
             )
-        return found
+        return figures
     results: dict[int, Figures] = {}
     with ProcessPoolExecutor(processes) as pool:
-        waiting = {pool.submit(run_one, plan): at for at, plan in enumerate(plans)}
-        for future in as_completed(waiting):
-            at = waiting[future]
+        index_by_future = {pool.submit(run_one, plan): at for at, plan in enumerate(plans)}
+        for future in as_completed(index_by_future):
+            at = index_by_future[future]
             results[at] = future.result()
             plan = plans[at]
             progress(f"{plan.name} {plan.subject} {plan.seed}", len(results) / len(plans))
@@ -117,20 +120,22 @@
 
 
 def seeds_of(words: str) -> list[int]:
-    """`1`, `1,4,7` or `1-8`."""
-    found: list[int] = []
+    """Parse a list of seeds such as `1`, `1,4,7` or `1-8`. Raises ValueError."""
+    seeds: list[int] = []
     for word in words.split(","):
         first, dash, last = word.partition("-")
         if not first.isdigit() or dash and not last.isdigit():
             raise ValueError(words)
-        found += range(int(first), int(last or first) + 1)
-    if not found:
+        seeds += range(int(first), int(last or first) + 1)
+    if not seeds:
         raise ValueError(words)
-    return found
+    return seeds
 
 
 def with_value(text: str, key: str, value: str) -> str:
-    """A scenario's text with one key set: `clients.rate` or `partners[0].capacity`."""
+    """The text of a scenario with one key set, such as `clients.rate` or `partners[0].capacity`.
+
+    Raises ConfigurationError for a key that does not exist or a value that is not TOML."""
     document = tomlkit.parse(text)
     at: object = document
     parts = [part for word in key.replace("]", "").split(".") for part in word.split("[")]
@@ -142,10 +147,10 @@
             at = at[step]
         at[parts[-1]] = tomllib.loads(f"value = {value}")["value"]
     except (KeyError, IndexError, TypeError, tomllib.TOMLDecodeError):
-        raise ConfigurationError([ConfigError(key, f"no such key, or no value of TOML: {value!r}")]) from None
+        raise ConfigurationError([ConfigError(key, f"no such key, or not a TOML value: {value!r}")]) from None
     return tomlkit.dumps(document)
 
 
-def pairs_in(folder: Path) -> Iterable[Path]:
-    """The records of a folder, by name."""
+def records_in(folder: Path) -> Iterable[Path]:
+    """The records in a folder, sorted by name."""
     return sorted(folder.glob(f"*{SUFFIX}"))
--- a/limelatch/lab/load.py
+++ b/limelatch/lab/load.py
@@ -1,8 +1,7 @@
-"""The load tool: drives any relay over RESP2, by the clock, at rates that step up until its answers are too
-late.
+"""The load tool: submits texts to a relay over RESP2 at increasing rates until its answers are too late.
 
-It sees what a client sees: how long a relay takes to answer, and what it answers. What becomes of the texts
-afterwards is for the stages to show.
+It measures what a client sees: the answers of the relay and how long they take. What happens to the texts
+afterwards is measured by the stages.
 """
 
 from __future__ import annotations
@@ -19,12 +18,12 @@
 from limelatch.lab.world.chance import Draws, Streams
 from limelatch.lab.world.world import zipf_weights
 
-STEPS_MOST = 1000
+MAX_STEPS = 1000  # protects against an endless sequence of rates
 
 
 @dataclass(frozen=True)
 class Shape:
-    """What is handed in."""
+    """The texts that are submitted. `size`: bytes of a body; `zipf`: exponent of the destinations' shares."""
 
     product: str
     destinations: tuple[int, ...]
@@ -37,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One rate that was tried."""
+    """The result at one rate, in texts per second."""
 
     rate: float
     summary: Summary
@@ -45,7 +44,7 @@
 
     @property
     def sla_share(self) -> float:
-        """The share of the texts that were taken on within the SLA time, from when they were due."""
+        """The share of the texts accepted within the SLA time, measured from when each was due to be sent."""
         summary = self.summary
         if not summary.count:
             return 0.0
@@ -53,29 +52,29 @@
 
     @property
     def late_ms(self) -> float:
-        """By how much the tool itself was late, at the 99th percentile."""
+        """99th percentile of the delay of the tool itself."""
         return self.summary.percentiles(self.summary.lateness)[99.0]
 
 
-def texts_of(shape: Shape) -> Callable[[int], HandedText]:
-    """Makes the texts, each with a new id, its destination by the law of Zipf."""
+def text_factory(shape: Shape) -> Callable[[int], HandedText]:
+    """Return a function that makes texts, each with a new id and a destination by Zipf's law."""
     generator = Streams(shape.seed).generator("destinations")
     weights = zipf_weights(len(shape.destinations), shape.zipf)
-    drawn = Draws(lambda count: generator.choice(np.array(shape.destinations), count, p=weights))
+    draws = Draws(lambda count: generator.choice(np.array(shape.destinations), count, p=weights))
     body = b"." * shape.size
 
-    def made(number: int) -> HandedText:
-        text = HandedText(shape.product, int(drawn.next()), shape.valid_for_ms, body, shape.customer)
+    def make_text(number: int) -> HandedText:
+        text = HandedText(shape.product, int(draws.next()), shape.valid_for_ms, body, shape.customer)
         text.mark = text.id
         return text
 
-    return made
+    return make_text
 
 
 def rates(first: float, step: float, last: float, times: float) -> Iterator[float]:
-    """`first`, then more by `step` or by `times`, up to `last`."""
+    """The rates from `first` up to `last`, each larger by `step`, or by the factor `times` if above 1."""
     rate = first
-    for _ in range(STEPS_MOST):
+    for _ in range(MAX_STEPS):
         if rate > last * (1 + 1e-9):
             return
         yield rate
@@ -88,33 +87,33 @@
     host: str,
     port: int,
     shape: Shape,
-    wanted: Iterator[float],
+    rate_steps: Iterator[float],
     seconds: float,
     sla_ms: float,
-    least: float,
+    min_sla_share: float,
     connections: int,
-    told: Callable[[Step], None],
+    on_step: Callable[[Step], None],
     progress: Callable[[float, int, int], None],
 ) -> list[Step]:
-    """Try each rate for so long, until the SLA share falls under `least`."""
-    found: list[Step] = []
-    made = texts_of(shape)
+    """Submit texts at each rate for `seconds`, until the SLA share falls below `min_sla_share`."""
+    steps: list[Step] = []
+    make_text = text_factory(shape)
     async with Pool(host, port, connections, max(sla_ms / 1000, 1.0)) as pool:
-        for rate in wanted:
+        for rate in rate_steps:
             count = max(1, round(rate * seconds))
-            done = 0
+            answered = 0
 
-            def one(text: HandedText, answer: object, rate: float = rate, count: int = count) -> None:
-                nonlocal done
-                done += 1
-                if done % 50 == 0 or done == count:
-                    progress(rate, done, count)
+            def on_answer(text: HandedText, answer: object, rate: float = rate, count: int = count) -> None:
+                nonlocal answered
+                answered += 1
+                if answered % 50 == 0 or answered == count:
+                    progress(rate, answered, count)
 
-            summary = await drive(pool, made, count, rate, one, sla_ms)
+            summary = await drive(pool, make_text, count, rate, on_answer, sla_ms)
             step = Step(rate, summary, sla_ms)
-            found.append(step)
-            told(step)
-            if step.sla_share < least:
+            steps.append(step)
+            on_step(step)
+            if step.sla_share < min_sla_share:
                 break
             await asyncio.sleep(0.2)
-    return found
+    return steps
--- a/limelatch/lab/play.py
+++ b/limelatch/lab/play.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on a stage and writes its record."""
+"""Runs a scenario on a stage and writes its record."""
 
 from __future__ import annotations
 
@@ -27,7 +27,9 @@
 
 @dataclass(frozen=True)
 class Played:
-    """A run that is over: its record, and what it took."""
+    """A finished run: the path of its record, its number of events and its duration.
+
+    `whole`: the run was not interrupted."""
 
     path: str
     seed: int
@@ -39,6 +41,7 @@
 def head_of(
     scenario: Scenario, text: str, stage: str, seed: int, subject: str, allowances: dict[str, int]
 ) -> rec.Head:
+    """The head of a record of this build."""
     return rec.Head(
         rec.VERSION, stage, seed, msgspec.to_builtins(scenario), text, __version__, allowances, subject
     )
@@ -52,22 +55,22 @@
     subject: str = "module",
     progress: Progress = lambda part: None,
 ) -> Played:
-    """Play it on the fleet stage; interrupted, the record holds what has been played."""
+    """Run a scenario on the fleet stage; after an interruption the record holds what happened until then."""
     head = head_of(scenario, text, STAGE, seed, subject, {})
-    made: Subject = SUBJECTS[subject]
-    began, queue, end = time.monotonic(), Queue(), duration(scenario)
+    make_policy: Subject = SUBJECTS[subject]
+    started_at, queue, end = time.monotonic(), Queue(), duration(scenario)
     with rec.Writer(target, head) as writer:
-        whole = False
+        is_complete = False
         try:
-            fleet = Fleet(scenario, seed, queue, writer.add, made)
+            fleet = Fleet(scenario, seed, queue, writer.add, make_policy)
             fleet.begin()
             while queue.time < end and not (queue.time >= scenario.scenario.seconds and fleet.over):
                 queue.run(min(end, queue.time + STEP))
                 progress(min(1.0, queue.time / scenario.scenario.seconds))
-            whole = True
+            is_complete = True
         finally:
-            writer.add(rec.Over(queue.time, whole))
-    return Played(str(target), seed, writer.count, time.monotonic() - began, whole)
+            writer.add(rec.Over(queue.time, is_complete))
+    return Played(str(target), seed, writer.count, time.monotonic() - started_at, is_complete)
 
 
 def play_sockets(
@@ -80,42 +83,44 @@
     command: list[str] | None = None,
     subject: str = "program",
 ) -> Played:
-    """Play it on the sockets stage; relays' logs and configurations go to `folder`.
+    """Run a scenario on the sockets stage; the logs of the relays are moved to `folder`.
 
-    Interrupted, no process is left, and the record holds what has been played."""
+    After an interruption no process is left, and the record holds what happened until then."""
     import uvloop
 
     from limelatch.lab.stages.sockets import Sockets
 
-    began, place = time.monotonic(), Path(folder)
-    place.mkdir(parents=True, exist_ok=True)
+    started_at, log_folder = time.monotonic(), Path(folder)
+    log_folder.mkdir(parents=True, exist_ok=True)
     head = head_of(scenario, text, real.STAGE, seed, subject, real.ALLOWANCES)
     with tempfile.TemporaryDirectory(prefix="limelatch-lab-") as temporary:
-        work, whole = Path(temporary), False
+        work, is_complete = Path(temporary), False
         parts = work / "stage.part", work / "load.part"
 
         async def run() -> None:
-            nonlocal whole
+            nonlocal is_complete
             with rec.Writer(parts[0], head) as writer:
                 stage = Sockets(scenario, seed, writer, work, parts[1], progress, command)
                 try:
                     await stage.run()
-                    whole = True
+                    is_complete = True
                 finally:
-                    writer.add(rec.Over(stage.clock.now(), whole))
+                    writer.add(rec.Over(stage.clock.now(), is_complete))
 
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 runner.run(run())
         finally:
-            count = merge(target, head, parts)
+            count = merge_records(target, head, parts)
             for log in work.glob("relay-*.log"):
-                shutil.move(log, place / log.name)
-    return Played(str(target), seed, count, time.monotonic() - began, whole)
+                shutil.move(log, log_folder / log.name)
+    return Played(str(target), seed, count, time.monotonic() - started_at, is_complete)
+
 
+def merge_records(target: str | Path, head: rec.Head, parts: tuple[Path, ...]) -> int:
+    """Merge partial records into one, ordered by time; return its number of events.
 
-def merge(target: str | Path, head: rec.Head, parts: tuple[Path, ...]) -> int:
-    """One record of several parts, by time; parts that are missing or torn give what they have."""
+    Missing parts are skipped, truncated ones are read as far as possible."""
     readers = [rec.Reader(part) for part in parts if part.exists() and os.path.getsize(part)]
     ends, count = [], 0
     with rec.Writer(target, head) as writer:
--- a/limelatch/lab/soak/run.py
+++ b/limelatch/lab/soak/run.py
@@ -15,7 +15,7 @@
 from limelatch.lab.checker import Checker
 from limelatch.lab.figures import LATE_MOST
 from limelatch.lab.machine.faults import build
-from limelatch.lab.play import head_of, merge
+from limelatch.lab.play import head_of, merge_records
 from limelatch.lab.soak.plan import draw_plan
 from limelatch.lab.soak.stage import SoakStage
 from limelatch.lab.soak.timeline import timeline
@@ -86,7 +86,7 @@
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 runner.run(run())
         finally:
-            merge(folder / RECORD, head, parts)
+            merge_records(folder / RECORD, head, parts)
             for log in work.glob("relay-*.log"):
                 shutil.move(log, folder / log.name)
     return evaluate(plan, folder, problems, time.monotonic() - started_at)
--- a/limelatch/lab/subjects.py
+++ b/limelatch/lab/subjects.py
@@ -1,7 +1,7 @@
-"""What the fleet stage can run: the module as it is, and plain baselines to hold it against.
+"""The subjects of the fleet stage: the decision module, and simple baselines for comparison.
 
-The baselines keep no rule on purpose beyond what they say: they show what the module's rules and budgets are
-worth.
+A baseline deliberately has none of the module's rules and budgets beyond those stated: it shows what they
+gain.
 """
 
 from __future__ import annotations
@@ -14,49 +14,49 @@
 from limelatch.lab.world.chance import Streams
 from limelatch.policy import Policy
 
-LAST_MOMENT = 100 * MS
-TIME_OUT = 3 * SECOND
-KEEP = 5 * SECOND
-PAUSE = 500 * MS  # between two tries, whatever happens
+EXPIRY_MARGIN = 100 * MS  # before the end of the validity period
+SUBMIT_TIMEOUT = 3 * SECOND
+CONNECTION_IDLE_LIMIT = 5 * SECOND
+RETRY_INTERVAL = 500 * MS  # between two attempts, whatever the result
 
 
 @dataclass(slots=True, eq=False)
-class PlainText:
-    """One text: how often it was sent, when it may go, and when and where it may have run first."""
+class BaselineText:
+    """The state of one text: attempts, time of the next one, and when and where it may first have run."""
 
     text: li.Text
-    tries: int
-    due: int
-    out: bool = False
-    ran_at: int | None = None
-    floor: int | None = None
+    attempts: int
+    retry_at: int
+    in_flight: bool = False
+    first_run_at: int | None = None
+    first_run_zone: int | None = None
 
 
-class Plain:
-    """A relay's decisions without any knowledge: each text goes to a host by chance as soon as a slot is
-    free.
+class BaselinePolicy:
+    """A policy that learns nothing: each text is sent to a random host as soon as a slot is free.
 
-    `tries` is how often it is sent, `PAUSE` apart, as long as its product lets it go again. It speaks the
-    module's interface; told waits, drains and the order of keys are kept, since without them it could not be
-    let near a partner, but nothing is learned from any outcome."""
+    `max_attempts` limits the attempts for a text, `RETRY_INTERVAL` apart, as far as the product allows a
+    retry. The class has the interface of the decision module. Retry-After, drains and the order of keys are
+    respected, since no partner could be used without them, but results do not influence later decisions."""
 
-    tries = 1
+    max_attempts = 1
 
     def __init__(self, settings: li.PolicySettings, now: int) -> None:
         self.settings, self.chance = settings, Streams(settings.seed)
-        self.texts: dict[li.TextId, PlainText] = {}
-        self.over: dict[li.TextId, li.Text] = {}
+        self.texts: dict[li.TextId, BaselineText] = {}
+        self.finished_texts: dict[li.TextId, li.Text] = {}
         self.hosts: dict[li.HostId, li.HostEntry] = {}
         self.by_destination: dict[int, list[li.HostId]] = {}
-        self.waits: dict[int, int] = {}
-        self.lines: dict[object, list[li.TextId]] = {}
-        self.rests: dict[object, int] = {}
+        self.wait_until: dict[int, int] = {}
+        self.key_queues: dict[object, list[li.TextId]] = {}
+        self.cooldown_until: dict[object, int] = {}
         self.expiries: list[tuple[int, li.TextId]] = []
-        self.used = 0
-        self.waiting: dict[li.TextId, None] = {}
+        self.used_slots = 0
+        self.unsent: dict[li.TextId, None] = {}
         self.stop_at = 1 << 62
 
     def hosts_listed(self, now: int, entries: list[li.HostEntry], whole: bool) -> None:
+        """Update the list of hosts; `whole`: it replaces the known one."""
         if whole:
             self.hosts.clear()
         for entry in entries:
@@ -67,139 +67,164 @@
                 self.by_destination.setdefault(entry.destination, []).append(entry.host)
 
     def text_accepted(self, now: int, text: li.Text, history: li.TextHistory | None = None) -> None:
+        """Accept a text, with what an earlier process did with it."""
         history = history or li.TextHistory()
-        self.texts[text.id] = PlainText(
-            text, history.submit_count, now, ran_at=history.first_run_at, floor=history.first_run_zone
+        self.texts[text.id] = BaselineText(
+            text,
+            history.submit_count,
+            now,
+            first_run_at=history.first_run_at,
+            first_run_zone=history.first_run_zone,
         )
-        self.waiting[text.id] = None
-        heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
+        self.unsent[text.id] = None
+        heapq.heappush(self.expiries, (text.valid_until - EXPIRY_MARGIN, text.id))
         if text.key and self.settings.products[text.product].in_order:
-            self.lines.setdefault(text.key, []).append(text.id)
+            self.key_queues.setdefault(text.key, []).append(text.id)
             if history.in_flight:
-                self.rests[text.key] = now + self.settings.key_cooldown
+                self.cooldown_until[text.key] = now + self.settings.key_cooldown
         if history.is_answered:
-            self.over[text.id] = self.texts.pop(text.id).text
-            self.waiting.pop(text.id)
+            self.finished_texts[text.id] = self.texts.pop(text.id).text
+            self.unsent.pop(text.id)
 
     def text_finished(self, now: int, text: li.TextId) -> None:
+        """Forget a text."""
         self.texts.pop(text, None)
-        row = self.over.pop(text, None)
-        self.waiting.pop(text, None)
-        if row is not None:
-            self._out_of_line(row)
+        finished_text = self.finished_texts.pop(text, None)
+        self.unsent.pop(text, None)
+        if finished_text is not None:
+            self._remove_from_queue(finished_text)
 
-    def _out_of_line(self, row: li.Text) -> None:
-        line = self.lines.get(row.key)
-        if line and row.id in line:
-            line.remove(row.id)
+    def _remove_from_queue(self, text: li.Text) -> None:
+        queue = self.key_queues.get(text.key)
+        if queue and text.id in queue:
+            queue.remove(text.id)
 
     def submit_ended(self, now: int, report: li.SubmitReport) -> None:
-        held = self.texts.get(report.text)
-        if held is None or not held.out:
+        """Record the result of a submit, and schedule the next attempt unless the text is finished."""
+        pending = self.texts.get(report.text)
+        if pending is None or not pending.in_flight:
             return
-        self.used -= 1
-        held.out, text = False, held.text
+        self.used_slots -= 1
+        pending.in_flight, text = False, pending.text
         if report.retry_after:
-            until = max(self.waits.get(text.destination, 0), now + report.retry_after)
-            self.waits[text.destination] = until
+            until = max(self.wait_until.get(text.destination, 0), now + report.retry_after)
+            self.wait_until[text.destination] = until
         if report.finished:
             self.texts.pop(report.text)
-            self._out_of_line(text)
+            self._remove_from_queue(text)
             return
         if report.result in (Result.ERROR, Result.MALFORMED, Result.TIMEOUT, Result.RESET):
-            if held.ran_at is None:
-                held.ran_at = now - report.took
-                held.floor = self.hosts[report.host].zone if report.host in self.hosts else None
+            if pending.first_run_at is None:
+                pending.first_run_at = now - report.took
+                pending.first_run_zone = self.hosts[report.host].zone if report.host in self.hosts else None
             if text.key and report.result is not Result.ERROR:
-                self.rests[text.key] = now + self.settings.key_cooldown
-        held.due = now + PAUSE
-        self.waiting[report.text] = None
-        heapq.heappush(self.expiries, (text.valid_until - LAST_MOMENT, text.id))
+                self.cooldown_until[text.key] = now + self.settings.key_cooldown
+        pending.retry_at = now + RETRY_INTERVAL
+        self.unsent[report.text] = None
+        heapq.heappush(self.expiries, (text.valid_until - EXPIRY_MARGIN, text.id))
 
     def stopping(self, until: int) -> None:
+        """Send nothing from `until` on."""
         self.stop_at = until
 
     def may_send(self, now: int, text: li.TextId, host: li.HostId) -> bool:
-        entry, held = self.hosts.get(host), self.texts.get(text)
+        """Whether the host is ready, and its destination does not ask to wait."""
+        entry, pending = self.hosts.get(host), self.texts.get(text)
         return (
             entry is not None
             and entry.listing is Listing.READY
-            and held is not None
-            and self.waits.get(entry.destination, 0) <= now
+            and pending is not None
+            and self.wait_until.get(entry.destination, 0) <= now
         )
 
     def decide(self, now: int) -> list[li.Action]:
+        """Return the actions to carry out now."""
         actions: list[li.Action] = []
         while self.expiries and self.expiries[0][0] <= now:
-            held = self.texts.get(heapq.heappop(self.expiries)[1])
-            if held is not None and not held.out:
-                self._end(held, actions)
-        for text in list(self.waiting):
-            held = self.texts.get(text)
-            if held is None:
-                self.waiting.pop(text, None)
-            elif self._done(now, held):
-                self._end(held, actions)
+            pending = self.texts.get(heapq.heappop(self.expiries)[1])
+            if pending is not None and not pending.in_flight:
+                self._finish(pending, actions)
+        for text in list(self.unsent):
+            pending = self.texts.get(text)
+            if pending is None:
+                self.unsent.pop(text, None)
+            elif self._is_exhausted(now, pending):
+                self._finish(pending, actions)
             elif (
-                self.used < self.settings.slots
-                and held.due <= now < self.stop_at
-                and self._turn(now, held.text)
+                self.used_slots < self.settings.slots
+                and pending.retry_at <= now < self.stop_at
+                and self._has_turn(now, pending.text)
             ):
-                self._submit(now, held, actions)
-        if self.waiting:
+                self._submit(now, pending, actions)
+        if self.unsent:
             actions.append(li.Wake(20 * MS))
         return actions
 
-    def _done(self, now: int, held: PlainText) -> bool:
-        """Whether it is not to be sent again."""
-        product = self.settings.products[held.text.product]
-        if held.tries >= min(self.tries, self.settings.max_submits):
+    def _is_exhausted(self, now: int, pending: BaselineText) -> bool:
+        """Whether the text must not be sent again."""
+        product = self.settings.products[pending.text.product]
+        if pending.attempts >= min(self.max_attempts, self.settings.max_submits):
             return True
-        if held.ran_at is None or product.effect is Effect.RESENDABLE:
+        if pending.first_run_at is None or product.effect is Effect.RESENDABLE:
             return False
-        return product.effect is Effect.ONCE_ONLY or now + LAST_MOMENT >= held.ran_at + product.retry_window
+        return (
+            product.effect is Effect.ONCE_ONLY
+            or now + EXPIRY_MARGIN >= pending.first_run_at + product.retry_window
+        )
 
-    def _turn(self, now: int, text: li.Text) -> bool:
-        line = self.lines.get(text.key)
-        first = not line or line[0] == text.id
-        return first and self.rests.get(text.key, 0) <= now and self.waits.get(text.destination, 0) <= now
+    def _has_turn(self, now: int, text: li.Text) -> bool:
+        queue = self.key_queues.get(text.key)
+        first = not queue or queue[0] == text.id
+        return (
+            first
+            and self.cooldown_until.get(text.key, 0) <= now
+            and self.wait_until.get(text.destination, 0) <= now
+        )
 
-    def _submit(self, now: int, held: PlainText, actions: list[li.Action]) -> None:
-        text = held.text
+    def _submit(self, now: int, pending: BaselineText, actions: list[li.Action]) -> None:
+        text = pending.text
         product = self.settings.products[text.product]
         hosts = self.by_destination.get(text.destination, [])
-        if held.ran_at is not None and product.effect is Effect.REFERENCED and not product.retry_anywhere:
-            hosts = [each for each in hosts if self.hosts[each].zone == held.floor]
+        if (
+            pending.first_run_at is not None
+            and product.effect is Effect.REFERENCED
+            and not product.retry_anywhere
+        ):
+            hosts = [each for each in hosts if self.hosts[each].zone == pending.first_run_zone]
         if not hosts:
             return
         host = hosts[self.chance.below("host", len(hosts))]
-        held.tries, held.out = held.tries + 1, True
-        self.used += 1
-        self.waiting.pop(text.id, None)
-        actions.append(li.Submit(text.id, host, max(1, min(TIME_OUT, text.valid_until - now)), KEEP))
+        pending.attempts, pending.in_flight = pending.attempts + 1, True
+        self.used_slots += 1
+        self.unsent.pop(text.id, None)
+        actions.append(
+            li.Submit(
+                text.id, host, max(1, min(SUBMIT_TIMEOUT, text.valid_until - now)), CONNECTION_IDLE_LIMIT
+            )
+        )
 
-    def _end(self, held: PlainText, actions: list[li.Action]) -> None:
-        text = held.text
+    def _finish(self, pending: BaselineText, actions: list[li.Action]) -> None:
+        text = pending.text
         product = self.settings.products[text.product]
-        safe = (
-            held.ran_at is None
+        may_nack = (
+            pending.first_run_at is None
             or product.effect is Effect.RESENDABLE
             or product.effect is Effect.REFERENCED
             and product.retry_anywhere
         )
-        actions.append(li.Nack(text.id, self.settings.max_advice) if safe else li.Undeliverable(text.id))
-        self.over[text.id] = self.texts.pop(text.id).text
-        self.waiting.pop(text.id, None)
+        actions.append(li.Nack(text.id, self.settings.max_advice) if may_nack else li.Undeliverable(text.id))
+        self.finished_texts[text.id] = self.texts.pop(text.id).text
+        self.unsent.pop(text.id, None)
 
 
-class OneTry(Plain):
-    """One try a text."""
+class OneTry(BaselinePolicy):
+    """One attempt for each text."""
 
 
-class FixedRetries(Plain):
-    """Four tries a text, half a second apart, without a budget."""
+class FixedRetries(BaselinePolicy):
+    """Four attempts for each text, half a second apart, without a retry budget."""
 
-    tries = 4
+    max_attempts = 4
 
 
 SUBJECTS = {"module": Policy, "one-try": OneTry, "fixed-retries": FixedRetries}
