--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from limelatch.client.pool import Pool
-from limelatch.client.wire import Ending, HandedText
+from limelatch.client.wire import AnswerKind, Submission
 from limelatch.interface import MS, SECOND, Effect
 from limelatch.lab import record as rec
 from limelatch.lab.record import Answer
@@ -46,11 +46,11 @@
 from limelatch.lab.world.clients import Arrival, Arrivals, ClientBehavior
 
 ANSWERS = {
-    Ending.TAKEN: Answer.TAKEN,
-    Ending.BUSY: Answer.BUSY,
-    Ending.ERROR: Answer.ERROR,
-    Ending.SILENT: Answer.SILENT,
-    Ending.LOST: Answer.LOST,
+    AnswerKind.ACCEPTED: Answer.TAKEN,
+    AnswerKind.BUSY: Answer.BUSY,
+    AnswerKind.ERROR: Answer.ERROR,
+    AnswerKind.NO_ANSWER: Answer.SILENT,
+    AnswerKind.LOST: Answer.LOST,
 }
 MAX_CONNECTIONS = 256  # to each relay
 NO_RELAY_DELAY = 100 * MS  # ticks until a text that found no relay is submitted again
@@ -176,7 +176,7 @@
                 writer.add(rec.StageLate(now, "load", max(0, now - submission.due)))
             answer = await self.pools[submission.relay].submit(self.text_of(submission, now))
             now = self.now()
-            kind = ANSWERS[answer.ending]
+            kind = ANSWERS[answer.kind]
             writer.add(rec.Answered(now, submission.id, kind, answer.wait_ms * MS))
             if kind not in (Answer.LOST, Answer.SILENT):
                 self.answered(submission, kind, answer.wait_ms * MS, now)
@@ -187,12 +187,12 @@
                 await asyncio.sleep(NO_RELAY_DELAY / SECOND)
         self.release_key(submission)
 
-    def text_of(self, submission: Submission, now: int) -> HandedText:
+    def text_of(self, submission: Submission, now: int) -> Submission:
         """Returns the text for the client library."""
         mark = TextMark(submission.product, submission.first, submission.relay, self.play)
         body = body_of(mark, self.scenario.clients.body)
         customer = self.customers[submission.customer] if self.customers else ""
-        return HandedText(
+        return Submission(
             self.names[submission.product],
             submission.destination,
             max(1, (submission.until - now) // MS),
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -25,7 +25,7 @@
 import psutil
 
 from limelatch.client.pool import Pool
-from limelatch.client.wire import Ending
+from limelatch.client.wire import AnswerKind
 from limelatch.configuration.model import Catalog as CatalogTable
 from limelatch.configuration.model import (
     Clients,
@@ -69,9 +69,9 @@
 from limelatch.lab.stages.terms import idle_time, policy_settings_of
 from limelatch.lab.world.endpoint import Endpoint, Reply, Route, WorldCall, WorldText
 from limelatch.lab.world.world import World
-from limelatch.standin.agent import AgentFace, Notice, Row
-from limelatch.standin.host import Call, HostFace, State
-from limelatch.standin.http import Connection, Face, Server
+from limelatch.standin.agent import AgentHandler, HostEntry, Notice
+from limelatch.standin.host import Call, HostHandler, TextState
+from limelatch.standin.http import Connection, Handler, Server
 
 READY_TIMEOUT = 15.0  # seconds for a process to start
 STOP_TIMEOUT = 4.0  # seconds for a process to end, then SIGKILL
@@ -84,11 +84,11 @@
 STATUS = {Listing.READY: "active", Listing.DRAINING: "leaving", Listing.GONE: "left"}
 LISTING_CODES = {Listing.READY: 0, Listing.DRAINING: 1, Listing.GONE: 2}
 STATE_BY_FATE = {
-    Fate.DELIVERED: State.DELIVERED,
-    Fate.FAILED: State.FAILED,
-    Fate.REFUSED: State.REFUSED,
-    Fate.OVER: State.OVER,
-    Fate.SPENT: State.SPENT,
+    Fate.DELIVERED: TextState.DELIVERED,
+    Fate.FAILED: TextState.FAILED,
+    Fate.REFUSED: TextState.REFUSED,
+    Fate.OVER: TextState.OVER,
+    Fate.SPENT: TextState.SPENT,
 }
 GARBAGE = b"\x00\xff garbage \r\n\r\n"
 DEFAULT_NAME = "any"  # a scenario without kinds or floors has one of each
@@ -110,13 +110,13 @@
     async def open(self) -> None:
         """Starts a server for each relay."""
         for relay in range(self.stage.scenario.relays.count):
-            face = HostFace(
+            handler = HostHandler(
                 lambda call, relay=relay: self.called(relay, call),
                 self.closed,
                 self.opened,
                 self.unreadable_input,
             )
-            server = self.stage.server(face)
+            server = self.stage.server(handler)
             self.servers.append(server)
             await server.start()
 
@@ -145,18 +145,18 @@
         if endpoint.silent or endpoint.number in stage.cut[relay]:
             self.unanswered_connections.add(connection)
             return
-        if call.probe:
+        if call.is_probe:
             connection.answer(503 if endpoint.out else 200)
             return
         texts = []
-        for item in call.items:
+        for text in call.texts:
             try:
-                mark = read_body(item.body, stage.address.host)
+                mark = read_body(text.body, stage.address.host)
             except ForeignText as error:
                 connection.answer(400)
                 stage.foreign_call(endpoint, str(error))
                 return
-            texts.append(WorldText(item.id, mark.first, mark.product))
+            texts.append(WorldText(text.id, mark.first, mark.product))
         now = stage.clock.now()
         stage.calls += 1
         stage.writer.add(
@@ -206,7 +206,7 @@
                 server.down()
         elif endpoint.silent:
             for server in self.servers:
-                server.silence()
+                server.stop_accepting()
         else:
             for connection in list(self.unanswered_connections):
                 connection.reset()
@@ -235,7 +235,7 @@
         self.name = f"relay-{number}"
         self.path, self.state = folder / f"{self.name}.json", folder / f"{self.name}-state"
         self.state.mkdir()
-        self.agent = AgentFace(lambda notice: stage.noticed(number, notice))
+        self.agent = AgentHandler(lambda notice: stage.noticed(number, notice))
         self.server = stage.server(self.agent)
         self.process: asyncio.subprocess.Process | None = None
         self.watch: psutil.Process | None = None
@@ -296,7 +296,7 @@
         host, _, port = self.listen.partition(":")
         until = time.monotonic() + READY_TIMEOUT
         async with Pool(host, int(port), 1) as pool:
-            while (await pool.ping()).ending is not Ending.TAKEN:
+            while (await pool.ping()).kind is not AnswerKind.ACCEPTED:
                 if self.process.returncode is not None or time.monotonic() > until:
                     raise StageError(f"{self.name} did not start: see {self.folder / (self.name + '.log')}")
                 await asyncio.sleep(0.02)
@@ -427,7 +427,7 @@
         host, count = self.address.host, self.scenario.relays.count
         fronts, listens = ([(host, self.address.port()) for _ in range(count)] for _ in range(2))
         made = DatagramNetwork(fronts, listens, self.seed)
-        made.conditions(lost=DATAGRAM_FAULT_SHARE, doubled=DATAGRAM_FAULT_SHARE, late=DATAGRAM_FAULT_SHARE)
+        made.set_conditions(lost=DATAGRAM_FAULT_SHARE, duplicated=DATAGRAM_FAULT_SHARE, delayed=DATAGRAM_FAULT_SHARE)
         return made
 
     def membership_of(self, relay: int) -> Membership:
@@ -436,13 +436,13 @@
             return Membership()
         peers, listens = (
             [f"{host}:{port}" for host, port in addresses]
-            for addresses in (self.datagrams.fronts, self.datagrams.listens)
+            for addresses in (self.datagrams.front_addresses, self.datagrams.listen_addresses)
         )
         return Membership(on=True, listen=listens[relay], peers=peers, address=peers[relay])
 
-    def server(self, face: Face) -> Server:
+    def server(self, handler: Handler) -> Server:
         """Creates a server on a port that is never assigned to another one in this run."""
-        return Server(face, self.address.host, self.address.port())
+        return Server(handler, self.address.host, self.address.port())
 
     def foreign_call(self, endpoint: Endpoint, why: str) -> None:
         """Counts and records a call that does not belong to this run; the checker ignores it."""
@@ -601,12 +601,12 @@
         if self.datagrams is not None:
             self.datagrams.stop()
 
-    def row(self, endpoint: Endpoint, relay: int, listing: Listing) -> Row:
+    def row(self, endpoint: Endpoint, relay: int, listing: Listing) -> HostEntry:
         """Returns an endpoint's row in a relay's catalog."""
         endpoint_servers, destination = self.servers_by_endpoint[endpoint.number], endpoint.destination
         floors = [each.name for each in self.scenario.floors] or [DEFAULT_NAME]
         kind = self.world.kinds[destination.kind] if self.world.kinds else DEFAULT_NAME
-        return Row(
+        return HostEntry(
             endpoint.name,
             endpoint_servers.servers[relay].address,
             floors[endpoint.floor],
@@ -721,7 +721,7 @@
             if fault.what is What.LIST_LATE:
                 relay.factor = fault.times if on else 1.0
             else:
-                relay.agent.hush(on)
+                relay.agent.set_silent(on)
                 withheld_updates, relay.withheld_updates = relay.withheld_updates, []
                 for host, listing in withheld_updates:
                     self.writer.add(
--- a/limelatch/membership/outbox.py
+++ b/limelatch/membership/outbox.py
@@ -1,85 +1,93 @@
-"""What a member sends: datagrams filled with facts, within its budget of bytes."""
+"""Outgoing datagrams of a member, filled up with queued facts and limited by a byte budget."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from limelatch.interface import SECOND
-from limelatch.membership.codec import DATAGRAM_MOST, HEADER, Codec
+from limelatch.membership.codec import MAX_DATAGRAM_BYTES, HEADER, Codec
 from limelatch.membership.dissemination import FactQueue
 from limelatch.membership.messages import Datagram, Fact, Header, Message
 
-RESERVE = 400  # bytes that only pings and answers use
-FACTS_RESERVE = 900  # that facts leave: indirect probes and second looks come before them
-DATAGRAM_LEAST = 25  # of a ping without facts
-PACKET_HEADERS = 28  # of IPv4 and UDP
-BYTES_A_SECOND, BYTES_SAVED = 2700, 1400  # sent and received, packet headers counted: under 3 KB/s
+RESERVED_BYTES = 400  # bytes that only pings and answers may use
+FACTS_RESERVED_BYTES = 900  # bytes that facts leave unused: indirect and repeated probes have priority
+MIN_DATAGRAM_BYTES = 25  # a ping without facts
+PACKET_HEADER_BYTES = 28  # bytes of the IPv4 and UDP headers
+BYTES_PER_SECOND = 2700  # sent and received with packet headers; keeps a member under 3 KB/s
+MAX_SAVED_BYTES = 1400  # unused budget that is kept for a burst
 
 
 class Outbox:
-    """Datagrams of this turn. A budget keeps their bytes down: facts give way first, answers last."""
+    """The datagrams of the current step, limited by a token bucket of bytes.
+
+    When it runs low, facts are left out first and answers last."""
 
     def __init__(self, now: int, codec: Codec, queue: FactQueue, fact_of: Callable[[int], Fact]) -> None:
         self.codec, self.queue, self.fact_of = codec, queue, fact_of
         self.datagrams: list[Datagram] = []
-        self.allowance, self.refilled_at = BYTES_SAVED, now
-        self._chargeable = BYTES_SAVED
+        self.allowance, self.refilled_at = MAX_SAVED_BYTES, now
+        self._receive_allowance = MAX_SAVED_BYTES
 
     def refill(self, now: int) -> None:
-        earned = (now - self.refilled_at) * BYTES_A_SECOND // SECOND
+        """Add the budget of the time since the last call."""
+        earned = (now - self.refilled_at) * BYTES_PER_SECOND // SECOND
         if earned > 0:
-            self.allowance = min(BYTES_SAVED, self.allowance + earned)
-            self._chargeable = min(BYTES_SAVED, self._chargeable + earned // 2)
+            self.allowance = min(MAX_SAVED_BYTES, self.allowance + earned)
+            self._receive_allowance = min(MAX_SAVED_BYTES, self._receive_allowance + earned // 2)
             self.refilled_at = now
 
     def received(self, size: int) -> None:
-        """A datagram of another member: it is paid for from the same budget.
+        """Charge a received datagram to the same budget.
 
-        Guards against a member that sends so much that this one can't answer: at most half is charged."""
-        charged = min(size + PACKET_HEADERS, self._chargeable)
-        self._chargeable -= charged
+        At most half of the budget is charged. Guards against a member that sends so much that this one can no
+        longer answer."""
+        charged = min(size + PACKET_HEADER_BYTES, self._receive_allowance)
+        self._receive_allowance -= charged
         self.allowance -= charged
 
-    def affords(self, size: int) -> bool:
-        """Whether a probe that may be left out leaves the reserve, from which pings and answers go.
+    def can_afford(self, size: int) -> bool:
+        """Whether an optional probe of this size leaves the reserve for pings and answers.
 
-        Guards against news that uses up the budget: without indirect probes more members are suspect, and
-        that is more news."""
-        return self.allowance >= RESERVE + size + PACKET_HEADERS
+        Guards against facts that use up the budget: without indirect probes more members become suspect,
+        which causes even more facts."""
+        return self.allowance >= RESERVED_BYTES + size + PACKET_HEADER_BYTES
 
-    def affords_facts(self, size: int) -> bool:
-        """The same for a datagram that is sent for its facts alone."""
-        return self.allowance >= FACTS_RESERVE + size + PACKET_HEADERS
+    def can_afford_facts(self, size: int) -> bool:
+        """Whether the budget allows a datagram that is sent only for its facts."""
+        return self.allowance >= FACTS_RESERVED_BYTES + size + PACKET_HEADER_BYTES
 
     def send(
         self,
         to: int,
-        form: Callable[..., Message],
+        message_type: Callable[..., Message],
         header: Header,
-        *parts: object,
-        tail: int = 1,
+        *fields: object,
+        body_bytes: int = 1,
         first: Fact | None = None,
-        alone: bool = False,
+        only_first: bool = False,
     ) -> None:
-        """Send a message with `first` and, unless that is to go alone, as many queued facts as fit.
-        `tail`: the message's bytes behind the header without facts.
+        """Send a message with the fact `first` and, unless `only_first`, as many queued facts as fit.
 
-        Guards against answers to a flood of pings: with the saved bytes overdrawn nothing is sent."""
-        size = HEADER.size + tail
-        if self.allowance + BYTES_SAVED < size + PACKET_HEADERS:
+        `body_bytes`: the message's size without header and facts. Nothing is sent once the budget is
+        overdrawn by MAX_SAVED_BYTES: guards against answering a flood of pings."""
+        size = HEADER.size + body_bytes
+        if self.allowance + MAX_SAVED_BYTES < size + PACKET_HEADER_BYTES:
             return
-        room = min(DATAGRAM_MOST - size, max(0, self.allowance - FACTS_RESERVE - size - PACKET_HEADERS))
-        if alone:
+        facts_bytes = min(
+            MAX_DATAGRAM_BYTES - size,
+            max(0, self.allowance - FACTS_RESERVED_BYTES - size - PACKET_HEADER_BYTES),
+        )
+        if only_first:
             facts = () if first is None else (first,)
         else:
-            facts = self.queue.take(room, self.fact_of, first)
-        self._put(to, form(header, *parts, facts))
+            facts = self.queue.take(facts_bytes, self.fact_of, first)
+        self._put(to, message_type(header, *fields, facts))
 
     def send_whole(self, to: int, message: Message) -> None:
-        """Send a message that is filled already."""
+        """Send a complete message, without queued facts."""
         self._put(to, message)
 
     def _put(self, to: int, message: Message) -> None:
         data = self.codec.write(message)
-        self.allowance -= len(data) + PACKET_HEADERS
+        self.allowance -= len(data) + PACKET_HEADER_BYTES
         self.datagrams.append(Datagram(to, data))
--- a/limelatch/membership/suspicion.py
+++ b/limelatch/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions: who is suspect since when, who confirms it, and when it becomes a verdict."""
+"""Suspicions: since when a member is suspect, who confirms it, and when it is declared dead."""
 
 from __future__ import annotations
 
@@ -6,49 +6,59 @@
 
 from limelatch.membership.timing import Timing
 
-CONFIRMATIONS = 2  # by other witnesses, which shorten a suspicion
-REFUSALS = 2  # that show that a member's process is gone
+CONFIRMATIONS_REQUIRED = 2  # by other witnesses, which shorten a suspicion
+REFUSALS_REQUIRED = 2  # of datagrams, after which a member's process counts as gone
 
 
 @dataclass(slots=True)
 class Refusals:
-    """Datagrams to one member that came to a closed port, with no answer since."""
+    """Datagrams to one member that were refused by a closed port, without an answer since.
+
+    Times in tenths of a millisecond."""
 
     first_at: int
     next_probe: int
     count: int = 0
-    counted_at: int = 0
+    last_counted_at: int = 0
 
     def add(self, now: int, timing: Timing) -> bool:
-        """One more, a burst counts once; whether they are enough."""
-        if not self.count or now - self.counted_at >= timing.refused_apart:
-            self.count, self.counted_at = self.count + 1, now
-        return self.count >= REFUSALS
+        """Count a refusal, a burst as one; return whether REFUSALS_REQUIRED are reached."""
+        if not self.count or now - self.last_counted_at >= timing.refusal_interval:
+            self.count, self.last_counted_at = self.count + 1, now
+        return self.count >= REFUSALS_REQUIRED
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """Of one member. `since`: when the probe was sent that had no answer, here or at another member."""
+    """The suspicion of one member.
+
+    `since`: when the unanswered probe was sent, by this member or by another one."""
 
     since: int
-    own: bool  # this member's probes had no answer
+    own: bool  # this member's own probes had no answer
     next_probe: int
-    witnesses: set[int] = field(default_factory=set)  # others whose probes had none; CONFIRMATIONS at most
-    refused: bool = False  # its process is gone, as its port shows
+    witnesses: set[int] = field(default_factory=set)  # at most CONFIRMATIONS_REQUIRED others
+    refused: bool = False  # its port is closed, so its process is gone
 
     def confirm(self, witness: int) -> None:
-        if len(self.witnesses) < CONFIRMATIONS:
+        """Count another member whose own probes had no answer."""
+        if len(self.witnesses) < CONFIRMATIONS_REQUIRED:
             self.witnesses.add(witness)
 
     def ends_at(self, timing: Timing) -> int:
-        """When it becomes a verdict."""
+        """When the member is declared dead."""
         if self.refused:
-            return self.since + timing.refused
+            return self.since + timing.refused_suspicion
         if not self.own:
-            return self.since + timing.hearsay
-        return self.since + (timing.suspicion if len(self.witnesses) >= CONFIRMATIONS else timing.unconfirmed)
+            return self.since + timing.reported_suspicion
+        return self.since + (
+            timing.confirmed_suspicion
+            if len(self.witnesses) >= CONFIRMATIONS_REQUIRED
+            else timing.unconfirmed_suspicion
+        )
 
     def why(self) -> str:
+        """The reason that is logged when the member is declared dead."""
         if self.refused:
             return "refused"
         return "unanswered" if self.own else "hearsay"
--- a/limelatch/relay/operations.py
+++ b/limelatch/relay/operations.py
@@ -64,5 +64,5 @@
 
     def refresh_suspended(self) -> None:
         """Apply the changes that operators have made at the other process of an upgrade."""
-        for host in self.suspended.refresh() if self._driver.handover.has_news else ():
+        for host in self.suspended.refresh() if self._driver.handover.has_host_data else ():
             self._driver.refresh_host(host)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -9,7 +9,7 @@
 
 import pytest
 from conftest import WAIT_TIMEOUT
-from test_crossings import Running, until
+from test_crossings import RunningReactor, wait_until
 from test_parts import SocketPairTransport
 
 from limelatch.relay import clients
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def clock():
-    return Running()
+    return RunningReactor()
 
 
 @pytest.fixture
@@ -209,14 +209,14 @@
     program.start().socket.close()
     crowd = Crowd(program, 3 * TABLE)
     try:
-        until(lambda: crowd.opened > 6 * TABLE, BACKOFF_TIMEOUT)
+        wait_until(lambda: crowd.opened > 6 * TABLE, BACKOFF_TIMEOUT)
         texts = [f"t{number}" for number in range(20)]
         for text in texts:
             client = program.client()
             with client.socket:
                 assert client.submit(text, d=20_000) == "+OK"
         assert sorted(host.next().headers["X-Txn"] for _ in texts) == sorted(texts)
-        until(lambda: crowd.opened > 12 * TABLE, BACKOFF_TIMEOUT)
+        wait_until(lambda: crowd.opened > 12 * TABLE, BACKOFF_TIMEOUT)
         assert crowd.peak < TABLE + 3 * MAX_ACCEPTS_PER_TURN
     finally:
         crowd.end()
--- a/tests/test_terms_descriptors.py
+++ b/tests/test_terms_descriptors.py
@@ -12,7 +12,7 @@
 
 import pytest
 from conftest import WAIT_TIMEOUT, Agent, Client, Program
-from test_crossings import Doorstep, Running, until
+from test_crossings import ListenerDriver, RunningReactor, wait_until
 from test_parts import VALID_CONFIG, SocketPairTransport
 
 from limelatch.configuration import plan_of
@@ -38,7 +38,7 @@
 
 def test_a_burst_in_one_turn_stays_within_the_clients_descriptors():
     """Connections that make room are closed only after the reactor turn."""
-    listener, connections = Listener(Doorstep(Running()), 10, 10_000, 14), []
+    listener, connections = Listener(ListenerDriver(RunningReactor()), 10, 10_000, 14), []
     for _ in range(100):
         if (client := listener.buildProtocol(Peer)) is not None:
             client.makeConnection(SocketPairTransport())
@@ -53,7 +53,7 @@
 
 
 def test_a_burst_at_the_operators_port_stays_within_its_descriptors():
-    operator_server, connections = OperatorServer(Doorstep(Running()), None, 2), []
+    operator_server, connections = OperatorServer(ListenerDriver(RunningReactor()), None, 2), []
     for _ in range(100):
         if (caller := operator_server.buildProtocol(Peer)) is not None:
             caller.makeConnection(SocketPairTransport())
@@ -226,7 +226,7 @@
         answers |= {text: submit_once(program, text) for text in map("b{}".format, range(12))}
         accepted = {text for text, answer in answers.items() if answer == "+OK"}
         got = {first.headers["X-Txn"]}
-        until(
+        wait_until(
             lambda: (
                 got.update(each.headers["X-Txn"] for each in iter(lambda: next_request(host), None))
                 or got >= accepted
@@ -254,7 +254,7 @@
         assert program.process.wait(WAIT_TIMEOUT) == 2
     finally:
         program.kill()
-    until(lambda: any("64 descriptors are needed" in line for line in program.lines))
+    wait_until(lambda: any("64 descriptors are needed" in line for line in program.lines))
 
 
 def test_shares_follow_the_configured_socket_limit(tmp_path):
