--- a/limelatch/lab/stages/load.py
+++ b/limelatch/lab/stages/load.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Submission:
+class TextAttempt:
     """One submission of a text."""
 
     id: str
@@ -98,8 +98,8 @@
         self.count = self.pending_retries = self.accepted_count = 0
         self.all_submitted = False
         self.tasks: set[asyncio.Task] = set()
-        self.keys: dict[int, deque[Submission]] = {}
-        self.accepted: dict[str, Submission] = {}  # by id, until the retention time is over
+        self.keys: dict[int, deque[TextAttempt]] = {}
+        self.accepted: dict[str, TextAttempt] = {}  # by id, until the retention time is over
         self.expiries: list[tuple[int, str]] = []
         self.names = [row.name for row in self.scenario.products]
         self.customers = [row.name for row in self.scenario.customers]
@@ -121,7 +121,7 @@
             first = f"t{self.count}"
             until = arrival.at + self.scenario.products[arrival.product].validity_period
             self.submit_text(
-                Submission(
+                TextAttempt(
                     first,
                     first,
                     arrival.product,
@@ -136,7 +136,7 @@
             )
         self.all_submitted = True
 
-    def submit_text(self, submission: Submission) -> None:
+    def submit_text(self, submission: TextAttempt) -> None:
         """Submits a text; texts of one key wait until the one before has its answer."""
         if submission.key:
             waiting = self.keys.setdefault(submission.key, deque())
@@ -145,13 +145,13 @@
                 return
         self.start(submission)
 
-    def start(self, submission: Submission) -> None:
+    def start(self, submission: TextAttempt) -> None:
         """Starts the task that submits a text."""
         task = self.loop.create_task(self.submit_until_answered(submission))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def submit_until_answered(self, submission: Submission) -> None:
+    async def submit_until_answered(self, submission: TextAttempt) -> None:
         """Submits a text until it has an answer or expires; tries the next relay after a failure."""
         while (now := self.now()) < submission.until:
             if submission.failed_attempts:  # each attempt has a new id
@@ -187,7 +187,7 @@
                 await asyncio.sleep(NO_RELAY_DELAY / SECOND)
         self.release_key(submission)
 
-    def text_of(self, submission: Submission, now: int) -> Submission:
+    def text_of(self, submission: TextAttempt, now: int) -> Submission:
         """Returns the text for the client library."""
         mark = TextMark(submission.product, submission.first, submission.relay, self.play)
         body = body_of(mark, self.scenario.clients.body)
@@ -204,7 +204,7 @@
             submission.tries > 0,
         )
 
-    def answered(self, submission: Submission, kind: Answer, wait: int, now: int) -> None:
+    def answered(self, submission: TextAttempt, kind: Answer, wait: int, now: int) -> None:
         """Handles a relay's answer."""
         if kind is Answer.TAKEN:
             self.accepted_count += 1
@@ -215,16 +215,16 @@
         elif kind is Answer.BUSY:
             self.resubmit(submission, wait, now)
 
-    def resubmit(self, submission: Submission, retry_after: int, now: int) -> None:
+    def resubmit(self, submission: TextAttempt, retry_after: int, now: int) -> None:
         """Schedules the resubmission of a nacked text, if its client retries and there is time."""
         wait = self.client_behavior.retry_delay(submission.tries, retry_after)
         if wait is not None and now + wait < submission.until:
             self.schedule_resubmission(submission, now + wait)
 
-    def schedule_resubmission(self, submission: Submission, at: int) -> None:
+    def schedule_resubmission(self, submission: TextAttempt, at: int) -> None:
         """Schedules a new submission of a text for time `at`."""
         self.count += 1
-        resubmission = Submission(
+        resubmission = TextAttempt(
             f"{submission.first}.{submission.tries + 1}.{self.count}",
             submission.first,
             submission.product,
@@ -239,11 +239,11 @@
         self.pending_retries += 1
         self.loop.call_later(max(0.0, (at - self.now()) / SECOND), self._resubmit_now, resubmission)
 
-    def _resubmit_now(self, submission: Submission) -> None:
+    def _resubmit_now(self, submission: TextAttempt) -> None:
         self.pending_retries -= 1
         self.submit_text(submission)
 
-    def release_key(self, submission: Submission) -> None:
+    def release_key(self, submission: TextAttempt) -> None:
         """Lets the next text of the key be submitted."""
         waiting = self.keys.get(submission.key)
         if waiting and waiting[0] is submission:
--- a/limelatch/lab/stages/sockets.py
+++ b/limelatch/lab/stages/sockets.py
@@ -427,7 +427,9 @@
         host, count = self.address.host, self.scenario.relays.count
         fronts, listens = ([(host, self.address.port()) for _ in range(count)] for _ in range(2))
         made = DatagramNetwork(fronts, listens, self.seed)
-        made.set_conditions(lost=DATAGRAM_FAULT_SHARE, duplicated=DATAGRAM_FAULT_SHARE, delayed=DATAGRAM_FAULT_SHARE)
+        made.set_conditions(
+            lost=DATAGRAM_FAULT_SHARE, duplicated=DATAGRAM_FAULT_SHARE, delayed=DATAGRAM_FAULT_SHARE
+        )
         return made
 
     def membership_of(self, relay: int) -> Membership:
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -85,7 +85,9 @@
         endpoint_servers, connection = EndpointServers(stage.world.endpoints[0], stage), RecordingConnection()
         for play in ("127.64.0.9", stage.address.host):
             mark = TextMark(0, "t1", 0, play)
-            endpoint_servers.called(0, Call([CallText("t1", "", body_of(mark, 60))], False, 0.0, 0.0, connection))
+            endpoint_servers.called(
+                0, Call([CallText("t1", "", body_of(mark, 60))], False, 0.0, 0.0, connection)
+            )
         writer.close()
         return stage, connection
 
