--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: scenarios, the world, both stages in a short form, records, comparisons, commands."""
+"""Tests of the laboratory: scenarios, world, short runs on both stages, records, comparisons, commands."""
 
 import hashlib
 import json
@@ -32,7 +32,7 @@
 from limelatch.lab.world.world import World
 
 ROOT = Path(__file__).parent.parent
-FOUND = ROOT / "found"  # records of plays that broke a rule; not committed
+KEPT_RECORDS = ROOT / "found"  # records of runs that broke a rule; not committed
 SHORT = """
 [scenario]
 name = "short"
@@ -69,25 +69,26 @@
 }
 
 
-def lab(*words, **more):
+def lab(*args, **options):
+    """Run a command of the laboratory; return its exit code, output and error output."""
     done = subprocess.run(
-        [sys.executable, "-m", "limelatch", "lab", *map(str, words)],
+        [sys.executable, "-m", "limelatch", "lab", *map(str, args)],
         cwd=ROOT,
         text=True,
         capture_output=True,
         timeout=60,
-        **more,
+        **options,
     )
     return done.returncode, done.stdout, done.stderr
 
 
 @pytest.mark.parametrize("name", [name for name, _ in library()])
-def test_the_library_is_playable(name):
+def test_the_scenarios_of_the_library_are_valid(name):
     assert load(name).scenario.name == name
 
 
 @pytest.mark.parametrize(
-    "more, path",
+    "extra, path",
     [
         ('[[faults]]\nwhat = "hang"\nat = "1s"\nlasts = "1s"\npartners = ["nobody-*"]', "faults[0].partners"),
         ('[[faults]]\nwhat = "hang"\nat = "90s"\nlasts = "1s"', "faults[0].at"),
@@ -102,13 +103,13 @@
         ('[[floors]]\nname = "x"\n[[floors]]\nname = "x"', "floors"),
     ],
 )
-def test_what_is_wrong_with_a_scenario_is_named(more, path):
+def test_scenario_errors_name_the_key(extra, path):
     with pytest.raises(ConfigurationError) as error:
-        parse("short", SHORT + more)
+        parse("short", SHORT + extra)
     assert path in [each.path for each in error.value.errors]
 
 
-def test_scenarios_that_are_like_each_other_in_a_circle_are_a_fault(tmp_path):
+def test_a_circular_like_is_an_error(tmp_path):
     path = tmp_path / "a.toml"
     path.write_text(f'[scenario]\nlike = "{path}"\n')
     with pytest.raises(ConfigurationError, match="in a circle"):
@@ -118,8 +119,8 @@
 # The world.
 
 
-class Ears:
-    """A stage that only listens."""
+class RecordingListener:
+    """Records the events of the world."""
 
     def __init__(self):
         self.conditions, self.effects, self.falls, self.faults = [], [], [], []
@@ -146,11 +147,11 @@
 
 
 class Stage:
-    """A world in virtual time, and calls to it."""
+    """A world in virtual time, with methods to advance time and to make calls."""
 
-    def __init__(self, more="", seed=1):
-        self.clock, self.ears, self.replies = Queue(), Ears(), []
-        self.world = World(parse("short", SHORT + more), seed, self.clock, self.ears)
+    def __init__(self, extra="", seed=1):
+        self.clock, self.ears, self.replies = Queue(), RecordingListener(), []
+        self.world = World(parse("short", SHORT + extra), seed, self.clock, self.ears)
         self.world.begin()
 
     def at(self, seconds):
@@ -167,7 +168,7 @@
         return call
 
 
-def test_an_endpoint_serves_queues_and_turns_away_beyond_its_queue():
+def test_an_endpoint_refuses_calls_when_its_queue_is_full():
     stage = Stage()
     for number in range(40):
         stage.call(number)
@@ -179,21 +180,21 @@
 
 
 @pytest.mark.parametrize("form, passed", [(LimitForm.RATE, 5), (LimitForm.WINDOW, 5)])
-def test_a_limit_lets_so_many_through_and_its_wait_is_true(form, passed):
+def test_a_limit_refuses_calls_above_it_until_the_stated_wait(form, passed):
     limit = Limit(LimitKeys(form=form, of_capacity=1.0, span=SECOND), 5.0)
     assert [limit.take(0) is None for _ in range(8)] == [True] * passed + [False] * 3
     wait = limit.take(0)
     assert limit.take(wait) is None and limit.left(wait) < 1
 
 
-def test_refused_calls_use_up_a_limit_where_they_count():
+def test_refused_calls_count_against_a_limit_if_configured():
     limit = Limit(LimitKeys(form=LimitForm.WINDOW, of_capacity=1.0, span=SECOND, refused_count=True), 5.0)
     for _ in range(20):
         limit.take(0)
     assert limit.left(0) == 0.0 and limit.take(SECOND) is None
 
 
-def test_an_endpoint_returns_cold_and_warms_in_a_line():
+def test_an_endpoint_returns_cold_and_warms_up_linearly():
     stage = Stage('[[faults]]\nwhat = "down"\nat = "1s"\nlasts = "1s"\npartners = ["portal-1"]\n').at(1.5)
     host = stage.world.endpoints[0]
     assert host.down and host.bears(stage.clock.time) == 0
@@ -210,7 +211,7 @@
     ]
 
 
-def test_a_cold_route_that_is_sent_too_much_falls_over_and_it_is_told_who_pushed():
+def test_an_overloaded_cold_route_fails_and_reports_the_load_of_each_relay():
     stage = Stage('[[faults]]\nwhat = "down"\nat = "1s"\nlasts = "1s"\npartners = ["portal-1"]\n').at(2.1)
     for number in range(30):
         stage.call(number, host=number % 3, relay=number % 2)
@@ -220,7 +221,7 @@
     assert stage.world.endpoints[0].bears(stage.clock.time) == 0
 
 
-def test_overlapping_faults_compose_and_each_lets_go_of_its_own():
+def test_overlapping_faults_combine_and_end_independently():
     stage = Stage(
         '[[faults]]\nwhat = "slow"\nat = "1s"\nlasts = "4s"\ntimes = 3.0\n[[faults]]\nwhat = '
         '"slow"\n'
@@ -234,7 +235,7 @@
     assert sum(each.hang for each in stage.world.endpoints) == len(stage.world.endpoints) // 2
 
 
-def test_repeats_are_known_on_one_floor_within_the_window():
+def test_repeats_are_recognized_in_one_zone_within_the_window():
     stage = Stage()
     for at, host in ((0, 0), (1, 0), (2, 1), (6, 0)):
         stage.at(at).call("t", host=host)
@@ -242,17 +243,17 @@
     assert [known for _, known in stage.ears.effects] == [False, True, False, False]
 
 
-def test_a_change_in_one_concern_does_not_shift_the_others():
+def test_random_arrivals_do_not_depend_on_unrelated_keys():
     plain, other = (
-        list(Arrivals(parse("short", SHORT + more), 5)) for more in ("", "[clients]\nretries = 9\n")
+        list(Arrivals(parse("short", SHORT + extra), 5)) for extra in ("", "[clients]\nretries = 9\n")
     )
     assert plain == other
     surge = '[[faults]]\nwhat = "surge"\nat = "2s"\nlasts = "2s"\ntimes = 3.0\n'
-    more = list(Arrivals(parse("short", SHORT + surge), 5))
-    assert set(plain) <= set(more) and 150 < len(more) - len(plain) < 350
+    arrivals = list(Arrivals(parse("short", SHORT + surge), 5))
+    assert set(plain) <= set(arrivals) and 150 < len(arrivals) - len(plain) < 350
 
 
-def test_draws_come_in_batches_and_stay_the_same():
+def test_batched_draws_do_not_depend_on_other_streams():
     first, second = Streams(3), Streams(3)
     second.uniform("other")
     assert [first.uniform("a") for _ in range(600)] == [second.uniform("a") for _ in range(600)]
@@ -268,32 +269,32 @@
     assert 0.6 < figures.service < 1 and figures.whole and figures.ends["delivered"] > 300
 
 
-def told_and_kept(figures, plan):
-    """All lines of the breaches, and a copy of the record, which its play's folder does not outlast."""
-    FOUND.mkdir(exist_ok=True)
-    kept = shutil.copy(plan.target, FOUND / f"{plan.name}-{time.time_ns()}{rec.SUFFIX}")
-    return "\n".join([*figures.breach_lines, f"the record: {kept}"])
+def report_and_keep_record(figures, plan):
+    """Copy the record out of the temporary folder; return the lines of the breaches and the new path."""
+    KEPT_RECORDS.mkdir(exist_ok=True)
+    kept = shutil.copy(plan.target, KEPT_RECORDS / f"{plan.name}-{time.time_ns()}{rec.SUFFIX}")
+    return "\n".join([*figures.breach_lines, f"record: {kept}"])
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_the_same_scenario_on_sockets_keeps_them_too(tmp_path, name):
+def test_a_scenario_on_the_sockets_stage_keeps_the_rules(tmp_path, name):
     plan = Plan(name, SHORT + FAULTS[name], 1, "module", "sockets", str(tmp_path))
     figures = run_one(plan)
-    assert figures.kept, told_and_kept(figures, plan)
+    assert figures.kept, report_and_keep_record(figures, plan)
     assert 0.6 < figures.service < 1 and figures.whole and figures.memory > 1e6
     assert any(each.what == "sick" for each in figures.beliefs)
 
 
-def test_relays_that_watch_each_other_keep_the_rules_while_they_are_killed(tmp_path):
-    """With membership on, a network that spoils its datagrams, and relays that are killed and come back."""
+def test_relays_with_membership_keep_the_rules_while_they_are_killed(tmp_path):
+    """With datagrams that are lost, duplicated and delayed, and relays that are killed and restarted."""
     text = SHORT + FAULTS["kills"] + "[relays]\nmembership = true\n"
     plan = Plan("watched", text, 1, "module", "sockets", str(tmp_path))
     figures = run_one(plan)
-    assert figures.kept, told_and_kept(figures, plan)
+    assert figures.kept, report_and_keep_record(figures, plan)
     assert 0.6 < figures.service < 1 and figures.whole
     (logs,) = tmp_path.glob("*.logs")
-    said = [log.read_text() for log in sorted(logs.glob("relay-*.log"))]
-    assert len(said) == 3 and all('"event":"member-alive"' in each for each in said)
+    log_texts = [log.read_text() for log in sorted(logs.glob("relay-*.log"))]
+    assert len(log_texts) == 3 and all('"event":"member-alive"' in each for each in log_texts)
 
 
 def test_the_same_seed_gives_the_same_record_byte_for_byte(tmp_path):
@@ -319,7 +320,7 @@
     assert len(digests) == 1
 
 
-def test_a_record_that_is_cut_short_is_read_as_far_as_it_goes(tmp_path):
+def test_a_truncated_record_is_read_up_to_the_cut(tmp_path):
     path = tmp_path / f"x{rec.SUFFIX}"
     head = rec.Head(rec.VERSION, "story", 1, {}, "")
     rec.write(path, head, (rec.Late(number, "x", 1) for number in range(9000)))
@@ -354,9 +355,9 @@
         text=True,
         env=os.environ | {"TMPDIR": str(tmp_path)},
     )
-    until = time.monotonic() + WAIT_TIMEOUT
+    deadline = time.monotonic() + WAIT_TIMEOUT
     while not any(each.stat().st_size > 5000 for each in tmp_path.glob("limelatch-lab-*/load.part")):
-        assert time.monotonic() < until and process.poll() is None
+        assert time.monotonic() < deadline and process.poll() is None
         time.sleep(0.05)
     process.send_signal(signal.SIGINT)
     assert process.wait(WAIT_TIMEOUT) == 130, process.stderr.read()
@@ -364,31 +365,32 @@
     (record,) = tmp_path.glob(f"*{rec.SUFFIX}")
     figures = figures_of(record)
     assert not figures.whole and not figures.usable and figures.texts > 0
-    assert not [each for each in Path("/proc").iterdir() if each.name.isdigit() and names(each, tmp_path)]
+    assert not [each for each in Path("/proc").iterdir() if each.name.isdigit() and mentions(each, tmp_path)]
 
 
-def names(process, folder):
+def mentions(process, folder):
+    """Whether the command line of a process contains the folder."""
     try:
         return str(folder).encode() in (process / "cmdline").read_bytes()
     except OSError:
         return False
 
 
-def test_what_a_late_text_is_worth():
+def test_the_revenue_of_a_late_text():
     product = ProductKeys(name="x", sla_time=10, validity_period=30, late_share=0.4)
-    took = np.array([-1, 0, 10, 20, 30, 31])
-    assert worth(product, RevenueDecay.LINE, took).tolist() == pytest.approx([0, 1, 1, 0.7, 0.4, 0])
-    assert worth(product, RevenueDecay.HALVES, took).tolist() == pytest.approx([0, 1, 1, 0.5, 0.4, 0])
+    delays = np.array([-1, 0, 10, 20, 30, 31])
+    assert worth(product, RevenueDecay.LINE, delays).tolist() == pytest.approx([0, 1, 1, 0.7, 0.4, 0])
+    assert worth(product, RevenueDecay.HALVES, delays).tolist() == pytest.approx([0, 1, 1, 0.5, 0.4, 0])
 
 
-def test_a_comparison_says_better_worse_or_nothing():
+def test_a_comparison_finds_better_worse_or_no_difference():
     assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.71, 0.8], True, 0.01).outcome == "better"
     assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.71, 0.8], False, 0.01).outcome == "worse"
     assert paired("x", [0.5, 0.6, 0.7], [0.6, 0.5, 0.72], True, 0.01).outcome == "no difference seen"
-    assert paired("x", [0.5], [0.9], True, 0.01).outcome == "no difference seen"  # one pair says nothing
+    assert paired("x", [0.5], [0.9], True, 0.01).outcome == "no difference seen"  # one pair proves nothing
 
 
-def test_a_baseline_that_pushes_a_partner_over_is_worse_than_the_module(tmp_path):
+def test_a_baseline_that_overloads_a_partner_is_worse_than_the_module(tmp_path):
     text = SHORT + FAULTS["shut"] + "[clients]\nrate = 160\n"
     runs = [
         [run_one(Plan("shut", text, seed, subject, "fleet", str(tmp_path))) for seed in (1, 2, 3)]
@@ -398,14 +400,14 @@
     assert verdict(rows) == "B is better than A" and all(each.kept for each in runs[1])
 
 
-@pytest.mark.parametrize("words, seeds", [("1-3", [1, 2, 3]), ("4", [4]), ("1,5-6", [1, 5, 6])])
-def test_lists_of_seeds(words, seeds):
-    assert seeds_of(words) == seeds
+@pytest.mark.parametrize("text, seeds", [("1-3", [1, 2, 3]), ("4", [4]), ("1,5-6", [1, 5, 6])])
+def test_lists_of_seeds_are_parsed(text, seeds):
+    assert seeds_of(text) == seeds
     with pytest.raises(ValueError):
-        seeds_of(words + ",x")
+        seeds_of(text + ",x")
 
 
-def test_a_scenario_with_one_key_set():
+def test_one_key_of_a_scenario_can_be_set():
     assert parse("x", with_value(SHORT, "clients.rate", "7.5")).clients.rate == 7.5
     text = with_value(SHORT + FAULTS["hang"], "faults[0].lasts", '"2s"')
     assert parse("x", text).faults[0].lasts == 2 * SECOND
@@ -490,16 +492,16 @@
     assert code == 1 and "Connection refused" in out
 
 
-def test_the_operators_page_of_scenarios_is_what_the_model_says():
+def test_the_scenario_page_is_up_to_date():
     from limelatch.lab.scenario.page import page
 
     assert (ROOT / "docs/operators/scenario.md").read_text() == page()
 
 
-def test_settings_of_the_platform_for_a_scenario_are_good(tmp_path):
+def test_platform_settings_of_a_scenario_are_read_back_unchanged(tmp_path):
     from limelatch.configuration.platform_form import read_platform, write_platform
     from limelatch.lab.stages.sockets import installation_of
 
-    made = installation_of(load("limit-cut"), 1, 0, "127.0.0.1:1", "127.0.0.1:2", "s")
-    found, faults, _ = read_platform(json.loads(json.dumps(write_platform(made))))
-    assert found == made, faults
+    settings = installation_of(load("limit-cut"), 1, 0, "127.0.0.1:1", "127.0.0.1:2", "s")
+    found, faults, _ = read_platform(json.loads(json.dumps(write_platform(settings))))
+    assert found == settings, faults
