--- a/limelatch/command/lab.py
+++ b/limelatch/command/lab.py
@@ -244,7 +244,7 @@
         broken = {rule.name.lower(): count for rule, count in checker.counts.items() if count}
         cut = ", cut short" if reader.cut else ""
         click.echo(
-            f"{path}: {checker.judged} texts judged{cut}, "
+            f"{path}: {checker.finished_count} texts judged{cut}, "
             + (", ".join(f"{rule} broken {count} times" for rule, count in broken.items()) or "rules kept")
         )
         for breach in checker.breaches:
