--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -177,7 +177,7 @@
     return found
 
 
-def test_a_short_soak_breaks_no_rule(tmp_path):
+def test_a_short_soak_of_fixed_seeds_breaks_no_rule(tmp_path):
     args = ["--seeds", SHORT_SEEDS, "--seconds", str(SHORT_SECONDS), "--jobs", "2"]
     done = soak(*args, "--keep", str(tmp_path / "kept"))
     assert done.returncode == 0, done.stdout + done.stderr
